--- a/Makefile
+++ b/Makefile
@@ -2,6 +2,7 @@
 
 LINT := go run github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
 BUF := go tool -modfile=tools/gen/go.mod buf
+GOPLS := go run golang.org/x/tools/gopls@v0.23.0
 
 .PHONY: all build demo test format lint generate check-generated unit short-replay bench bench-limits fuzz
 
@@ -24,6 +25,13 @@
 	$(LINT) run
 	go vet ./...
 
+# Renames an identifier in all packages and their tests: AT=FILE:LINE:COLUMN NAME=new.
+# gopls does not see files behind the build tag bench; vet does.
+.PHONY: rename
+rename:
+	$(GOPLS) rename -w $(AT) $(NAME)
+	go vet -tags bench ./...
+
 generate:
 	$(BUF) generate
 
