--- a/snipering/snipering.go
+++ b/snipering/snipering.go
@@ -1,8 +1,8 @@
-// Package snipering is the bounded queue that joins two duties.
+// Package snipering provides a bounded queue between a producer and a consumer goroutine.
 //
-// A full ring refuses: the producer decides what a refusal means (an error to
-// the caller, a dropped sample). Nothing in this project waits for space in a
-// ring, so that a slow duty never blocks another one.
+// A full ring rejects new items. The producer decides what a rejection means (an error to the
+// caller, a dropped sample). No producer waits for space in a ring, so that a slow consumer
+// never blocks it.
 package snipering
 
 import "context"
@@ -17,7 +17,7 @@
 	return &Ring[T]{items: make(chan T, max(size, 1))}
 }
 
-// TryPush adds v and reports false when the ring is full.
+// TryPush adds v and reports whether the ring had space for it.
 func (r *Ring[T]) TryPush(v T) bool {
 	select {
 	case r.items <- v:
@@ -27,7 +27,8 @@
 	}
 }
 
-// Pop waits for the oldest item. It returns the context's error when ctx ends.
+// Pop removes and returns the oldest item, and waits for one if the ring is empty. It returns the
+// context's error when ctx ends.
 func (r *Ring[T]) Pop(ctx context.Context) (T, error) {
 	select {
 	case v := <-r.items:
@@ -38,10 +39,10 @@
 	}
 }
 
-// Len returns the number of items waiting.
+// Len returns the number of items in the ring.
 func (r *Ring[T]) Len() int { return len(r.items) }
 
-// TryPop returns the oldest item and reports false when there is none.
+// TryPop removes and returns the oldest item, and reports false when the ring is empty.
 func (r *Ring[T]) TryPop() (T, bool) {
 	select {
 	case v := <-r.items:
