--- a/snipeowner/lockstep_test.go
+++ b/snipeowner/lockstep_test.go
@@ -12,84 +12,85 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// crowd is a number of instances that reach the table at all times and take their steps in
-// turn, for sizes at which a goroutine for each is too slow.
-type crowd struct {
+// lockstep runs the steps of many instances one after the other, without faults of the table. It
+// is for numbers of instances at which a goroutine for each is too slow.
+type lockstep struct {
 	clock   time.Duration
 	engines []netip.AddrPort
 	holders []*snipeowner.Holder
 }
 
-// small returns an address from a number.
-func small(network byte, n int, port uint16) netip.AddrPort {
+// testAddress returns the n-th address of a network.
+func testAddress(network byte, n int, port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, network, byte(n / 250), byte(n%250 + 1)}), port)
 }
 
-func newCrowd(tb testing.TB, instances, engines int) *crowd {
+func newLockstep(tb testing.TB, instances, engines int) *lockstep {
 	tb.Helper()
 	t := &table{rows: map[snipeplatform.Key]snipeplatform.Row{}}
-	w := &crowd{}
+	l := &lockstep{}
 	for n := range engines {
-		w.engines = append(w.engines, small(9, n, 80))
+		l.engines = append(l.engines, testAddress(9, n, 80))
 	}
 	for n := range instances {
-		peer := small(1, n, 70)
-		w.holders = append(w.holders, &snipeowner.Holder{
+		peer := testAddress(1, n, 70)
+		l.holders = append(l.holders, &snipeowner.Holder{
 			Table: snipeowner.Table{
 				List: func(_ context.Context, partition string, since uint64) ([]snipeplatform.Row, uint64, error) {
-					rows, mark := t.listSince(partition, since)
-					return rows, mark, nil
+					rows, position := t.listSince(partition, since)
+					return rows, position, nil
 				},
 				Write: func(_ context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 					return t.write(operation, changes)
 				},
 			},
 			Self:      snipeowner.Instance{Name: fmt.Sprint("i", n), Incarnation: "1", Peer: peer},
-			Engines:   func() []netip.AddrPort { return w.engines },
+			Engines:   func() []netip.AddrPort { return l.engines },
 			OrderGap:  orderGap,
-			Clock:     func() time.Duration { return w.clock },
+			Clock:     func() time.Duration { return l.clock },
 			Operation: func() string { return "" },
 			Log:       snipelog.Discard(),
 		})
 	}
-	return w
+	return l
 }
 
-// step lets all instances take a step within a second.
-func (w *crowd) step(tb testing.TB) {
+// step runs one step of each instance and advances the clock by a second.
+func (l *lockstep) step(tb testing.TB) {
 	tb.Helper()
-	for _, h := range w.holders {
+	for _, h := range l.holders {
 		h.Step(tb.Context())
 	}
-	w.clock += time.Second
+	l.clock += time.Second
 }
 
-// owners returns how many instances own engines.
-func (w *crowd) owners() int {
+// owners returns how many instances may order engines.
+func (l *lockstep) owners() int {
 	n := 0
-	for _, h := range w.holders {
-		if _, owns := w.fences(h); owns {
+	for _, h := range l.holders {
+		if _, owns := l.orderableBy(h); owns {
 			n++
 		}
 	}
 	return n
 }
 
-// ordered returns how many engines may be ordered.
-func (w *crowd) ordered() int {
+// orderable returns how many engines some instance may order now.
+func (l *lockstep) orderable() int {
 	n := 0
-	for _, h := range w.holders {
-		ordered, _ := w.fences(h)
-		n += ordered
+	for _, h := range l.holders {
+		orderable, _ := l.orderableBy(h)
+		n += orderable
 	}
 	return n
 }
 
-func (w *crowd) fences(h *snipeowner.Holder) (ordered int, owns bool) {
-	for _, e := range w.engines {
+// orderableBy returns how many engines an instance may order, and whether there are any.
+func (l *lockstep) orderableBy(h *snipeowner.Holder) (orderable int, owns bool) {
+	for _, e := range l.engines {
 		if _, ok := h.Fence(e); ok {
-			ordered++
+			orderable++
 		}
 	}
-	return ordered, ordered > 0
+	return orderable, orderable > 0
 }
--- a/snipeowner/outage.go
+++ b/snipeowner/outage.go
@@ -14,174 +14,182 @@
 )
 
 const (
-	// silence is how long a renewal may be unanswered before the store is thought to be
-	// lost: it answers within 10 ms, and within 250 ms when it is slow.
-	silence = 300 * time.Millisecond
-	// prolongEvery is the time between two looks whether the right to order has to be
-	// prolonged by others, prolongAhead how long before its end they are asked.
-	prolongEvery = 150 * time.Millisecond
-	prolongAhead = 1500 * time.Millisecond
-	// askTimeout bounds the questions to all others, which are a few milliseconds away.
-	askTimeout = 200 * time.Millisecond
-	// restWitnesses is how many of the instances on standby are asked, besides all
-	// others: where the store turns a third of all instances away, all eight of them are among these
-	// once in five thousand times.
-	restWitnesses = 8
-	// observation is how long an owner's row must be seen unchanged, without a break, until
-	// its engines may be taken.
-	observation = orderTime + margin
-	// longestStep is the time between the beginnings of two steps from which on this instance
-	// must have been suspended: a renewal is given up after 1.2 s.
-	longestStep = 2500 * time.Millisecond
-	// longestGap is the time between two readings of the store from which on the rows were not
-	// observed in between. Readings are 1.7 s apart. An owner that went on renews its row at most
-	// 1.3 s after the store is back, which with this is sooner than its row can be taken for lapsed.
-	longestGap = 2200 * time.Millisecond
-	// evidenceSlack is by how much the age of a copy may be told too small: it is passed on
-	// from instance to instance.
-	evidenceSlack = 100 * time.Millisecond
+	// storeTimeout is how long a renewal may be unanswered before the store is considered lost:
+	// it answers within 10 ms, and within 250 ms when it is slow.
+	storeTimeout = 300 * time.Millisecond
+	// extensionInterval is the time between two checks whether the right to order needs a lease
+	// extension, extensionLead how long before its end the extension is requested.
+	extensionInterval = 150 * time.Millisecond
+	extensionLead     = 1500 * time.Millisecond
+	// extensionTimeout limits the requests to all grantors, whose round trips take a few
+	// milliseconds.
+	extensionTimeout = 200 * time.Millisecond
+	// standbyGrantors is how many of the instances on standby are asked for a lease extension,
+	// in addition to all that are not on standby. If a third of all instances cannot reach the
+	// store, all eight belong to that third in one of five thousand cases.
+	standbyGrantors = 8
+	// observationTime is how long an owner's row must be observed unchanged, without
+	// interruption, before its engines may be taken over.
+	observationTime = orderTime + margin
+	// maxStepGap is the time between the beginnings of two steps above which this instance must
+	// have been suspended: a renewal times out after 1.2 s.
+	maxStepGap = 2500 * time.Millisecond
+	// maxReadGap is the time between two reads of the store above which the rows count as not
+	// observed in between. Reads are 1.7 s apart. An owner that continued through an outage
+	// renews its row at most 1.3 s after the store is back; with this limit its row cannot be
+	// considered lapsed before that.
+	maxReadGap = 2200 * time.Millisecond
+	// rowsAgeError is by how much the reported age of a copy may be too low, because the copy is
+	// passed on from instance to instance.
+	rowsAgeError = 100 * time.Millisecond
 )
 
-// Question asks an instance not to take engines over for as long as their owner may order
-// them without the store.
+// Question is a request for a lease extension: it asks an instance not to take over engines for
+// as long as their owner may order them without the store.
 type Question struct {
 	Owner   netip.AddrPort
 	Engines []netip.AddrPort
-	// Unanswered is for how long the store has not answered the owner.
+	// Unanswered is how long the store has not answered the owner.
 	Unanswered time.Duration
 }
 
-// ErrNoPromise says that an instance reaches the store, or knows of another owner.
-var ErrNoPromise = errors.New("no promise to leave the engines")
+// ErrNoPromise reports that an instance refuses a lease extension, because it reaches the store
+// or has another owner recorded.
+var ErrNoPromise = errors.New("lease extension refused")
 
-// Promise puts a question to an instance. Its error wraps ErrNoPromise for one that
-// promises nothing; any other error is that of one that does not answer.
+// Promise sends a request for a lease extension to an instance. Its error wraps ErrNoPromise if
+// the instance refuses; any other error means that the instance did not answer.
 type Promise func(ctx context.Context, peer netip.AddrPort, q Question) error
 
-// outage is what an instance knows of the store's answers to its renewals. It is safe for
-// concurrent use.
+// outage records whether the store answers the renewals of this instance, and since when the
+// rows have been observed. It is safe for concurrent use.
 type outage struct {
 	lock sync.Mutex // guards the fields below
-	// began is when the last step began.
-	began time.Duration
-	// sent is when the step under way began; zero for none.
-	sent time.Duration
-	// failing tells that the last renewal that ended had no answer.
+	// stepBegan is when the last step began.
+	stepBegan time.Duration
+	// pendingSince is when the current step began or last received an answer; zero if no step
+	// is in progress.
+	pendingSince time.Duration
+	// failing reports that the last completed renewal got no answer.
 	failing bool
-	// read tells that the rows were read at least once, asOf when the store itself was.
-	read bool
-	asOf time.Duration
-	// since is from when on the rows have been observed without a break.
-	since time.Duration
-	// promised is when the last promise was given; zero for never.
-	promised time.Duration
-	// silentSince is when the first renewal was sent that the store has not answered.
-	silentSince time.Duration
+	// read reports that the rows were read at least once, readAsOf the time as of which they
+	// were read from the store.
+	read     bool
+	readAsOf time.Duration
+	// observedSince is the time since which the rows have been observed without interruption.
+	observedSince time.Duration
+	// grantedAt is when the last lease extension was granted; zero if none was granted.
+	grantedAt time.Duration
+	// unansweredSince is when the step began whose renewal was the first that the store did not
+	// answer.
+	unansweredSince time.Duration
 }
 
-// begin notes that a step begins, which reads the rows and renews.
-func (o *outage) begin(now time.Duration) {
+// beginStep records the begin of a step, which reads the rows and renews.
+func (o *outage) beginStep(now time.Duration) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	if o.began > 0 && now-o.began > longestStep {
-		// Others may have given their promises without this one's.
-		o.since = now
+	if o.stepBegan > 0 && now-o.stepBegan > maxStepGap {
+		// This instance was suspended. Other instances may have granted lease extensions meanwhile.
+		o.observedSince = now
 	}
-	o.began, o.sent = now, now
+	o.stepBegan, o.pendingSince = now, now
 	if !o.failing {
-		o.silentSince = now
+		o.unansweredSince = now
 	}
 }
 
-// end notes whether the store answered it.
-func (o *outage) end(now time.Duration, answered bool) {
+// endRenewal records the end of a renewal and whether the store answered it.
+func (o *outage) endRenewal(now time.Duration, answered bool) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	if answered && o.failing {
-		o.since = now
+		o.observedSince = now
 	}
-	o.sent, o.failing = 0, !answered
+	o.pendingSince, o.failing = 0, !answered
 }
 
-// skip notes that a step ends without a renewal.
-func (o *outage) skip() {
+// skipRenewal records the end of a step without a renewal.
+func (o *outage) skipRenewal() {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	o.sent = 0
+	o.pendingSince = 0
 }
 
-// see notes that the rows were read, as of some time ago: the step under way has had that
-// answer. An instance on standby learns of an outage by this alone.
-func (o *outage) see(now, age time.Duration) {
+// recordRead records that the rows were read, with the age that they had. The read counts as an
+// answer to the step in progress. An instance on standby detects an outage only by its reads.
+func (o *outage) recordRead(now, age time.Duration) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	asOf := now - age
-	if !o.read || asOf-o.asOf > longestGap {
-		o.read, o.since = true, now
+	if !o.read || asOf-o.readAsOf > maxReadGap {
+		o.read, o.observedSince = true, now
 	}
-	o.asOf = asOf
-	if o.sent > 0 {
-		o.sent = now
+	o.readAsOf = asOf
+	if o.pendingSince > 0 {
+		o.pendingSince = now
 	}
 }
 
-// broken reports whether the last renewal that ended had no answer.
-func (o *outage) broken() bool {
+// renewalUnanswered reports whether the last completed renewal got no answer.
+func (o *outage) renewalUnanswered() bool {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	return o.failing
 }
 
-// lost reports whether the store does not answer.
-func (o *outage) lost(now time.Duration) bool {
+// storeLost reports whether the store does not answer.
+func (o *outage) storeLost(now time.Duration) bool {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	return o.lostLocked(now)
+	return o.storeLostLocked(now)
 }
 
-func (o *outage) lostLocked(now time.Duration) bool {
-	return o.failing || o.sent > 0 && now-o.sent > silence
+func (o *outage) storeLostLocked(now time.Duration) bool {
+	return o.failing || o.pendingSince > 0 && now-o.pendingSince > storeTimeout
 }
 
-// promise begins the observation of the rows anew, if the store is lost: what the rows
-// have shown until now takes no engine over any more. It reports whether it did.
-func (o *outage) promise(now time.Duration, lost bool) bool {
+// grant grants a lease extension if the rows were never read, or the store is lost according to
+// the caller or to the renewals of this instance. It reports whether it did. A grant restarts the
+// observation of the rows: what was observed until now no longer permits a takeover.
+func (o *outage) grant(now time.Duration, lost bool) bool {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	if o.read && !lost && !o.lostLocked(now) {
+	if o.read && !lost && !o.storeLostLocked(now) {
 		return false
 	}
-	o.since, o.promised = now, now
+	o.observedSince, o.grantedAt = now, now
 	return true
 }
 
-// ownFrom is from when on this instance may order what an earlier start of it owned: at
-// once, unless it has promised to leave it to somebody.
-func (o *outage) ownFrom(now time.Duration) time.Duration {
+// ownOrdersFrom returns when this instance may order engines that an earlier start of it owned:
+// at once, unless it has granted a lease extension, which another owner may be using.
+func (o *outage) ownOrdersFrom(now time.Duration) time.Duration {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	if o.promised == 0 {
+	if o.grantedAt == 0 {
 		return now
 	}
-	return max(now, o.promised+observation)
+	return max(now, o.grantedAt+observationTime)
 }
 
-// unanswered is for how long the store has not answered.
+// unanswered returns how long the store has not answered.
 func (o *outage) unanswered(now time.Duration) time.Duration {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	return now - o.silentSince
+	return now - o.unansweredSince
 }
 
-// observed is from when on what the rows show may take engines over.
-func (o *outage) observed() time.Duration {
+// takeoverAllowedAt returns when the rows have been observed long enough to permit takeovers.
+func (o *outage) takeoverAllowedAt() time.Duration {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	return o.since + observation
+	return o.observedSince + observationTime
 }
 
-// Grant answers another instance's question: whether this one will leave these engines to
-// their owner for the time of a lease, because the store answers neither of them.
+// Grant answers a request for a lease extension. It returns true if this instance does not take
+// over the engines for the duration of a lease, because the store answers neither the owner nor
+// this instance.
 func (h *Holder) Grant(q Question) bool {
 	v := h.View()
 	for _, engine := range q.Engines {
@@ -189,59 +197,60 @@
 			return false
 		}
 	}
-	// An instance on standby does not renew, so that it cannot know by that. A copy of the
-	// rows that is younger than the owner's trouble shows that the store answers somebody.
-	resting := v.Live[h.Self.Peer].Standby && h.RowsAge != nil && h.RowsAge() >= q.Unanswered-evidenceSlack
+	// An instance on standby rarely renews, so it cannot detect an outage by its renewals. A copy
+	// of the rows that is younger than the owner's outage shows that the store answers at least
+	// one instance.
+	standbyLost := v.Live[h.Self.Peer].Standby && h.RowsAge != nil && h.RowsAge() >= q.Unanswered-rowsAgeError
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	for _, engine := range q.Engines {
-		if _, taken := h.holdings[engine]; taken {
+		if _, held := h.holdings[engine]; held {
 			return false
 		}
 	}
-	return h.outage.promise(h.Clock(), resting)
+	return h.outage.grant(h.Clock(), standbyLost)
 }
 
-// RunProlong prolongs the right to order while the store answers nobody, until ctx ends.
-// Nobody can take an engine over then, since that needs the store; and all who could say
-// that they will not do so at once when it is back.
+// RunProlong extends the right to order while the store answers no instance, until ctx ends.
+// During such an outage no instance can take over an engine, since a takeover is a write to the
+// store, and the grantors agree not to take over as soon as the store is back.
 func (h *Holder) RunProlong(ctx context.Context) error {
-	return snipetime.Every(ctx, prolongEvery, h.Prolong)
+	return snipetime.Every(ctx, extensionInterval, h.Prolong)
 }
 
-// Prolong asks the others for the right to order, if it is about to end for want of the
-// store.
+// Prolong requests a lease extension from the other instances if the right to order is about to
+// end because the store does not answer.
 func (h *Holder) Prolong(ctx context.Context) {
 	asked := h.Clock()
-	engines, until := h.ordered(asked)
-	if h.Promise == nil || len(engines) == 0 || until-asked > prolongAhead || !h.outage.lost(asked) {
+	engines, deadline := h.orderable(asked)
+	if h.Promise == nil || len(engines) == 0 || deadline-asked > extensionLead || !h.outage.storeLost(asked) {
 		return
 	}
-	must, may := h.witnesses()
+	required, optional := h.grantors()
 	q := Question{Owner: h.Self.Peer, Engines: engines, Unanswered: h.outage.unanswered(asked)}
-	if err := h.askAll(ctx, must, may, q); err != nil {
+	if err := h.requestExtension(ctx, required, optional, q); err != nil {
 		h.Log.Error(snipelog.OwnershipRefused, err, snipelog.Fields{
-			"Engines": len(engines), "Milliseconds": (until - asked).Milliseconds(),
+			"Engines": len(engines), "Milliseconds": (deadline - asked).Milliseconds(),
 		})
 		return
 	}
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	if h.Clock() >= h.until {
-		// Somebody may have taken an engine over before the promises.
+	if h.Clock() >= h.orderDeadline {
+		// Another instance may have taken over an engine before the extension was granted.
 		return
 	}
-	h.until = max(h.until, asked+orderTime)
+	h.orderDeadline = max(h.orderDeadline, asked+orderTime)
 	h.Log.Log(snipelog.OwnershipProlonged, snipelog.Fields{
-		"Engines": len(engines), "Witnesses": len(must), "Milliseconds": (h.until - asked).Milliseconds(),
+		"Engines": len(engines), "Witnesses": len(required), "Milliseconds": (h.orderDeadline - asked).Milliseconds(),
 	})
 }
 
-// ordered returns the engines that this instance may order, and until when.
-func (h *Holder) ordered(now time.Duration) ([]netip.AddrPort, time.Duration) {
+// orderable returns the engines that this instance may order, and until when.
+func (h *Holder) orderable(now time.Duration) ([]netip.AddrPort, time.Duration) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	if now >= h.until {
+	if now >= h.orderDeadline {
 		return nil, 0
 	}
 	engines := make([]netip.AddrPort, 0, len(h.holdings))
@@ -250,43 +259,45 @@
 			engines = append(engines, engine)
 		}
 	}
-	return engines, h.until
+	return engines, h.orderDeadline
 }
 
-// witnesses returns the instances that could take engines over: those that have to promise,
-// which are all that share the engines and some of those on standby, and those that may
-// not say no. The latter were leaving, and may have started again, or their rows have
-// lapsed: they are dead, or reach neither the store nor, if they do not answer, this one.
-func (h *Holder) witnesses() (must, may []netip.AddrPort) {
+// grantors returns the instances that could take over engines. The required ones must grant a
+// lease extension: all that are neither leaving nor on standby, and some of those on standby.
+// The optional ones may be unreachable but must not refuse. They were leaving, and may have
+// restarted since, or their rows have lapsed: such an instance is dead or cannot reach the
+// store, and if it does not answer it cannot reach this instance either.
+func (h *Holder) grantors() (required, optional []netip.AddrPort) {
 	v := h.View()
-	may = slices.Clone(v.Lapsed)
-	rest := restWitnesses
-	// The order of a map is another one each time.
+	optional = slices.Clone(v.Lapsed)
+	standby := standbyGrantors
+	// Go iterates over a map in random order, so each request asks other instances on standby.
 	for peer, i := range v.Live {
 		switch {
 		case peer == h.Self.Peer:
 		case i.Leaving:
-			may = append(may, peer)
+			optional = append(optional, peer)
 		case !i.Standby:
-			must = append(must, peer)
-		case rest > 0:
-			must = append(must, peer)
-			rest--
+			required = append(required, peer)
+		case standby > 0:
+			required = append(required, peer)
+			standby--
 		}
 	}
-	return must, may
+	return required, optional
 }
 
-// askAll asks all witnesses, and returns the first that stands against it: one that must
-// promise and does not, or any that says no.
-func (h *Holder) askAll(ctx context.Context, must, may []netip.AddrPort, q Question) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// requestExtension requests a lease extension from all grantors at once. It returns the first
+// error that prevents the extension: a required grantor that does not grant it, or any grantor
+// that refuses.
+func (h *Holder) requestExtension(ctx context.Context, required, optional []netip.AddrPort, q Question) error {
+	ctx, cancel := context.WithTimeout(ctx, extensionTimeout)
 	defer cancel()
-	answers := make(chan error, len(must)+len(may))
-	for n, peer := range slices.Concat(must, may) {
+	answers := make(chan error, len(required)+len(optional))
+	for n, peer := range slices.Concat(required, optional) {
 		go func() {
 			err := h.Promise(ctx, peer, q)
-			if err == nil || n >= len(must) && !errors.Is(err, ErrNoPromise) {
+			if err == nil || n >= len(required) && !errors.Is(err, ErrNoPromise) {
 				answers <- nil
 				return
 			}
--- a/snipeowner/renew.go
+++ b/snipeowner/renew.go
@@ -13,8 +13,9 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// renew writes this instance's row, under the condition that it still owns what
-// it believes to own, together with the engines that it takes or gives up.
+// renew writes the row of this instance, together with the engines that it takes over or
+// releases. The write is conditional: it succeeds only if this instance still owns all engines
+// in its holdings.
 func (h *Holder) renew(ctx context.Context, standby bool) error {
 	self := h.Self
 	self.Leaving, self.Standby = h.leaving.Load(), standby
@@ -24,46 +25,48 @@
 	}
 	changes := []snipeplatform.Change{{
 		Key:    instanceKey(self.Peer),
-		Expect: h.instance[self.Peer].version, Data: data,
+		Expect: h.instances[self.Peer].version, Data: data,
 	}}
-	var wanted []takeover
+	var taken []takeover
 	var released []netip.AddrPort
 	switch {
 	case self.Leaving:
 		h.endOrders()
-		var given []snipeplatform.Change
-		given, released = h.releases(maxEntries - entries(changes))
-		changes = append(changes, given...)
+		var releases []snipeplatform.Change
+		releases, released = h.planReleases(maxEntries - entryCount(changes))
+		changes = append(changes, releases...)
 	case !standby:
-		changes = append(changes, h.conditions()...)
-		wanted = h.wanted(maxEntries - entries(changes))
-		for _, t := range wanted {
+		changes = append(changes, h.ownershipConditions()...)
+		taken = h.takeovers(maxEntries - entryCount(changes))
+		for _, t := range taken {
 			changes = append(changes, t.changes...)
 		}
 	}
-	changes = unique(changes)
+	changes = deduplicate(changes)
 	sent := h.Clock()
-	h.triedAt = sent
+	h.attemptedAt = sent
 	version, err := h.Table.Write(ctx, h.Operation(), changes)
 	if err != nil {
 		return errors.Wrap(err, "renew")
 	}
 	h.renewedAt = sent
-	h.instance[self.Peer] = sighting{Instance: self, hash: addressHash(self.Peer), version: version, since: sent}
+	h.instances[self.Peer] = instanceRow{Instance: self, hash: addressHash(self.Peer), version: version, observedAt: sent}
 	if self.Leaving {
-		h.released(released)
+		h.recordReleases(released)
 		return nil
 	}
-	h.renewed(sent, version, wanted)
+	h.recordRenewal(sent, version, taken)
 	return nil
 }
 
-// maxEntries is how many conditions and writes the store takes in one transaction. A
-// renewal holds a condition for each engine that is owned, so that it also bounds those.
+// maxEntries is the maximum number of conditions and writes that the store accepts in one
+// transaction. A renewal contains a condition for each owned engine, so this also limits the
+// number of engines that an instance owns.
 const maxEntries = 100
 
-// entries counts the conditions and writes of changes: each has a condition.
-func entries(changes []snipeplatform.Change) int {
+// entryCount returns the number of conditions and writes of changes: each change has a
+// condition.
+func entryCount(changes []snipeplatform.Change) int {
 	n := len(changes)
 	for _, c := range changes {
 		if c.Data != nil || c.Delete {
@@ -73,13 +76,13 @@
 	return n
 }
 
-// unique drops conditions on a row that is already among the changes.
-func unique(changes []snipeplatform.Change) []snipeplatform.Change {
+// deduplicate removes conditions on a row that an earlier change already covers.
+func deduplicate(changes []snipeplatform.Change) []snipeplatform.Change {
 	seen := make(map[snipeplatform.Key]bool, len(changes))
 	return slices.DeleteFunc(changes, func(c snipeplatform.Change) bool {
-		again := seen[c.Key]
+		duplicate := seen[c.Key]
 		seen[c.Key] = true
-		return again
+		return duplicate
 	})
 }
 
@@ -91,8 +94,9 @@
 	return snipeplatform.Key{Partition: Partition, Sort: instancePrefix + peer.String()}
 }
 
-// conditions hold each owner row of this instance to what it knows.
-func (h *Holder) conditions() []snipeplatform.Change {
+// ownershipConditions returns a condition for each engine that this instance owns: its owner row
+// must be in the version that this instance last read or wrote.
+func (h *Holder) ownershipConditions() []snipeplatform.Change {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	changes := make([]snipeplatform.Change, 0, len(h.holdings))
@@ -102,24 +106,25 @@
 	return changes
 }
 
-// endOrders ends the right to order for good. It comes before the write that gives
-// engines up: the next owner orders as soon as it reads that, also if this instance
-// never learns that the write was made.
+// endOrders permanently ends the right to order. It precedes the write that releases engines:
+// the next owner orders as soon as it reads that write, even if this instance never receives
+// the outcome of the write.
 func (h *Holder) endOrders() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	h.until = 0
+	h.orderDeadline = 0
 }
 
-// releases give engines up, as many as fit into so many entries.
-func (h *Holder) releases(room int) (changes []snipeplatform.Change, released []netip.AddrPort) {
+// planReleases returns the changes that release engines, as many as fit into capacity entries of
+// a transaction, and these engines.
+func (h *Holder) planReleases(capacity int) (changes []snipeplatform.Change, released []netip.AddrPort) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	for engine, o := range h.holdings {
 		// A struct of plain fields always has a JSON form.
 		data, _ := json.Marshal(ownership{Fence: o.fence})
 		change := []snipeplatform.Change{{Key: ownerKey(engine), Expect: o.version, Data: data}}
-		if room -= entries(change); room < 0 {
+		if capacity -= entryCount(change); capacity < 0 {
 			break
 		}
 		changes, released = append(changes, change...), append(released, engine)
@@ -127,44 +132,45 @@
 	return changes, released
 }
 
-// released notes that engines were given up. This instance has no right to order any
-// more; what did not fit follows with the next renewal.
-func (h *Holder) released(engines []netip.AddrPort) {
+// recordReleases removes released engines from the holdings. This instance no longer has a right
+// to order; engines that did not fit into the transaction are released by the next renewal.
+func (h *Holder) recordReleases(engines []netip.AddrPort) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	h.until = 0
+	h.orderDeadline = 0
 	for _, engine := range engines {
 		delete(h.holdings, engine)
 	}
 }
 
-// renewed notes a successful renewal.
-func (h *Holder) renewed(sent time.Duration, version uint64, taken []takeover) {
+// recordRenewal extends the right to order after a successful renewal and adds the engines that
+// it took over to the holdings.
+func (h *Holder) recordRenewal(sent time.Duration, version uint64, taken []takeover) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	h.until = sent + orderTime
-	observed := h.outage.observed()
+	h.orderDeadline = sent + orderTime
+	allowedAt := h.outage.takeoverAllowedAt()
 	for engine, o := range h.holdings {
 		if !o.confirmed {
-			o.confirmed, o.from = true, max(o.from, observed)
+			o.confirmed, o.ordersFrom = true, max(o.ordersFrom, allowedAt)
 		}
 		h.holdings[engine] = o
 	}
 	for _, t := range taken {
-		// A promise may have been given while the renewal was under way.
+		// A lease extension may have been granted during the renewal.
 		switch {
-		case t.former == h.Self.Peer:
-			t.from = max(t.from, h.outage.ownFrom(t.from))
-		case t.former.IsValid():
-			t.from = max(t.from, observed)
+		case t.previous == h.Self.Peer:
+			t.ordersFrom = max(t.ordersFrom, h.outage.ownOrdersFrom(t.ordersFrom))
+		case t.previous.IsValid():
+			t.ordersFrom = max(t.ordersFrom, allowedAt)
 		}
-		h.holdings[t.engine] = holding{fence: t.fence, version: version, from: t.from, confirmed: true}
-		h.moved = true
-		h.owners[t.engine] = ownerRow{version: version, seen: sent, ownership: ownership{
-			Machine: h.Self.Peer, Incarnation: h.Self.Incarnation, Fence: t.fence,
+		h.holdings[t.engine] = holding{fence: t.fence, version: version, ordersFrom: t.ordersFrom, confirmed: true}
+		h.ownersChanged = true
+		h.owners[t.engine] = ownerRow{version: version, observedAt: sent, ownership: ownership{
+			Peer: h.Self.Peer, Incarnation: h.Self.Incarnation, Fence: t.fence,
 		}}
 		h.Log.Log(snipelog.OwnershipTaken, snipelog.Fields{
-			"Engine": t.engine, "Fence": t.fence, "From": t.former, "OrdersIn": (t.from - sent).Milliseconds(),
+			"Engine": t.engine, "Fence": t.fence, "From": t.previous, "OrdersIn": (t.ordersFrom - sent).Milliseconds(),
 		})
 	}
 }
--- a/snipeowner/rows.go
+++ b/snipeowner/rows.go
@@ -13,23 +13,23 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// read takes the rows that have changed and drops what this instance no longer owns.
+// read reads the rows that have changed and removes engines that this instance no longer owns
+// from its holdings.
 func (h *Holder) read(ctx context.Context) error {
-	rows, mark, err := h.Table.List(ctx, Partition, h.mark)
+	rows, position, err := h.Table.List(ctx, Partition, h.position)
 	if err != nil {
 		return errors.Wrap(err, "read ownership")
 	}
-	h.mark = mark
-	// Counted from after the read: a version may have been written while the read
-	// was under way.
+	h.position = position
+	// The clock is read after the rows: a version may have been written during the read.
 	now := h.Clock()
-	h.outage.see(now, h.rowsAge())
-	h.take(rows, now)
-	h.settle()
+	h.outage.recordRead(now, h.rowsAge())
+	h.recordRows(rows, now)
+	h.reconcileHoldings()
 	return nil
 }
 
-// rowsAge returns how old the rows are that were just read; zero when that is not known.
+// rowsAge returns the age of the rows that were just read; zero when it is unknown.
 func (h *Holder) rowsAge() time.Duration {
 	if h.RowsAge == nil {
 		return 0
@@ -37,16 +37,17 @@
 	return h.RowsAge()
 }
 
-// take notes the rows. A row that cannot be decoded hides no other. Rows are never
-// removed: one that is missing was written here a moment ago, and the copy that is
-// read does not show it yet.
-func (h *Holder) take(rows []snipeplatform.Row, now time.Duration) {
+// recordRows records the rows that were read. A row that cannot be decoded does not prevent the
+// others from being recorded. A known row that was not returned stays recorded: rows are never
+// deleted, so the row is unchanged, or this instance has just written it and the copy that was
+// read does not contain it yet.
+func (h *Holder) recordRows(rows []snipeplatform.Row, now time.Duration) {
 	for _, r := range rows {
 		var err error
 		if engine, ok := strings.CutPrefix(r.Sort, ownerPrefix); ok {
-			err = h.takeOwner(engine, r, now)
+			err = h.recordOwner(engine, r, now)
 		} else {
-			err = h.takeInstance(r, now)
+			err = h.recordInstance(r, now)
 		}
 		if err != nil {
 			h.Log.Error(snipelog.OwnershipRowWrong, err, snipelog.Fields{"Row": r.Sort})
@@ -54,20 +55,20 @@
 	}
 }
 
-func (h *Holder) takeInstance(r snipeplatform.Row, now time.Duration) error {
-	s := sighting{version: r.Version, since: now}
-	if err := json.Unmarshal(r.Data, &s.Instance); err != nil {
+func (h *Holder) recordInstance(r snipeplatform.Row, now time.Duration) error {
+	row := instanceRow{version: r.Version, observedAt: now}
+	if err := json.Unmarshal(r.Data, &row.Instance); err != nil {
 		return err
 	}
-	if old, ok := h.instance[s.Peer]; ok && old.version >= s.version {
+	if old, ok := h.instances[row.Peer]; ok && old.version >= row.version {
 		return nil
 	}
-	s.hash = addressHash(s.Peer)
-	h.instance[s.Peer] = s
+	row.hash = addressHash(row.Peer)
+	h.instances[row.Peer] = row
 	return nil
 }
 
-func (h *Holder) takeOwner(name string, r snipeplatform.Row, now time.Duration) error {
+func (h *Holder) recordOwner(name string, r snipeplatform.Row, now time.Duration) error {
 	engine, err := netip.ParseAddrPort(name)
 	if err != nil {
 		return err
@@ -75,44 +76,45 @@
 	if old, ok := h.owners[engine]; ok && old.version >= r.Version {
 		return nil
 	}
-	o := ownerRow{version: r.Version, seen: now}
-	if err := json.Unmarshal(r.Data, &o.ownership); err != nil {
+	row := ownerRow{version: r.Version, observedAt: now}
+	if err := json.Unmarshal(r.Data, &row.ownership); err != nil {
 		return err
 	}
-	h.owners[engine] = o
-	h.moved = true
+	h.owners[engine] = row
+	h.ownersChanged = true
 	return nil
 }
 
-func (h *Holder) mine(o ownership) bool {
-	return o.Machine == h.Self.Peer && o.Incarnation == h.Self.Incarnation
+// ownedBySelf reports whether an owner row names this start of this instance.
+func (h *Holder) ownedBySelf(o ownership) bool {
+	return o.Peer == h.Self.Peer && o.Incarnation == h.Self.Incarnation
 }
 
-// settle makes the holdings what the owner rows say.
-func (h *Holder) settle() {
+// reconcileHoldings makes the holdings match the owner rows.
+func (h *Holder) reconcileHoldings() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	for engine, o := range h.holdings {
 		row := h.owners[engine]
-		if h.mine(row.ownership) && row.Fence == o.fence {
+		if h.ownedBySelf(row.ownership) && row.Fence == o.fence {
 			continue
 		}
 		delete(h.holdings, engine)
-		h.ended[engine] = h.Clock()
+		h.lastOwned[engine] = h.Clock()
 		h.Log.Log(snipelog.OwnershipLost, snipelog.Fields{"Engine": engine, "Fence": o.fence})
 	}
 	for engine, row := range h.owners {
 		o, held := h.holdings[engine]
 		switch {
-		case !h.mine(row.ownership):
+		case !h.ownedBySelf(row.ownership):
 		case held:
 			o.version = row.version
 			h.holdings[engine] = o
 		default:
-			// A write whose outcome was not known took effect after all. How long
-			// ago the former owner could order is not known: wait the whole time.
-			from := h.afterOwn(engine, h.Clock()+orderTime+margin)
-			h.holdings[engine] = holding{fence: row.Fence, version: row.version, from: from}
+			// A write whose outcome was unknown has taken effect. It is unknown how long ago the
+			// previous owner could order, so this instance waits for the full time.
+			ordersFrom := h.orderGapEnd(engine, h.Clock()+orderTime+margin)
+			h.holdings[engine] = holding{fence: row.Fence, version: row.version, ordersFrom: ordersFrom}
 		}
 	}
 }
--- a/snipeowner/simulation_test.go
+++ b/snipeowner/simulation_test.go
@@ -21,7 +21,7 @@
 
 const orderGap = 3 * time.Second
 
-// table is a store whose rows all count by one version.
+// table is a store in memory that numbers the versions of all rows by one counter.
 type table struct {
 	lock    sync.Mutex
 	rows    map[snipeplatform.Key]snipeplatform.Row
@@ -40,7 +40,7 @@
 	return rows
 }
 
-// listSince returns the rows that have changed after a version, and the newest one.
+// listSince returns the rows that have changed after a version, and the newest version.
 func (t *table) listSince(partition string, version uint64) ([]snipeplatform.Row, uint64) {
 	rows := slices.DeleteFunc(t.list(partition), func(r snipeplatform.Row) bool { return r.Version <= version })
 	t.lock.Lock()
@@ -48,7 +48,8 @@
 	return rows, t.version
 }
 
-// maxEntries is how many conditions and writes the table takes at once.
+// maxEntries is the maximum number of conditions and writes that the table accepts in one
+// transaction.
 const maxEntries = 100
 
 func (t *table) write(operation string, changes []snipeplatform.Change) (uint64, error) {
@@ -84,84 +85,86 @@
 	return t.version
 }
 
-// link is one instance's way to the table.
+// link is the connection of one instance to the table.
 type link struct {
 	table *table
 	lock  sync.Mutex
-	// behind tells that reads show the rows as of the read before.
-	behind bool
-	shown  []snipeplatform.Row
-	// cut calls get no answer; lost ones are made late and get none.
-	cut  bool
-	lost float64
-	// mute writes are made at once and get no answer.
-	mute bool
-	rand *rand.Rand
-	// quick tells that cut calls are refused at once.
-	quick bool
+	// stale makes each read return the rows of the read before it, which are in previousRows.
+	stale        bool
+	previousRows []snipeplatform.Row
+	// cut makes all calls fail without effect. lossRate is the fraction of writes that take
+	// effect late and get no reply.
+	cut      bool
+	lossRate float64
+	// repliesLost makes writes take effect at once and get no reply.
+	repliesLost bool
+	rand        *rand.Rand
+	// failFast makes cut calls fail at once.
+	failFast bool
 	// readAt is when the rows were last read.
 	readAt time.Time
-	// opens is until when writes are refused.
-	opens time.Time
+	// refusedUntil is until when writes are refused.
+	refusedUntil time.Time
 }
 
-// refuseWrites makes writes be refused for a while.
+// refuseWrites makes writes fail for a duration.
 func (l *link) refuseWrites(d time.Duration) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.opens = time.Now().Add(d)
+	l.refusedUntil = time.Now().Add(d)
 }
 
 func (l *link) refusesWrites() bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	return time.Now().Before(l.opens)
+	return time.Now().Before(l.refusedUntil)
 }
 
-// age returns how old the rows are that were read last.
+// age returns the age of the rows that were last read.
 func (l *link) age() time.Duration {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return time.Since(l.readAt)
 }
 
-func (l *link) state() (cut, lost bool, late time.Duration) {
+// drawFaults returns whether the link is cut, whether the next write is lost, and how late a lost
+// write takes effect.
+func (l *link) drawFaults() (cut, lost bool, late time.Duration) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	return l.cut, l.rand.Float64() < l.lost, time.Duration(l.rand.IntN(6000)) * time.Millisecond
+	return l.cut, l.rand.Float64() < l.lossRate, time.Duration(l.rand.IntN(6000)) * time.Millisecond
 }
 
 const callTimeout = 1200 * time.Millisecond
 
 func (l *link) list(_ context.Context, partition string, _ uint64) ([]snipeplatform.Row, uint64, error) {
-	if cut, _, _ := l.state(); cut {
-		time.Sleep(l.refusal())
+	if cut, _, _ := l.drawFaults(); cut {
+		time.Sleep(l.failureDelay())
 		return nil, 0, snipeplatform.ErrUnknown
 	}
-	// A slow read shows the rows as of some moment while it was under way.
+	// A slow read returns the rows as of some moment during the read.
 	time.Sleep(l.delay())
 	rows := l.table.list(partition)
 	time.Sleep(l.delay())
-	return l.show(rows), 0, nil
+	return l.visibleRows(rows), 0, nil
 }
 
-// show returns the rows that a read gets: those of the read before for a link that
-// is behind.
-func (l *link) show(rows []snipeplatform.Row) []snipeplatform.Row {
+// visibleRows returns the rows that a read returns: those of the read before on a stale link.
+func (l *link) visibleRows(rows []snipeplatform.Row) []snipeplatform.Row {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.readAt = time.Now()
-	if l.behind {
-		rows, l.shown = l.shown, rows
+	if l.stale {
+		rows, l.previousRows = l.previousRows, rows
 	}
 	return rows
 }
 
-// fallBehind makes reads show the rows as of the read before.
-func (l *link) fallBehind() {
+// makeStale makes each read return the rows of the read before it.
+func (l *link) makeStale() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.behind = true
+	l.stale = true
 }
 
 func (l *link) write(_ context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
@@ -169,51 +172,51 @@
 		time.Sleep(2 * time.Millisecond)
 		return 0, snipeplatform.ErrUnavailable
 	}
-	cut, lost, late := l.state()
+	cut, lost, late := l.drawFaults()
 	if cut || lost {
 		if lost && !cut {
 			time.AfterFunc(late, func() { _, _ = l.table.write(operation, changes) })
 		}
-		time.Sleep(l.refusal())
+		time.Sleep(l.failureDelay())
 		return 0, snipeplatform.ErrUnknown
 	}
 	time.Sleep(9 * time.Millisecond)
 	version, err := l.table.write(operation, changes)
-	if l.muted() {
+	if l.losesReplies() {
 		time.Sleep(callTimeout)
 		return 0, snipeplatform.ErrUnknown
 	}
 	return version, err
 }
 
-func (l *link) muted() bool {
+func (l *link) losesReplies() bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	return l.mute
+	return l.repliesLost
 }
 
-// refusal is how long a cut call takes to fail.
-func (l *link) refusal() time.Duration {
+// failureDelay returns how long a cut call takes to fail.
+func (l *link) failureDelay() time.Duration {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	if l.quick {
+	if l.failFast {
 		return 2 * time.Millisecond
 	}
 	return callTimeout
 }
 
-// refuse makes cut calls fail at once, or after a while.
-func (l *link) refuse(quick bool) {
+// setFailFast makes cut calls fail at once, or after callTimeout.
+func (l *link) setFailFast(failFast bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.quick = quick
+	l.failFast = failFast
 }
 
-// silence makes writes get no answer.
-func (l *link) silence() {
+// loseReplies makes writes take effect without a reply.
+func (l *link) loseReplies() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.mute = true
+	l.repliesLost = true
 }
 
 func (l *link) delay() time.Duration {
@@ -222,45 +225,45 @@
 	return time.Duration(2+l.rand.IntN(300)*l.rand.IntN(2)) * time.Millisecond
 }
 
-func (l *link) set(cut bool, lost float64) {
+func (l *link) setFaults(cut bool, lossRate float64) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	l.cut, l.lost = cut, lost
-}
-
-// play is a deployment whose orders are watched.
-type play struct {
-	t       *testing.T
-	table   *table
-	engines []netip.AddrPort
-	links   []*link
-	holders []*snipeowner.Holder
-	stops   []context.CancelFunc
-	last    map[netip.AddrPort]order
-	// before is the last order of each instance to each engine.
-	before  map[turn]time.Time
-	running sync.WaitGroup
-	starts  int
-	// unread is for how long after its start an instance knows no engines.
-	unread atomic.Int64
-	// relays tells that instances make writes for those that get no answer.
-	relays atomic.Bool
-	// power returns an instance's power.
+	l.cut, l.lossRate = cut, lossRate
+}
+
+// simulation is a deployment whose rights to order are checked while it runs.
+type simulation struct {
+	t         *testing.T
+	table     *table
+	engines   []netip.AddrPort
+	links     []*link
+	holders   []*snipeowner.Holder
+	stops     []context.CancelFunc
+	lastOrder map[netip.AddrPort]order
+	// lastOrderBy is the time of the last order of each instance to each engine.
+	lastOrderBy map[orderer]time.Time
+	running     sync.WaitGroup
+	restarts    int
+	// directoryDelay is how long the directory is empty after an instance starts, in nanoseconds.
+	directoryDelay atomic.Int64
+	// relayWrites makes instances relay writes for those whose writes get no reply.
+	relayWrites atomic.Bool
+	// power returns the power of an instance.
 	power func(n int) float64
 
 	lock sync.Mutex // guards the fields below
-	// current are the holders, for the questions of one to another.
-	current map[netip.AddrPort]*snipeowner.Holder
-	// away are the instances that answer no questions.
-	away map[netip.AddrPort]bool
-}
-
-// promise asks one instance in the name of another one.
-func (p *play) promise(ctx context.Context, peer netip.AddrPort, q snipeowner.Question) error {
-	p.lock.Lock()
-	h, away := p.current[peer], p.away[peer]
-	p.lock.Unlock()
-	if away {
+	// holderByPeer maps addresses to the running holders, for requests between instances.
+	holderByPeer map[netip.AddrPort]*snipeowner.Holder
+	// unreachable holds the instances that do not answer requests of other instances.
+	unreachable map[netip.AddrPort]bool
+}
+
+// requestExtension sends a request for a lease extension to an instance.
+func (s *simulation) requestExtension(ctx context.Context, peer netip.AddrPort, q snipeowner.Question) error {
+	s.lock.Lock()
+	h, unreachable := s.holderByPeer[peer], s.unreachable[peer]
+	s.lock.Unlock()
+	if unreachable {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -273,66 +276,66 @@
 	return nil
 }
 
-// writer returns how an instance writes: by its own way to the table, and where that does not
-// answer by another instance's that it reaches.
-func (p *play) writer(n int, l *link) func(context.Context, string, []snipeplatform.Change) (uint64, error) {
+// writer returns the write function of an instance. It writes over the instance's own link, and
+// if that does not answer over the link of another instance that can be reached.
+func (s *simulation) writer(n int, l *link) func(context.Context, string, []snipeplatform.Change) (uint64, error) {
 	return func(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 		version, err := l.write(ctx, operation, changes)
-		if err == nil || errors.Is(err, snipeplatform.ErrConflict) || !p.relays.Load() || p.isAway(n) {
+		if err == nil || errors.Is(err, snipeplatform.ErrConflict) || !s.relayWrites.Load() || s.isUnreachable(n) {
 			return version, err
 		}
-		p.lock.Lock()
-		other := (n + 1) % len(p.links)
-		p.lock.Unlock()
-		if p.isAway(other) {
+		s.lock.Lock()
+		other := (n + 1) % len(s.links)
+		s.lock.Unlock()
+		if s.isUnreachable(other) {
 			return version, err
 		}
 		time.Sleep(3 * time.Millisecond)
-		p.lock.Lock()
-		way := p.links[other]
-		p.lock.Unlock()
-		return way.write(ctx, operation, changes)
+		s.lock.Lock()
+		relay := s.links[other]
+		s.lock.Unlock()
+		return relay.write(ctx, operation, changes)
 	}
 }
 
-// silence makes an instance answer no questions.
-func (p *play) silence(n int, away bool) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	p.away[peerAddress(n)] = away
+// setUnreachable sets whether an instance answers requests of other instances.
+func (s *simulation) setUnreachable(n int, unreachable bool) {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.unreachable[peerAddress(n)] = unreachable
 }
 
-func (p *play) isAway(n int) bool {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return p.away[peerAddress(n)]
+func (s *simulation) isUnreachable(n int) bool {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.unreachable[peerAddress(n)]
 }
 
-// partition cuts an instance off from all others and from the table, until it is joined.
-func (p *play) partition(n int) {
-	p.silence(n, true)
-	p.links[n].set(true, 0)
+// partition cuts an instance off from all others and from the table until it is reconnected.
+func (s *simulation) partition(n int) {
+	s.setUnreachable(n, true)
+	s.links[n].setFaults(true, 0)
 }
 
-// join gives an instance its ways back, if it has lost them: first that to the others.
-func (p *play) join(n int) {
-	p.silence(n, false)
-	p.links[n].set(false, 0)
+// reconnect restores the connections of an instance, first those to the other instances.
+func (s *simulation) reconnect(n int) {
+	s.setUnreachable(n, false)
+	s.links[n].setFaults(false, 0)
 }
 
 func peerAddress(n int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.1.0.%d:70", n+1))
 }
 
-// cutAll sets the ways of all instances to the table.
-func (p *play) cutAll(cut bool) {
-	for _, l := range p.links {
-		l.set(cut, 0)
+// cutAll cuts or restores the links of all instances to the table.
+func (s *simulation) cutAll(cut bool) {
+	for _, l := range s.links {
+		l.setFaults(cut, 0)
 	}
 }
 
-// turn names an instance's orders to an engine.
-type turn struct {
+// orderer identifies an engine and an instance that orders it.
+type orderer struct {
 	engine netip.AddrPort
 	holder int
 }
@@ -343,60 +346,60 @@
 	fence  uint64
 }
 
-func newPlay(t *testing.T, seed uint64, instances, engines int) *play {
-	return newPowerPlay(t, seed, instances, engines, func(int) float64 { return 0 })
+func newSimulation(t *testing.T, seed uint64, instances, engines int) *simulation {
+	return newSimulationWithPower(t, seed, instances, engines, func(int) float64 { return 0 })
 }
 
-func newPowerPlay(t *testing.T, seed uint64, instances, engines int, power func(n int) float64) *play {
-	p := &play{
-		power: power, t: t, table: &table{rows: map[snipeplatform.Key]snipeplatform.Row{}}, last: map[netip.AddrPort]order{}, before: map[turn]time.Time{},
-		current: map[netip.AddrPort]*snipeowner.Holder{}, away: map[netip.AddrPort]bool{},
+func newSimulationWithPower(t *testing.T, seed uint64, instances, engines int, power func(n int) float64) *simulation {
+	s := &simulation{
+		power: power, t: t, table: &table{rows: map[snipeplatform.Key]snipeplatform.Row{}}, lastOrder: map[netip.AddrPort]order{}, lastOrderBy: map[orderer]time.Time{},
+		holderByPeer: map[netip.AddrPort]*snipeowner.Holder{}, unreachable: map[netip.AddrPort]bool{},
 	}
 	for n := range engines {
-		p.engines = append(p.engines, netip.MustParseAddrPort(fmt.Sprintf("10.9.0.%d:80", n+1)))
+		s.engines = append(s.engines, netip.MustParseAddrPort(fmt.Sprintf("10.9.0.%d:80", n+1)))
 	}
 	for n := range instances {
-		l := &link{table: p.table, rand: rand.New(rand.NewPCG(seed, uint64(n)))}
-		p.lock.Lock()
-		p.links = append(p.links, l)
-		p.lock.Unlock()
-		p.holders = append(p.holders, nil)
-		p.stops = append(p.stops, nil)
-		p.start(n)
+		l := &link{table: s.table, rand: rand.New(rand.NewPCG(seed, uint64(n)))}
+		s.lock.Lock()
+		s.links = append(s.links, l)
+		s.lock.Unlock()
+		s.holders = append(s.holders, nil)
+		s.stops = append(s.stops, nil)
+		s.start(n)
 	}
-	return p
-}
-
-// start starts an instance, anew if it ran before.
-func (p *play) start(n int) {
-	if p.stops[n] != nil {
-		// What the former process has under way gets no answer.
-		old := p.links[n]
-		p.starts++
-		p.lock.Lock()
-		p.links[n] = &link{table: old.table, rand: rand.New(rand.NewPCG(uint64(p.starts), uint64(n)))}
-		p.lock.Unlock()
-		old.set(true, 0)
-		p.stops[n]()
-		// A start does not heal a partition.
-		p.links[n].set(p.isAway(n), 0)
+	return s
+}
+
+// start starts or restarts an instance.
+func (s *simulation) start(n int) {
+	if s.stops[n] != nil {
+		// Calls of the previous process that are in progress get no reply.
+		old := s.links[n]
+		s.restarts++
+		s.lock.Lock()
+		s.links[n] = &link{table: old.table, rand: rand.New(rand.NewPCG(uint64(s.restarts), uint64(n)))}
+		s.lock.Unlock()
+		old.setFaults(true, 0)
+		s.stops[n]()
+		// A restart does not heal a partition.
+		s.links[n].setFaults(s.isUnreachable(n), 0)
 	}
-	link := p.links[n]
+	link := s.links[n]
 	began := time.Now()
 	operations := 0
 	h := &snipeowner.Holder{
-		Table: snipeowner.Table{List: link.list, Write: p.writer(n, link)},
+		Table: snipeowner.Table{List: link.list, Write: s.writer(n, link)},
 		Self: snipeowner.Instance{
-			Power: p.power(n),
+			Power: s.power(n),
 			Name:  fmt.Sprint("i", n), Incarnation: fmt.Sprint(n, began.UnixNano()),
 			Peer: peerAddress(n),
 		},
-		Promise: p.promise, RowsAge: link.age,
+		Promise: s.requestExtension, RowsAge: link.age,
 		Engines: func() []netip.AddrPort {
-			if time.Since(began) < time.Duration(p.unread.Load()) {
+			if time.Since(began) < time.Duration(s.directoryDelay.Load()) {
 				return nil
 			}
-			return p.engines
+			return s.engines
 		}, OrderGap: orderGap,
 		Clock: func() time.Duration { return time.Since(began) + time.Hour },
 		Operation: func() string {
@@ -405,60 +408,63 @@
 		},
 		Log: snipelog.Discard(),
 	}
-	ctx, cancel := context.WithCancel(p.t.Context())
-	p.holders[n], p.stops[n] = h, cancel
-	p.lock.Lock()
-	p.current[h.Self.Peer] = h
-	p.lock.Unlock()
-	p.running.Go(func() { _ = h.Run(ctx) })
-	p.running.Go(func() { _ = h.RunProlong(ctx) })
-}
-
-// end ends all instances and what they have under way.
-func (p *play) end() {
-	for _, stop := range p.stops {
+	ctx, cancel := context.WithCancel(s.t.Context())
+	s.holders[n], s.stops[n] = h, cancel
+	s.lock.Lock()
+	s.holderByPeer[h.Self.Peer] = h
+	s.lock.Unlock()
+	s.running.Go(func() { _ = h.Run(ctx) })
+	s.running.Go(func() { _ = h.RunProlong(ctx) })
+}
+
+// shutDown stops all instances and waits for late writes.
+func (s *simulation) shutDown() {
+	for _, stop := range s.stops {
 		stop()
 	}
-	p.running.Wait()
+	s.running.Wait()
 	time.Sleep(10 * time.Second)
 }
 
-// watch looks who may order each engine, every 20 ms for a while.
-func (p *play) watch(d time.Duration) {
+// runAndCheck lets the simulation run for a duration and checks every 20 ms which instances may
+// order each engine.
+func (s *simulation) runAndCheck(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		for _, e := range p.engines {
-			p.look(e)
+		for _, e := range s.engines {
+			s.checkOwners(e)
 		}
 	}
 }
 
-func (p *play) look(e netip.AddrPort) {
+// checkOwners checks that at most one instance may order an engine, that the fencing number grows
+// with a change of the owner, and that a previous owner waits for orderGap.
+func (s *simulation) checkOwners(e netip.AddrPort) {
 	now := time.Now()
 	owners := 0
-	for n, h := range p.holders {
+	for n, h := range s.holders {
 		fence, ok := h.Fence(e)
 		if !ok {
 			continue
 		}
 		owners++
-		last, known := p.last[e]
+		last, known := s.lastOrder[e]
 		if known && last.holder != n {
-			must.Greater(p.t, last.fence, fence, must.Sprintf("fence of %s", e))
-			must.Positive(p.t, now.Sub(last.at), must.Sprintf("%s: %d after %d", e, n, last.holder))
-			if before, had := p.before[turn{e, n}]; had {
-				must.GreaterEq(p.t, orderGap, now.Sub(before), must.Sprintf("%s: %d again after %d", e, n, last.holder))
+			must.Greater(s.t, last.fence, fence, must.Sprintf("fence of %s", e))
+			must.Positive(s.t, now.Sub(last.at), must.Sprintf("%s: %d after %d", e, n, last.holder))
+			if previous, had := s.lastOrderBy[orderer{e, n}]; had {
+				must.GreaterEq(s.t, orderGap, now.Sub(previous), must.Sprintf("%s: %d again after %d", e, n, last.holder))
 			}
 		}
-		p.last[e], p.before[turn{e, n}] = order{now, n, fence}, now
+		s.lastOrder[e], s.lastOrderBy[orderer{e, n}] = order{now, n, fence}, now
 	}
-	must.LessEq(p.t, 1, owners)
+	must.LessEq(s.t, 1, owners)
 }
 
-// owned returns how many engines may be ordered now.
-func (p *play) owned() int {
+// orderable returns how many engines some instance may order now.
+func (s *simulation) orderable() int {
 	n := 0
-	for _, e := range p.engines {
-		for _, h := range p.holders {
+	for _, e := range s.engines {
+		for _, h := range s.holders {
 			if _, ok := h.Fence(e); ok {
 				n++
 			}
--- a/snipeowner/snipeowner.go
+++ b/snipeowner/snipeowner.go
@@ -1,14 +1,14 @@
 // Package snipeowner decides which instance may give orders to an engine.
 //
-// Design. Calls go straight from every instance to the engines; only orders
-// (loads, evictions) need one author at a time. Each instance renews one row in
-// the table; each engine's address has an owner row, which names the instance
-// that may order it and a fencing number. Instances read all rows once a step.
-// An engine without a live owner is taken by the live instance that ranks first
-// for it by rendezvous hash, so that the loss of one instance leaves most engines
-// with their owners.
+// Design. Every instance sends calls directly to the engines; only orders (loads and
+// evictions) require a single author at a time. Each instance renews one row in the table.
+// The address of each engine has an owner row, which names the instance that may order the
+// engine and a fencing number. Instances read all rows once per step. An engine without a
+// live owner is taken over by the live instance that ranks first for it by rendezvous hash,
+// so that the loss of one instance leaves most engines with their owners.
 //
-// The engines do not check fencing numbers. So time must separate two owners:
+// The engines do not check fencing numbers. Two successive owners are therefore separated by
+// time:
 //
 //	renewal sent ....... orderTime ....... | margin ... | first order
 //	          (old owner's orders end here)              (of the new owner)
@@ -18,17 +18,18 @@
 //   - An instance orders only within orderTime of sending its last successful
 //     renewal, by a clock that also runs while the machine is suspended.
 //   - A renewal succeeds only while all rows that make this instance an owner are
-//     as it knows them.
-//   - A takeover succeeds only while the former owner's row is as it was when the
-//     new owner first read it, at least the lease's duration ago. An owner that
-//     gives an engine up has ended its orders before.
-//   - While the store answers nobody an owner goes on if all that could take its engines
-//     over promise not to: a promise begins their observation of its row anew, so that
-//     they may take an engine no sooner than that right ends.
-//   - Two instances do not take turns: one that comes to own an engine again, which
-//     another owned in between, waits for OrderGap.
-//   - A fencing number grows whenever the owner changes, also to a new start of
-//     the same instance.
+//     in the version that this instance last read or wrote.
+//   - A takeover succeeds only while the previous owner's row is in the version that the
+//     new owner first read at least the lease's duration ago. An owner that releases an
+//     engine has ended its orders before.
+//   - While the store answers no instance, an owner continues if all instances that could
+//     take over its engines grant a lease extension. A grantor restarts its observation of
+//     the owner's row, so that it can take over an engine no sooner than the extended
+//     right ends.
+//   - Two instances do not alternate as owners: an instance that becomes the owner of an
+//     engine again, after another instance owned it, waits for OrderGap.
+//   - A fencing number grows whenever the owner changes, also when the same instance has
+//     restarted.
 package snipeowner
 
 import (
@@ -45,85 +46,87 @@
 	"snipepitch.example/snipepitch/snipetime"
 )
 
-// Partition holds the rows of both kinds, so that one read shows them all as of one
-// moment.
+// Partition is the table partition that holds the instance rows and the owner rows. Both kinds
+// are in one partition, so that one read returns them all as of one moment.
 const Partition = "ownership"
 
-// Kinds of rows.
+// Key prefixes of the two kinds of rows.
 const (
 	instancePrefix = "instance/"
 	ownerPrefix    = "engine/"
 )
 
 const (
-	// stepEvery is the time between two renewals. One may fail before orders stop.
-	stepEvery = time.Second
-	// staleRows is how old the rows that are read may be, beside their own age.
-	staleRows = 2 * time.Second
-	// lapsedMemory is how long an instance that does not renew is counted among those that
-	// may come back; its row stays for good.
-	lapsedMemory = 5 * time.Minute
-	// firstEvery is the time between two looks for the rows until they were first read:
-	// an instance that starts again takes its engines back at once.
-	firstEvery = 20 * time.Millisecond
-	// unknownEngines is for how long after a start engines that are not known yet are looked for so
-	// often, and refused writes are tried again soon. A deployment may have no engines.
-	unknownEngines = 5 * time.Second
-	// firstRetry is the time between two tries of an instance that has started again to take its
-	// engines back: nobody orders them meanwhile.
-	firstRetry = 200 * time.Millisecond
-	// orderTime is how long after a renewal was sent this instance may order.
+	// stepInterval is the time between two renewals. One renewal may fail before orders stop.
+	stepInterval = time.Second
+	// maxRowAge is how old the copy from which the rows are read may be, in addition to the age
+	// of a row in that copy.
+	maxRowAge = 2 * time.Second
+	// lapsedRetention is how long an instance that no longer renews is listed as lapsed, since it
+	// may return. Its row is never deleted.
+	lapsedRetention = 5 * time.Minute
+	// startPollInterval is the time between two attempts to read the rows until the first one
+	// succeeds, so that an instance that restarts takes its engines back at once.
+	startPollInterval = 20 * time.Millisecond
+	// startWindow is the time after the start during which unknown engines are polled for at
+	// startPollInterval and failed writes are retried at startRetryInterval. The polling is
+	// limited because a deployment may have no engines.
+	startWindow = 5 * time.Second
+	// startRetryInterval is the time between two attempts of a restarted instance to take its
+	// engines back. No instance orders these engines meanwhile.
+	startRetryInterval = 200 * time.Millisecond
+	// orderTime is how long this instance may order after it sent a renewal.
 	orderTime = 2400 * time.Millisecond
-	// margin covers the difference between two machines' clock rates and the time
-	// between the check of an order's right and its arrival.
+	// margin covers the difference between the clock rates of two machines and the time
+	// between the check of the right to order and the arrival of the order.
 	margin = 300 * time.Millisecond
-	// firstSpread is the time over which instances that all start for the first time write
-	// their rows.
-	firstSpread = time.Second
-	// settleTime is how long an instance that starts looks for others before it
-	// takes engines that were not its own: all start within a third of a second of
-	// each other.
+	// startSpread is the time over which instances that all start for the first time spread the
+	// first writes of their rows.
+	startSpread = time.Second
+	// settleTime is how long an instance that starts waits for the rows of others before it
+	// takes engines that it did not own: the instances of a deployment start within a third of
+	// a second of each other.
 	settleTime = 2 * time.Second
 )
 
-// Instance describes an instance to the others.
+// Instance is the document of an instance row, which describes an instance to the others.
 type Instance struct {
 	Name string
-	// Incarnation names this start of its process.
+	// Incarnation identifies this start of the instance's process.
 	Incarnation string
-	// Peer is where other instances reach it.
+	// Peer is the address at which other instances reach it.
 	Peer   netip.AddrPort
 	Domain string
-	// Power is the share of a core that its machine gives it. Duties for others go to
-	// those that have most.
+	// Power is the share of a core that the machine gives to the instance. Duties for other
+	// instances go to those with the most power.
 	Power float64 `json:",omitempty"`
-	// Leaving instances own nothing.
+	// Leaving reports that the instance is stopping. It owns no engines.
 	Leaving bool `json:",omitempty"`
-	// Standby instances own nothing either, and renew their rows rarely: there are
-	// enough others.
+	// Standby reports that there are enough other owners. The instance owns no engines and
+	// rarely renews its row.
 	Standby bool `json:",omitempty"`
 }
 
 // ownership is the document of an owner row.
 type ownership struct {
-	// Machine is the owner's address, which stays the same when it starts again;
-	// empty when the engine was given up.
-	Machine     netip.AddrPort `json:",omitzero"`
+	// Peer is the owner's address, which stays the same when the owner restarts; empty when
+	// the engine was released.
+	Peer        netip.AddrPort `json:"Machine,omitzero"`
 	Incarnation string
 	Fence       uint64
 }
 
-// Table is the part of the platform's table that ownership rests on.
+// Table is the part of the platform's table that ownership depends on.
 type Table struct {
-	// List reads the rows of a partition that have come or changed since a mark, all of
-	// them for 0, and returns the mark to go on from.
+	// List returns the rows of a partition that were added or changed after a position, or all
+	// rows for 0, and the position from which to continue.
 	List func(ctx context.Context, partition string, since uint64) ([]snipeplatform.Row, uint64, error)
 	// Write makes all changes or none and returns the version that the changed
 	// rows have then. Its errors are those of package snipeplatform.
 	Write func(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error)
 }
 
-// Holder keeps this instance's row and ownerships. Exported fields are set before
+// Holder maintains the row and the ownerships of this instance. Exported fields are set before
 // Run.
 type Holder struct {
 	// Table is the platform's table.
@@ -132,79 +135,83 @@
 	Self Instance
 	// Engines returns the addresses of the engines in the directory.
 	Engines func() []netip.AddrPort
-	// OrderGap is the least time between the orders of an instance and its next ones to
-	// the same engine if another instance owned it in between: owners do not take
-	// turns.
+	// OrderGap is the minimum time between the orders of an instance to an engine and its
+	// next ones if another instance owned the engine in between. It prevents two owners from
+	// alternating.
 	OrderGap time.Duration
-	// Clock is a steady clock that also counts the time for which the machine is
+	// Clock is a monotonic clock that also counts the time for which the machine is
 	// suspended.
 	Clock func() time.Duration
 	// Operation returns a new identifier for a write.
 	Operation func() string
-	// Promise asks other instances while the store does not answer; nil for never.
+	// Promise requests a lease extension from another instance while the store does not
+	// answer; nil disables extensions.
 	Promise Promise
-	// RowsAge returns how old the rows that List returns are; nil when that is not known.
+	// RowsAge returns the age of the rows that List returns; nil when it is unknown.
 	RowsAge func() time.Duration
-	// Reached is told of each step whether the table answered; nil for nobody.
+	// Reached, if not nil, is called after each renewal and reports whether the table answered.
 	Reached func(ok bool)
 	Log     *snipelog.Logger
 
-	prepared sync.Once // makes nudged
-	nudged   chan struct{}
-	view     atomic.Pointer[View]
-	leaving  atomic.Bool
-	outage   outage
+	readRequestOnce sync.Once // creates readRequested
+	readRequested   chan struct{}
+	view            atomic.Pointer[View]
+	leaving         atomic.Bool
+	outage          outage
 
-	lock     sync.Mutex // guards the fields below
-	until    time.Duration
-	holdings map[netip.AddrPort]holding
+	lock sync.Mutex // guards the fields below
+	// orderDeadline is when the right of this instance to order ends.
+	orderDeadline time.Duration
+	holdings      map[netip.AddrPort]holding
 
-	// The fields below belong to Run's goroutine.
+	// The fields below are used only by the goroutine of Run.
 	started time.Duration
-	// mark is how far the rows were read.
-	mark uint64
-	// moved tells that an owner row has changed since the last view.
-	moved    bool
-	instance map[netip.AddrPort]sighting
-	owners   map[netip.AddrPort]ownerRow
-	lost     bool
-	// engines tells that any were known when the last step began.
-	engines bool
-	// stale tells that the rows could not be read in this step.
-	stale bool
-	// heard is when the last step began in which the table answered.
-	heard time.Duration
-	// ended is when this instance last owned engines that others own now.
-	ended map[netip.AddrPort]time.Duration
-	// renewedAt is when the last successful renewal was sent, triedAt the last of all.
-	renewedAt time.Duration
-	triedAt   time.Duration
+	// position is the table position up to which the rows were read.
+	position uint64
+	// ownersChanged reports that an owner row has changed since the last view.
+	ownersChanged bool
+	instances     map[netip.AddrPort]instanceRow
+	owners        map[netip.AddrPort]ownerRow
+	// renewalFailed reports that the last renewal failed.
+	renewalFailed bool
+	// enginesKnown reports that at least one engine was known when the last step began.
+	enginesKnown bool
+	// readFailed reports that the rows could not be read in this step.
+	readFailed bool
+	// answeredAt is when a step last read the rows after a renewal that had succeeded.
+	answeredAt time.Duration
+	// lastOwned is when this instance last owned engines that other instances own now.
+	lastOwned map[netip.AddrPort]time.Duration
+	// renewedAt is when the last successful renewal was sent, attemptedAt when the last one
+	// was sent.
+	renewedAt   time.Duration
+	attemptedAt time.Duration
 }
 
 // holding is an engine that this instance owns.
 type holding struct {
 	fence   uint64
 	version uint64
-	// from is when orders may begin.
-	from time.Duration
-	// confirmed tells that a renewal covered it.
+	// ordersFrom is when orders may begin.
+	ordersFrom time.Duration
+	// confirmed reports that a successful renewal included this engine.
 	confirmed bool
 }
 
-// sighting is an instance row and when its version was first read.
-type sighting struct {
+// instanceRow is an instance row and when its version was first read.
+type instanceRow struct {
 	Instance
-	// hash is the instance's part of its ranks.
-	hash    uint64
-	version uint64
-	since   time.Duration
+	// hash is the hash of the instance's address, from which its ranks are calculated.
+	hash       uint64
+	version    uint64
+	observedAt time.Duration
 }
 
+// ownerRow is an owner row and when its version was first read.
 type ownerRow struct {
 	ownership
-	version uint64
-	// seen is when this version was first read.
-	seen time.Duration
+	version    uint64
+	observedAt time.Duration
 }
 
 // Fence returns the fencing number for an order to an engine, and false when this
@@ -214,7 +221,7 @@
 	defer h.lock.Unlock()
 	o, ok := h.holdings[engine]
 	now := h.Clock()
-	if !ok || !o.confirmed || now >= h.until || now < o.from {
+	if !ok || !o.confirmed || now >= h.orderDeadline || now < o.ordersFrom {
 		return 0, false
 	}
 	return o.fence, true
@@ -227,57 +234,59 @@
 	return len(h.holdings) > 0
 }
 
-// Leave asks the holder to give all engines up.
+// Leave requests that the holder release all engines.
 func (h *Holder) Leave() { h.leaving.Store(true) }
 
-// Run keeps the row until ctx ends.
+// Run maintains the row and the ownerships until ctx ends.
 func (h *Holder) Run(ctx context.Context) error {
-	h.prepare()
+	h.initialize()
 	for errors.Is(h.read(ctx), snipeplatform.ErrUnread) {
-		if !snipetime.Sleep(ctx, firstEvery) {
+		if !snipetime.Sleep(ctx, startPollInterval) {
 			return nil
 		}
 	}
-	// What the rows tell is known at once: the first write may have to wait for others'.
+	// The rows are published before the first write, which may be delayed behind the writes of
+	// other instances.
 	h.publish()
-	if len(h.instance) == 0 {
-		// All may start now for the first time, and a part of the store makes a few hundred
-		// writes a second: those that come later find enough owners and write nothing yet.
-		first := time.NewTimer(h.portion(firstSpread))
-		defer first.Stop()
-		h.lookUntil(ctx, first.C)
+	if len(h.instances) == 0 {
+		// All instances may be starting now for the first time, and a partition of the store
+		// handles a few hundred writes per second. The instances that come later find enough
+		// owners and do not write yet.
+		start := time.NewTimer(h.jitter(startSpread))
+		defer start.Stop()
+		h.refreshUntil(ctx, start.C)
 	}
-	t := time.NewTicker(stepEvery)
+	t := time.NewTicker(stepInterval)
 	defer t.Stop()
 	for ctx.Err() == nil {
 		h.Step(ctx)
 		if h.awaitEngines(ctx, t.C) || h.awaitRetry(ctx) {
-			t.Reset(stepEvery)
+			t.Reset(stepInterval)
 			continue
 		}
-		h.lookUntil(ctx, t.C)
+		h.refreshUntil(ctx, t.C)
 	}
 	return nil
 }
 
-// awaitEngines waits, for a while after the start, until engines are known, and reports whether
-// the next step is due: an instance that starts again takes its engines back at once, whichever
-// of the rows and the directory it reads first.
-func (h *Holder) awaitEngines(ctx context.Context, end <-chan time.Time) bool {
-	if h.engines || h.Clock()-h.started > unknownEngines {
+// awaitEngines waits within startWindow until engines are known, and reports whether the next
+// step is due. An instance that restarts thus takes its engines back at once, whichever of the
+// rows and the directory it reads first.
+func (h *Holder) awaitEngines(ctx context.Context, nextStep <-chan time.Time) bool {
+	if h.enginesKnown || h.Clock()-h.started > startWindow {
 		return false
 	}
-	look := time.NewTicker(firstEvery)
-	defer look.Stop()
+	poll := time.NewTicker(startPollInterval)
+	defer poll.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return false
-		case <-end:
+		case <-nextStep:
 			return true
-		case <-h.nudges():
-			h.look(ctx)
-		case <-look.C:
+		case <-h.readRequests():
+			h.refresh(ctx)
+		case <-poll.C:
 			if len(h.Engines()) > 0 {
 				return true
 			}
@@ -285,101 +294,104 @@
 	}
 }
 
-// awaitRetry waits, for a while after the start, where the store has not made the write by which
-// this instance takes back what it owned, and reports whether the next step is due.
+// awaitRetry waits for startRetryInterval if, within startWindow, the write by which this
+// instance takes back its engines has failed. It reports whether the next step is due.
 func (h *Holder) awaitRetry(ctx context.Context) bool {
-	if !h.lost || h.Owns() || h.leaving.Load() || h.Clock()-h.started > unknownEngines || !h.formerOwner() {
+	if !h.renewalFailed || h.Owns() || h.leaving.Load() || h.Clock()-h.started > startWindow || !h.ownedPreviously() {
 		return false
 	}
-	retry := time.NewTimer(firstRetry)
+	retry := time.NewTimer(startRetryInterval)
 	defer retry.Stop()
-	h.lookUntil(ctx, retry.C)
+	h.refreshUntil(ctx, retry.C)
 	return true
 }
 
-// lookUntil looks at the rows whenever it is nudged, until a time comes or ctx ends.
-func (h *Holder) lookUntil(ctx context.Context, end <-chan time.Time) {
+// refreshUntil reads the rows at each request until the channel receives a time or ctx ends.
+func (h *Holder) refreshUntil(ctx context.Context, end <-chan time.Time) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-end:
 			return
-		case <-h.nudges():
-			h.look(ctx)
+		case <-h.readRequests():
+			h.refresh(ctx)
 		}
 	}
 }
 
-// Nudge has the rows looked at before the next step, where somebody waits for what they tell.
+// Nudge requests that the rows be read before the next step, for callers that wait for their
+// content.
 func (h *Holder) Nudge() {
 	select {
-	case h.nudges() <- struct{}{}:
-	default: // a look is due already
+	case h.readRequests() <- struct{}{}:
+	default: // a read is requested already
 	}
 }
 
-func (h *Holder) nudges() chan struct{} {
-	h.prepared.Do(func() { h.nudged = make(chan struct{}, 1) })
-	return h.nudged
+func (h *Holder) readRequests() chan struct{} {
+	h.readRequestOnce.Do(func() { h.readRequested = make(chan struct{}, 1) })
+	return h.readRequested
 }
 
-// look takes the rows into a new view. What a step decides waits for the next one.
-func (h *Holder) look(ctx context.Context) {
+// refresh reads the rows and publishes a new view. It does not renew or take over engines; the
+// next step does.
+func (h *Holder) refresh(ctx context.Context) {
 	if err := h.read(ctx); err == nil {
 		h.publish()
 	}
 }
 
-func (h *Holder) prepare() {
-	if h.instance != nil {
+func (h *Holder) initialize() {
+	if h.instances != nil {
 		return
 	}
 	h.started = h.Clock()
-	h.instance = make(map[netip.AddrPort]sighting)
+	h.instances = make(map[netip.AddrPort]instanceRow)
 	h.owners = make(map[netip.AddrPort]ownerRow)
-	h.ended = make(map[netip.AddrPort]time.Duration)
+	h.lastOwned = make(map[netip.AddrPort]time.Duration)
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.holdings = make(map[netip.AddrPort]holding)
 }
 
-// Step reads all rows, renews this instance's own with what it owns, and takes
-// engines that have no live owner.
+// Step reads all rows, renews the row of this instance together with its ownerships, and takes
+// over engines that have no live owner.
 func (h *Holder) Step(ctx context.Context) {
-	h.prepare()
-	h.outage.begin(h.Clock())
-	h.engines = len(h.Engines()) > 0
+	h.initialize()
+	h.outage.beginStep(h.Clock())
+	h.enginesKnown = len(h.Engines()) > 0
 	err := h.read(ctx)
 	if errors.Is(err, snipeplatform.ErrUnread) {
 		return
 	}
-	h.stale = err != nil
-	if !h.lost && !h.stale {
-		h.heard = h.Clock()
+	h.readFailed = err != nil
+	if !h.renewalFailed && !h.readFailed {
+		h.answeredAt = h.Clock()
 	}
 	standby := h.standby()
-	if standby && !h.standbyDue() || h.left() {
-		h.outage.skip()
+	if standby && !h.standbyDue() || h.leaveRecorded() {
+		h.outage.skipRenewal()
 		h.publish()
 		return
 	}
 	err = h.renew(ctx, standby)
-	h.outage.end(h.Clock(), snipeplatform.Answered(err))
-	h.note(err)
+	h.outage.endRenewal(h.Clock(), snipeplatform.Answered(err))
+	h.reportRenewal(err)
 	h.publish()
 }
 
-// note logs the loss and the return of the table once.
-func (h *Holder) note(err error) {
+// reportRenewal reports to Reached whether the table answered a renewal. It logs the first
+// failure and the first success after it.
+func (h *Holder) reportRenewal(err error) {
 	if h.Reached != nil {
 		h.Reached(snipeplatform.Answered(err))
 	}
 	switch {
-	case err != nil && !h.lost:
+	case err != nil && !h.renewalFailed:
 		h.Log.Error(snipelog.OwnershipStale, err, nil)
-	case err == nil && h.lost:
+	case err == nil && h.renewalFailed:
 		h.Log.Log(snipelog.OwnershipFresh, nil)
 	}
-	h.lost = err != nil
+	h.renewalFailed = err != nil
 }
--- a/snipeowner/snipeowner_test.go
+++ b/snipeowner/snipeowner_test.go
@@ -13,21 +13,21 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestOwnersWithoutFaults: all engines have an owner soon after the start, and keep
-// it.
+// TestOwnersWithoutFaults checks that all engines have an owner soon after the start, and that
+// they keep having one.
 func TestOwnersWithoutFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 1, 9, 12)
-		defer p.end()
-		p.watch(5 * time.Second)
-		must.Eq(t, 12, p.owned())
-		p.watch(10 * time.Second)
-		must.Eq(t, 12, p.owned())
+		s := newSimulation(t, 1, 9, 12)
+		defer s.shutDown()
+		s.runAndCheck(5 * time.Second)
+		must.Eq(t, 12, s.orderable())
+		s.runAndCheck(10 * time.Second)
+		must.Eq(t, 12, s.orderable())
 	})
 }
 
-// TestStrongOwn: where enough instances have at least twice the power of the others they
-// own all engines; where there are too few of them the others do their part.
+// TestStrongOwn checks that instances with at least twice the power of the others own all
+// engines if there are enough of them, and that weak instances own engines too if there are not.
 func TestStrongOwn(t *testing.T) {
 	tests := map[string]struct {
 		strong   int
@@ -36,18 +36,18 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPowerPlay(t, 8, 9, 30, func(n int) float64 {
+				s := newSimulationWithPower(t, 8, 9, 30, func(n int) float64 {
 					if n < tt.strong {
 						return 0.8
 					}
 					return 0.2
 				})
-				defer p.end()
-				p.watch(8 * time.Second)
-				must.Eq(t, 30, p.owned())
+				defer s.shutDown()
+				s.runAndCheck(8 * time.Second)
+				must.Eq(t, 30, s.orderable())
 				weak := 0
-				for _, h := range p.holders[tt.strong:] {
-					for _, e := range p.engines {
+				for _, h := range s.holders[tt.strong:] {
+					for _, e := range s.engines {
 						if _, ok := h.Fence(e); ok {
 							weak++
 						}
@@ -59,37 +59,38 @@
 	}
 }
 
-// TestViews: every instance knows the same owners of engines, itself not among the others, and
-// the same order of duties; a step that shows no change keeps what was known.
+// TestViews checks that the views of all instances agree on the owners of engines and on the
+// ranking, that Others does not contain the instance itself, and that a step without changes
+// keeps the owners.
 func TestViews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 4, 3, 12)
-		defer p.end()
-		p.watch(8 * time.Second)
-		for n, h := range p.holders {
+		s := newSimulation(t, 4, 3, 12)
+		defer s.shutDown()
+		s.runAndCheck(8 * time.Second)
+		for n, h := range s.holders {
 			v := h.View()
 			must.MapLen(t, 12, v.Owners)
 			must.Len(t, 2, v.Others)
 			must.False(t, slices.Contains(v.Others, peerAddress(n)))
-			must.True(t, slices.Equal(p.holders[0].View().Ranked, v.Ranked))
+			must.True(t, slices.Equal(s.holders[0].View().Ranked, v.Ranked))
 			must.MapLen(t, len(v.Ranked), v.Live)
 		}
-		before := p.holders[0].View()
-		p.watch(3 * time.Second)
-		after := p.holders[0].View()
+		before := s.holders[0].View()
+		s.runAndCheck(3 * time.Second)
+		after := s.holders[0].View()
 		must.Greater(t, 0, after.Read.Sub(before.Read))
 		must.True(t, maps.Equal(before.Owners, after.Owners))
-		p.stops[1]()
-		p.watch(8 * time.Second)
-		v := p.holders[0].View()
+		s.stops[1]()
+		s.runAndCheck(8 * time.Second)
+		v := s.holders[0].View()
 		must.MapLen(t, 12, v.Owners)
 		must.True(t, slices.Equal([]netip.AddrPort{peerAddress(2)}, v.Others))
 		must.Len(t, 2, v.Ranked)
 	})
 }
 
-// TestOwnersAtSize: beyond some hundred engines the owners do not grow with them, as long as
-// each has room to take over those of lost ones.
+// TestOwnersAtSize checks that above a few hundred engines the number of owners does not grow
+// with the engines, as long as each owner has capacity to take over engines of lost owners.
 func TestOwnersAtSize(t *testing.T) {
 	tests := map[string]struct{ engines, least, most int }{
 		"Few": {12, 6, 9}, "Today": {84, 10, 12}, "Planned": {600, 30, 45}, "Thousands": {3000, 45, 60},
@@ -97,169 +98,170 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newCrowd(t, 70, tt.engines)
+				l := newLockstep(t, 70, tt.engines)
 				for range 12 {
-					w.step(t)
+					l.step(t)
 				}
-				must.Between(t, tt.least, w.owners(), tt.most)
-				must.Eq(t, tt.engines, w.ordered())
+				must.Between(t, tt.least, l.owners(), tt.most)
+				must.Eq(t, tt.engines, l.orderable())
 			})
 		})
 	}
 }
 
-// TestManyEngines: an instance that is to own more engines than fit into one transaction
-// of the table takes them one part after the other, gives them up so, and owns no more
-// than it can hold all conditions of.
+// TestManyEngines checks that an instance that should own more engines than fit into one
+// transaction of the table takes over and releases them in several transactions, and owns no
+// more engines than the conditions of one transaction cover.
 func TestManyEngines(t *testing.T) {
 	tests := map[string]struct{ engines, owned int }{"Few": {40, 40}, "Many": {70, 70}, "TooMany": {120, 97}}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPlay(t, 9, 2, tt.engines)
-				defer p.end()
-				p.links[1].set(true, 0)
-				p.stops[1]()
-				p.watch(20 * time.Second)
-				must.Eq(t, tt.owned, p.owned())
-				p.start(1)
-				p.watch(5 * time.Second)
-				p.holders[0].Leave()
-				p.watch(20 * time.Second)
-				must.Eq(t, tt.owned, p.owned())
+				s := newSimulation(t, 9, 2, tt.engines)
+				defer s.shutDown()
+				s.links[1].setFaults(true, 0)
+				s.stops[1]()
+				s.runAndCheck(20 * time.Second)
+				must.Eq(t, tt.owned, s.orderable())
+				s.start(1)
+				s.runAndCheck(5 * time.Second)
+				s.holders[0].Leave()
+				s.runAndCheck(20 * time.Second)
+				must.Eq(t, tt.owned, s.orderable())
 			})
 		})
 	}
 }
 
-// TestCopyBehind: rows that are read from a copy which does not yet show what this
-// instance has written take nothing away from it.
+// TestCopyBehind guards against an instance that loses its engines because it reads the rows from
+// a copy that does not yet contain its own last write.
 func TestCopyBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 5, 2, 4)
-		defer p.end()
-		for _, l := range p.links {
-			l.fallBehind()
+		s := newSimulation(t, 5, 2, 4)
+		defer s.shutDown()
+		for _, l := range s.links {
+			l.makeStale()
 		}
-		p.watch(5 * time.Second)
-		must.Eq(t, 4, p.owned())
+		s.runAndCheck(5 * time.Second)
+		must.Eq(t, 4, s.orderable())
 		for range 100 {
-			p.watch(100 * time.Millisecond)
-			must.Eq(t, 4, p.owned())
+			s.runAndCheck(100 * time.Millisecond)
+			must.Eq(t, 4, s.orderable())
 		}
 	})
 }
 
-// TestOwnerDies: the engines of an instance that died have another owner after the
-// lease.
+// TestOwnerDies checks that the engines of a dead instance have another owner after the lease.
 func TestOwnerDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 2, 3, 6)
-		defer p.end()
-		p.watch(5 * time.Second)
-		p.links[0].set(true, 0)
-		p.stops[0]()
-		p.watch(6 * time.Second)
-		must.Eq(t, 6, p.owned())
+		s := newSimulation(t, 2, 3, 6)
+		defer s.shutDown()
+		s.runAndCheck(5 * time.Second)
+		s.links[0].setFaults(true, 0)
+		s.stops[0]()
+		s.runAndCheck(6 * time.Second)
+		must.Eq(t, 6, s.orderable())
 	})
 }
 
-// TestOwnerLeaves: a planned stop frees the engines at once.
+// TestOwnerLeaves checks that a planned stop releases the engines at once.
 func TestOwnerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 3, 3, 6)
-		defer p.end()
-		p.watch(5 * time.Second)
-		p.holders[1].Leave()
-		p.watch(4 * time.Second)
-		must.Eq(t, 6, p.owned())
+		s := newSimulation(t, 3, 3, 6)
+		defer s.shutDown()
+		s.runAndCheck(5 * time.Second)
+		s.holders[1].Leave()
+		s.runAndCheck(4 * time.Second)
+		must.Eq(t, 6, s.orderable())
 	})
 }
 
-// TestLeftWritesNoMore: an instance that has given all up and said that it leaves writes
-// nothing more while its last requests end.
+// TestLeftWritesNoMore guards against an instance that keeps writing its row while its last
+// requests end, although it has released all engines and its row states that it is leaving.
 func TestLeftWritesNoMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 3, 1, 6)
-		defer p.end()
-		p.watch(5 * time.Second)
-		p.holders[0].Leave()
-		p.watch(2 * time.Second)
-		writes := p.table.writes()
-		p.watch(6 * time.Second)
-		must.Eq(t, writes, p.table.writes())
+		s := newSimulation(t, 3, 1, 6)
+		defer s.shutDown()
+		s.runAndCheck(5 * time.Second)
+		s.holders[0].Leave()
+		s.runAndCheck(2 * time.Second)
+		writes := s.table.writes()
+		s.runAndCheck(6 * time.Second)
+		must.Eq(t, writes, s.table.writes())
 	})
 }
 
-// TestOwnerLeavesUnanswered: the next owner may order as soon as it reads that an engine
-// was given up, so the former one must not, whether it learns of its own write or not.
+// TestOwnerLeavesUnanswered guards against two instances that order an engine at the same time
+// when the release of the engine is written but not answered: the next owner orders as soon as
+// it reads the release, so the previous owner must have ended its orders before.
 func TestOwnerLeavesUnanswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 3, 2, 6)
-		defer p.end()
-		p.watch(5 * time.Second)
-		p.links[1].silence()
-		p.holders[1].Leave()
-		p.watch(4 * time.Second)
-		must.Eq(t, 6, p.owned())
+		s := newSimulation(t, 3, 2, 6)
+		defer s.shutDown()
+		s.runAndCheck(5 * time.Second)
+		s.links[1].loseReplies()
+		s.holders[1].Leave()
+		s.runAndCheck(4 * time.Second)
+		must.Eq(t, 6, s.orderable())
 	})
 }
 
-// TestNoTurnsOverStart: an instance that gave engines up and starts again leaves the
-// gap between its former orders and the next ones, though it does not know of them.
+// TestNoTurnsOverStart guards against an instance that releases engines, restarts, and orders them
+// again within OrderGap, since it has no record of the orders before its restart.
 func TestNoTurnsOverStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 6, 2, 6)
-		defer p.end()
-		p.watch(5 * time.Second)
-		p.holders[0].Leave()
-		p.watch(600 * time.Millisecond)
-		p.start(0)
-		p.holders[1].Leave()
-		p.watch(6 * time.Second)
-		must.Eq(t, 6, p.owned())
+		s := newSimulation(t, 6, 2, 6)
+		defer s.shutDown()
+		s.runAndCheck(5 * time.Second)
+		s.holders[0].Leave()
+		s.runAndCheck(600 * time.Millisecond)
+		s.start(0)
+		s.holders[1].Leave()
+		s.runAndCheck(6 * time.Second)
+		must.Eq(t, 6, s.orderable())
 	})
 }
 
-// trouble is one of the kinds of faults that TestOneOwner plays.
-func (p *play) trouble(n, kind int) {
+// injectFault applies one of the kinds of faults of TestOneOwner to an instance.
+func (s *simulation) injectFault(n, kind int) {
 	switch kind {
 	case 0:
-		p.links[n].set(true, 0)
+		s.links[n].setFaults(true, 0)
 	case 1:
-		p.join(n)
-		p.links[n].set(false, 0.4)
+		s.reconnect(n)
+		s.links[n].setFaults(false, 0.4)
 	case 2:
-		p.start(n)
+		s.start(n)
 	case 3:
-		p.holders[n].Leave()
-		p.watch(time.Second)
-		p.start(n)
+		s.holders[n].Leave()
+		s.runAndCheck(time.Second)
+		s.start(n)
 	case 4:
-		p.cutAll(true)
+		s.cutAll(true)
 	case 5:
-		p.cutAll(true)
-		p.join(n)
+		s.cutAll(true)
+		s.reconnect(n)
 	case 6:
-		p.partition(n)
+		s.partition(n)
 	default:
-		p.join(n)
+		s.reconnect(n)
 	}
 }
 
-// TestOneOwner plays random faults: cuts, lost and late writes, restarts, planned
-// stops. Whatever happens, two instances never order an engine at once, nor by turns
-// within the gap, and fencing numbers grow.
+// TestOneOwner simulates random faults: cut connections, lost and late writes, restarts and
+// planned stops. It guards against two instances that order an engine at the same time or
+// alternate within OrderGap, and against fencing numbers that do not grow.
 func TestOneOwner(t *testing.T) {
-	seeds := []uint64{131, 1144, 1611} // an owner went on while one that had started again took over
+	seeds := []uint64{131, 1144, 1611} // an owner continued while a restarted instance took over
 	for seed := range uint64(100) {
 		seeds = append(seeds, seed)
 	}
 	testOneOwner(t, seeds, false)
 }
 
-// TestOneOwnerRelayed plays the same where instances make each other's writes: a write may be
-// made by its sender's way, by another's, by both in any order, or late, and takes effect once.
+// TestOneOwnerRelayed simulates the same faults where instances relay each other's writes. A write
+// may reach the table by its sender's link, by the link of another instance, by both in any
+// order, or late, and must take effect once.
 func TestOneOwnerRelayed(t *testing.T) {
 	var seeds []uint64
 	for seed := range uint64(60) {
@@ -268,24 +270,24 @@
 	testOneOwner(t, seeds, true)
 }
 
-func testOneOwner(t *testing.T, seeds []uint64, relays bool) {
+func testOneOwner(t *testing.T, seeds []uint64, relayWrites bool) {
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := rand.New(rand.NewPCG(seed, 99))
-				p := newPlay(t, seed, 4, 5)
-				p.relays.Store(relays)
-				defer p.end()
-				p.watch(4 * time.Second)
+				s := newSimulation(t, seed, 4, 5)
+				s.relayWrites.Store(relayWrites)
+				defer s.shutDown()
+				s.runAndCheck(4 * time.Second)
 				for range 25 {
-					p.trouble(r.IntN(len(p.holders)), r.IntN(9))
-					p.watch(time.Duration(r.IntN(3000)) * time.Millisecond)
+					s.injectFault(r.IntN(len(s.holders)), r.IntN(9))
+					s.runAndCheck(time.Duration(r.IntN(3000)) * time.Millisecond)
 				}
-				for n := range p.links {
-					p.join(n)
+				for n := range s.links {
+					s.reconnect(n)
 				}
-				p.watch(15 * time.Second)
-				must.Eq(t, 5, p.owned())
+				s.runAndCheck(15 * time.Second)
+				must.Eq(t, 5, s.orderable())
 			})
 		})
 	}
--- a/snipeowner/standby.go
+++ b/snipeowner/standby.go
@@ -9,96 +9,100 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// Of many instances a few own all engines. The others stand by: they renew their rows seldom and
-// own nothing, until there are too few owners.
+// In a large deployment a few instances own all engines. The others are on standby: they own no
+// engines and rarely renew their rows, until there are too few owners.
 
 const (
-	// leastOwners is how many instances share the engines where there are few, and
-	// enginesPerOwner how many engines each has where there are many: one renews its
-	// row each second, whatever it owns, and its loss stops the orders of them all.
-	leastOwners     = 9
+	// minOwners is the number of instances that share the engines in a small deployment, and
+	// enginesPerOwner the number of engines for each owner in a large one. An owner renews its
+	// row each second, however many engines it owns, and its loss stops the orders of them all.
+	minOwners       = 9
 	enginesPerOwner = 7
-	// mostOwners bounds the owners, whose renewals every instance takes in, and fullOwner is
-	// how many engines each has where that is not enough: a renewal has room for half as
-	// many again, those of owners that are lost.
-	mostOwners = 40
-	fullOwner  = 60
-	// strongOwners is how many instances of at least twice the power are enough to leave
-	// the engines to them, each up to twice as many: an owner takes the reports of all others,
-	// which fill the links of weak ones.
-	strongOwners = 5
-	// standbyEvery is the time between two renewals of an instance that owns nothing
-	// and is not needed: what others do with its row can wait.
-	standbyEvery = time.Minute
-	// standbyPause is the time between the writes of two instances on standby on average,
-	// where all start or have lost the store at the same moment: a part of the store makes a
-	// few hundred writes a second, and the owners' go first.
-	standbyPause = 20 * time.Millisecond
-	// standbyBegin is how long the owners' first writes go before those on standby.
-	standbyBegin = time.Second
-	// standbyRetry is the time between two tries of one that the store does not answer.
-	standbyRetry = 5 * time.Second
+	// maxOwners limits the owners, whose renewals every instance reads, and
+	// enginesPerOwnerAtMax is the number of engines for each owner where maxOwners would be too
+	// few: a renewal has capacity for half as many more, those of owners that are lost.
+	maxOwners            = 40
+	enginesPerOwnerAtMax = 60
+	// minStrongOwners is the number of instances of at least twice the power that is enough to
+	// leave the engines to them. Each of them owns up to twice as many engines. An owner receives
+	// the reports of all other instances, which saturate the links of weak ones.
+	minStrongOwners = 5
+	// standbyInterval is the time between two renewals of an instance on standby. Other
+	// instances do not depend on a recent row of it.
+	standbyInterval = time.Minute
+	// standbySpacing is the average time between the writes of two instances on standby when all
+	// start or lose the store at the same moment: a partition of the store handles a few hundred
+	// writes per second, and the writes of the owners go first.
+	standbySpacing = 20 * time.Millisecond
+	// standbyDelay is by how much the first writes of the owners precede those of the instances
+	// on standby.
+	standbyDelay = time.Second
+	// standbyRetryInterval is the time between two attempts of an instance on standby whose
+	// renewal failed.
+	standbyRetryInterval = 5 * time.Second
 )
 
 // standby reports whether there are enough other instances to own the engines.
 func (h *Holder) standby() bool {
-	if len(h.holdings) > 0 || h.leaving.Load() || h.formerOwner() {
+	if len(h.holdings) > 0 || h.leaving.Load() || h.ownedPreviously() {
 		return false
 	}
-	self := sighting{Instance: h.Self, hash: addressHash(h.Self.Peer)}
+	self := instanceRow{Instance: h.Self, hash: addressHash(h.Self.Peer)}
 	ahead, strong := 0, 0
-	for peer, s := range h.instance {
-		if peer == h.Self.Peer || s.Leaving || !h.live(s) {
+	for peer, r := range h.instances {
+		if peer == h.Self.Peer || r.Leaving || !h.live(r) {
 			continue
 		}
-		if comparePower(s, self) < 0 {
+		if comparePower(r, self) < 0 {
 			ahead++
 		}
-		if h.Self.Power > 0 && s.Power >= 2*h.Self.Power {
+		if h.Self.Power > 0 && r.Power >= 2*h.Self.Power {
 			strong++
 		}
 	}
-	enough := owners(len(h.Engines()))
-	return strong >= max(strongOwners, enough/2) || ahead >= max(leastOwners, enough)
+	needed := ownerCount(len(h.Engines()))
+	return strong >= max(minStrongOwners, needed/2) || ahead >= max(minOwners, needed)
 }
 
-// formerOwner reports whether an earlier start of this instance owned engines that nobody has
-// taken since. It takes them back, whoever ranks before it: others would wait for a lease.
-func (h *Holder) formerOwner() bool {
+// ownedPreviously reports whether an earlier start of this instance owned engines that no other
+// instance has taken over since. This instance takes them back, even if others rank before it,
+// since those would have to wait for the end of a lease.
+func (h *Holder) ownedPreviously() bool {
 	return slices.ContainsFunc(h.Engines(), func(engine netip.AddrPort) bool {
-		return h.owners[engine].Machine == h.Self.Peer
+		return h.owners[engine].Peer == h.Self.Peer
 	})
 }
 
-// owners returns how many instances should share so many engines where there are many.
-func owners(engines int) int {
-	return max(min(engines/enginesPerOwner, mostOwners), engines/fullOwner)
+// ownerCount returns how many instances should share the given number of engines in a large
+// deployment.
+func ownerCount(engines int) int {
+	return max(min(engines/enginesPerOwner, maxOwners), engines/enginesPerOwnerAtMax)
 }
 
-// left reports whether the others know that this instance is leaving and owns nothing. It
-// has nothing more to tell: seventy that are replaced in turn would else write for as long as
-// their last requests last.
-func (h *Holder) left() bool {
-	row := h.instance[h.Self.Peer]
+// leaveRecorded reports whether the row of this instance states that it is leaving, and it owns
+// no engines. Such an instance no longer renews: otherwise 70 instances that are replaced one
+// after the other would write until their last requests end.
+func (h *Holder) leaveRecorded() bool {
+	row := h.instances[h.Self.Peer]
 	return h.leaving.Load() && row.Leaving && row.Incarnation == h.Self.Incarnation && len(h.holdings) == 0
 }
 
-// standbyDue reports whether an instance on standby is to renew its row.
+// standbyDue reports whether an instance on standby should renew its row now.
 func (h *Holder) standbyDue() bool {
-	row, now := h.instance[h.Self.Peer], h.Clock()
-	spread := h.portion(time.Duration(len(h.instance)) * standbyPause)
+	row, now := h.instances[h.Self.Peer], h.Clock()
+	spread := h.jitter(time.Duration(len(h.instances)) * standbySpacing)
 	switch {
-	case h.lost:
-		return now-h.triedAt >= standbyRetry+spread
+	case h.renewalFailed:
+		return now-h.attemptedAt >= standbyRetryInterval+spread
 	case row.Incarnation != h.Self.Incarnation || !row.Standby:
-		return now-h.started >= standbyBegin+spread
+		return now-h.started >= standbyDelay+spread
 	default:
-		return now-h.renewedAt >= standbyEvery
+		return now-h.renewedAt >= standbyInterval
 	}
 }
 
-// portion returns this instance's moment in a time over which all spread, another one at each
-// start.
-func (h *Holder) portion(d time.Duration) time.Duration {
+// jitter returns a delay between 0 and d that differs between instances and between the starts of
+// an instance.
+func (h *Holder) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(sniperoute.Hash(h.Self.Peer.String(), h.Self.Incarnation)) / math.MaxUint64 * float64(d))
 }
--- a/snipeowner/start_test.go
+++ b/snipeowner/start_test.go
@@ -8,103 +8,103 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestOwnerStartsAgain: an instance that starts again orders its own engines
-// without waiting for its former lease.
+// TestOwnerStartsAgain checks that a restarted instance orders its own engines without waiting
+// for the end of its previous lease.
 func TestOwnerStartsAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 4, 1, 3)
-		defer p.end()
-		p.watch(5 * time.Second)
-		p.start(0)
-		p.watch(1500 * time.Millisecond)
-		must.Eq(t, 3, p.owned())
+		s := newSimulation(t, 4, 1, 3)
+		defer s.shutDown()
+		s.runAndCheck(5 * time.Second)
+		s.start(0)
+		s.runAndCheck(1500 * time.Millisecond)
+		must.Eq(t, 3, s.orderable())
 	})
 }
 
-// TestStartBeforeDirectory answers the pattern of all instances starting again at once, each of
-// which knows the owners a moment before it knows the engines: it orders its engines again as
-// soon as it knows them, not a renewal later.
+// TestStartBeforeDirectory guards against instances that order their engines a whole renewal
+// interval late when all restart at once and each reads the owner rows shortly before the
+// directory of engines.
 func TestStartBeforeDirectory(t *testing.T) {
-	const unread, soon = 100 * time.Millisecond, 300 * time.Millisecond
+	const directoryDelay, limit = 100 * time.Millisecond, 300 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 12, 3, 6)
-		defer p.end()
-		p.watch(5 * time.Second)
-		must.Eq(t, 6, p.owned())
-		p.unread.Store(int64(unread))
-		for n := range p.holders {
-			p.start(n)
+		s := newSimulation(t, 12, 3, 6)
+		defer s.shutDown()
+		s.runAndCheck(5 * time.Second)
+		must.Eq(t, 6, s.orderable())
+		s.directoryDelay.Store(int64(directoryDelay))
+		for n := range s.holders {
+			s.start(n)
 		}
-		p.watch(unread + soon)
-		must.Eq(t, 6, p.owned())
+		s.runAndCheck(directoryDelay + limit)
+		must.Eq(t, 6, s.orderable())
 	})
 }
 
-// TestStartBesideDirectory answers the pattern of engines that come to be known while the first
-// step's write is under way: they are ordered again as soon.
+// TestStartBesideDirectory guards against the same delay when the engines become known during the
+// write of the first step.
 func TestStartBesideDirectory(t *testing.T) {
-	// A reading of the rows takes up to 600 ms here.
-	const soon = 700 * time.Millisecond
-	for unread := time.Duration(0); unread < 40*time.Millisecond; unread += 2 * time.Millisecond {
-		t.Run(unread.String(), func(t *testing.T) {
+	// A read of the rows takes up to 600 ms here.
+	const limit = 700 * time.Millisecond
+	for directoryDelay := time.Duration(0); directoryDelay < 40*time.Millisecond; directoryDelay += 2 * time.Millisecond {
+		t.Run(directoryDelay.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := newPlay(t, 12, 3, 6)
-				defer p.end()
-				p.watch(5 * time.Second)
-				must.Eq(t, 6, p.owned())
-				p.unread.Store(int64(unread))
-				for n := range p.holders {
-					p.start(n)
+				s := newSimulation(t, 12, 3, 6)
+				defer s.shutDown()
+				s.runAndCheck(5 * time.Second)
+				must.Eq(t, 6, s.orderable())
+				s.directoryDelay.Store(int64(directoryDelay))
+				for n := range s.holders {
+					s.start(n)
 				}
-				p.watch(unread + soon)
-				must.Eq(t, 6, p.owned())
+				s.runAndCheck(directoryDelay + limit)
+				must.Eq(t, 6, s.orderable())
 			})
 		})
 	}
 }
 
-// TestStartOutranked answers the pattern of all instances starting again at once, where those
-// that owned the engines rank behind others by now: they order their engines again at once, and
-// leave none to be taken over after a lease.
+// TestStartOutranked guards against engines that are taken over only after a lease when all
+// instances restart at once and the previous owners now rank behind others: the previous owners
+// must order their engines again at once.
 func TestStartOutranked(t *testing.T) {
-	// A reading of the rows takes up to 600 ms here; a lease takes 2.7 s.
-	const soon = 700 * time.Millisecond
+	// A read of the rows takes up to 600 ms here; a lease lasts 2.7 s.
+	const limit = 700 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 13, 24, 6)
-		defer p.end()
-		p.watch(5 * time.Second)
-		must.Eq(t, 6, p.owned())
-		p.power = func(n int) float64 {
-			if p.holders[n].Owns() {
+		s := newSimulation(t, 13, 24, 6)
+		defer s.shutDown()
+		s.runAndCheck(5 * time.Second)
+		must.Eq(t, 6, s.orderable())
+		s.power = func(n int) float64 {
+			if s.holders[n].Owns() {
 				return 0.2
 			}
 			return 0.8
 		}
-		for n := range p.holders {
-			p.start(n)
+		for n := range s.holders {
+			s.start(n)
 		}
-		p.watch(soon)
-		must.Eq(t, 6, p.owned())
-		p.watch(10 * time.Second)
-		must.Eq(t, 6, p.owned())
+		s.runAndCheck(limit)
+		must.Eq(t, 6, s.orderable())
+		s.runAndCheck(10 * time.Second)
+		must.Eq(t, 6, s.orderable())
 	})
 }
 
-// TestStartRefused answers the pattern of all instances starting again while the store refuses
-// writes: it guards against a whole renewal between the end of that and the first order.
+// TestStartRefused guards against a whole renewal interval between the first accepted write and
+// the first order when all instances restart while the store refuses writes.
 func TestStartRefused(t *testing.T) {
-	// A reading of the rows takes up to 600 ms here, a renewal comes each second.
-	const refused, soon = 1100 * time.Millisecond, 850 * time.Millisecond
+	// A read of the rows takes up to 600 ms here; renewals are one second apart.
+	const refused, limit = 1100 * time.Millisecond, 850 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		p := newPlay(t, 12, 3, 6)
-		defer p.end()
-		p.watch(5 * time.Second)
-		must.Eq(t, 6, p.owned())
-		for n := range p.holders {
-			p.start(n)
-			p.links[n].refuseWrites(refused)
+		s := newSimulation(t, 12, 3, 6)
+		defer s.shutDown()
+		s.runAndCheck(5 * time.Second)
+		must.Eq(t, 6, s.orderable())
+		for n := range s.holders {
+			s.start(n)
+			s.links[n].refuseWrites(refused)
 		}
-		p.watch(refused + soon)
-		must.Eq(t, 6, p.owned())
+		s.runAndCheck(refused + limit)
+		must.Eq(t, 6, s.orderable())
 	})
 }
--- a/snipeowner/take.go
+++ b/snipeowner/take.go
@@ -8,21 +8,21 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// takeover is an engine that this instance is about to own.
+// takeover is an engine that this instance is about to take over, and the changes that do it.
 type takeover struct {
-	engine netip.AddrPort
-	former netip.AddrPort
-	fence  uint64
-	// from is when orders may begin.
-	from    time.Duration
-	changes []snipeplatform.Change
+	engine   netip.AddrPort
+	previous netip.AddrPort
+	fence    uint64
+	// ordersFrom is when orders may begin.
+	ordersFrom time.Duration
+	changes    []snipeplatform.Change
 }
 
-// wanted returns the engines without a live owner for which this instance ranks
-// first among the live ones, and those that an earlier start of it owned, as many as
-// fit into so many entries of a transaction.
-func (h *Holder) wanted(room int) []takeover {
-	if h.stale {
+// takeovers returns the engines without a live owner for which this instance ranks first among
+// the live instances, and the engines that an earlier start of this instance owned. It returns
+// as many as fit into capacity entries of a transaction.
+func (h *Holder) takeovers(capacity int) []takeover {
+	if h.readFailed {
 		return nil
 	}
 	now := h.Clock()
@@ -30,16 +30,16 @@
 	rivals := h.rivals()
 	var all []takeover
 	for _, engine := range h.Engines() {
-		// Most engines have an owner that renews: what is cheap to tell goes first.
-		own := h.owners[engine].Machine == h.Self.Peer
-		if !own && (!settled || h.renewing(engine, now) || !h.first(engine, rivals)) {
+		// Most engines have an owner that renews: the cheap checks come first.
+		own := h.owners[engine].Peer == h.Self.Peer
+		if !own && (!settled || h.ownerRenews(engine, now) || !h.ranksFirst(engine, rivals)) {
 			continue
 		}
-		t, ok := h.takeOver(engine, now)
+		t, ok := h.planTakeover(engine, now)
 		if !ok {
 			continue
 		}
-		if room -= entries(t.changes); room < 0 {
+		if capacity -= entryCount(t.changes); capacity < 0 {
 			return all
 		}
 		all = append(all, t)
@@ -47,31 +47,31 @@
 	return all
 }
 
-// rivals returns the hashes of the other instances that could take an engine: the live
-// ones that stay.
+// rivals returns the address hashes of the other instances that could take over an engine: live
+// instances that are neither leaving nor on standby.
 func (h *Holder) rivals() []uint64 {
 	var all []uint64
-	for peer, s := range h.instance {
-		if peer != h.Self.Peer && !s.Leaving && !s.Standby && h.live(s) {
-			all = append(all, s.hash)
+	for peer, r := range h.instances {
+		if peer != h.Self.Peer && !r.Leaving && !r.Standby && h.live(r) {
+			all = append(all, r.hash)
 		}
 	}
 	return all
 }
 
-// renewing reports whether an engine's owner has renewed its row so lately that nobody may
-// take the engine.
-func (h *Holder) renewing(engine netip.AddrPort, now time.Duration) bool {
+// ownerRenews reports whether an engine's owner has renewed its row within observationTime, so
+// that no instance may take over the engine.
+func (h *Holder) ownerRenews(engine netip.AddrPort, now time.Duration) bool {
 	row, known := h.owners[engine]
-	if !known || !row.Machine.IsValid() {
+	if !known || !row.Peer.IsValid() {
 		return false
 	}
-	s, exists := h.instance[row.Machine]
-	return exists && s.Incarnation == row.Incarnation && now-s.since < observation
+	r, exists := h.instances[row.Peer]
+	return exists && r.Incarnation == row.Incarnation && now-r.observedAt < observationTime
 }
 
-// first reports whether this instance ranks before all rivals for an engine.
-func (h *Holder) first(engine netip.AddrPort, rivals []uint64) bool {
+// ranksFirst reports whether this instance ranks before all rivals for an engine.
+func (h *Holder) ranksFirst(engine netip.AddrPort, rivals []uint64) bool {
 	key := addressHash(engine)
 	own := rank(key, addressHash(h.Self.Peer))
 	for _, rival := range rivals {
@@ -82,62 +82,64 @@
 	return true
 }
 
-// takeOver returns how to take an engine, if its owner can no longer order it.
-func (h *Holder) takeOver(engine netip.AddrPort, now time.Duration) (takeover, bool) {
+// planTakeover returns the takeover of an engine, and false when this instance owns the engine
+// already or its owner may still order it.
+func (h *Holder) planTakeover(engine netip.AddrPort, now time.Duration) (takeover, bool) {
 	row, known := h.owners[engine]
-	if known && h.mine(row.ownership) {
+	if known && h.ownedBySelf(row.ownership) {
 		return takeover{}, false
 	}
-	t := takeover{engine: engine, former: row.Machine, fence: row.Fence + 1, from: now}
+	t := takeover{engine: engine, previous: row.Peer, fence: row.Fence + 1, ordersFrom: now}
 	// A struct of plain fields always has a JSON form.
-	data, _ := json.Marshal(ownership{Machine: h.Self.Peer, Incarnation: h.Self.Incarnation, Fence: t.fence})
+	data, _ := json.Marshal(ownership{Peer: h.Self.Peer, Incarnation: h.Self.Incarnation, Fence: t.fence})
 	t.changes = []snipeplatform.Change{{Key: ownerKey(engine), Expect: row.version, Data: data}}
 	switch {
 	case !known:
 		return t, true
-	case row.Machine == h.Self.Peer:
-		// An earlier start of this machine has ordered it.
-		t.from = h.outage.ownFrom(now)
+	case row.Peer == h.Self.Peer:
+		// An earlier start of this instance owned the engine.
+		t.ordersFrom = h.outage.ownOrdersFrom(now)
 		return t, true
-	case !row.Machine.IsValid():
-		// Its owner gave it up, and its orders had ended before.
-		t.from = h.afterOwn(engine, now)
+	case !row.Peer.IsValid():
+		// The owner released the engine, and had ended its orders before.
+		t.ordersFrom = h.orderGapEnd(engine, now)
 		return t, true
 	}
-	return h.takeFrom(t, row, now)
+	return h.planFromOwner(t, row, now)
 }
 
-// takeFrom returns how to take an engine from an owner that did not give it up.
-func (h *Holder) takeFrom(t takeover, row ownerRow, now time.Duration) (takeover, bool) {
-	if now < h.outage.observed() || h.outage.broken() {
-		// Its owner may be ordering it by this instance's promise.
+// planFromOwner completes the takeover of an engine whose owner did not release it, and returns
+// false when the owner may still order it.
+func (h *Holder) planFromOwner(t takeover, row ownerRow, now time.Duration) (takeover, bool) {
+	if now < h.outage.takeoverAllowedAt() || h.outage.renewalUnanswered() {
+		// The owner may be ordering the engine under a lease extension that this instance granted.
 		return takeover{}, false
 	}
-	former, exists := h.instance[row.Machine]
+	previous, exists := h.instances[row.Peer]
 	switch {
-	case !exists || former.Incarnation != row.Incarnation:
-		// Its row is gone or another start's: the owner's last renewal lies before
-		// this row was first read.
-		since := row.seen
+	case !exists || previous.Incarnation != row.Incarnation:
+		// The owner's instance row is missing or belongs to another start: the owner's last
+		// renewal was before this row was first read.
+		observedAt := row.observedAt
 		if exists {
-			since = max(since, former.since)
+			observedAt = max(observedAt, previous.observedAt)
 		}
-		t.from = since + orderTime + margin
-	case now-former.since < observation:
+		t.ordersFrom = observedAt + orderTime + margin
+	case now-previous.observedAt < observationTime:
 		return takeover{}, false
 	default:
-		t.from = former.since + orderTime + margin
-		t.changes = append(t.changes, snipeplatform.Change{Key: instanceKey(row.Machine), Expect: former.version})
+		t.ordersFrom = previous.observedAt + orderTime + margin
+		t.changes = append(t.changes, snipeplatform.Change{Key: instanceKey(row.Peer), Expect: previous.version})
 	}
-	t.from = max(t.from, h.afterOwn(t.engine, now))
+	t.ordersFrom = max(t.ordersFrom, h.orderGapEnd(t.engine, now))
 	return t, true
 }
 
-// afterOwn is when this instance may order an engine again that was another's since
-// it was its own. What an earlier start of it owned is not known, only that it had
-// ended when this one began.
-func (h *Holder) afterOwn(engine netip.AddrPort, now time.Duration) time.Duration {
-	at, ok := h.ended[engine]
+// orderGapEnd returns when this instance may order an engine again that another instance owned
+// since. It is unknown which engines an earlier start of this instance owned; that start had
+// ended when this one began, so the gap is counted from there.
+func (h *Holder) orderGapEnd(engine netip.AddrPort, now time.Duration) time.Duration {
+	at, ok := h.lastOwned[engine]
 	if !ok {
 		at = h.started
 	}
--- a/snipeowner/view.go
+++ b/snipeowner/view.go
@@ -10,26 +10,27 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// Owner is who may order an engine.
+// Owner describes the instance that owns an engine.
 type Owner struct {
 	Instance Instance
-	// Self tells that it is this instance.
+	// Self reports that the owner is this instance.
 	Self bool
 }
 
-// View is an immutable snapshot of what is known of the others.
+// View is an immutable snapshot of the live instances and the owners of engines.
 type View struct {
-	// Live are the instances that renew, by address, and Ranked the same in the order in
-	// which duties for all go to them.
+	// Live maps addresses to the instances that renew their rows. Ranked holds the same instances
+	// in the order in which they are chosen for duties for all instances.
 	Live   map[netip.AddrPort]Instance
 	Ranked []Instance
-	// Lapsed are those that have not renewed for a while.
+	// Lapsed holds the addresses of the instances that stopped renewing within the last
+	// lapsedRetention.
 	Lapsed []netip.AddrPort
-	// Owners are the live owners of engines, by the engine's address, and Others where those
-	// of them are reached that are other instances.
+	// Owners maps the addresses of engines to their live owners. Others holds the addresses of
+	// those owners that are other instances.
 	Owners map[netip.AddrPort]Owner
 	Others []netip.AddrPort
-	// Read is when the rows were read.
+	// Read is when the view was created, which is after each attempt to read the rows.
 	Read time.Time
 }
 
@@ -41,60 +42,62 @@
 	return &View{}
 }
 
-// publish makes a new view. It shares with the last one what has not changed: most steps
-// show that all go on as they were.
+// publish creates a new view. The new view shares unchanged parts with the last one, since most
+// steps find no change.
 func (h *Holder) publish() {
 	last := h.View()
 	v := &View{Live: make(map[netip.AddrPort]Instance, len(last.Live)), Read: time.Now()}
-	for peer, s := range h.instance {
+	for peer, r := range h.instances {
 		switch {
-		case h.live(s):
-			v.Live[peer] = s.Instance
-		case h.heardAt()-s.since < lapsedMemory:
+		case h.live(r):
+			v.Live[peer] = r.Instance
+		case h.livenessTime()-r.observedAt < lapsedRetention:
 			v.Lapsed = append(v.Lapsed, peer)
 		}
 	}
-	same := maps.Equal(v.Live, last.Live)
-	if same {
+	unchanged := maps.Equal(v.Live, last.Live)
+	if unchanged {
 		v.Live, v.Ranked = last.Live, last.Ranked
 	} else {
-		v.Ranked = h.ranked(v.Live)
+		v.Ranked = h.rankInstances(v.Live)
 	}
-	if same && !h.moved && last.Owners != nil {
+	if unchanged && !h.ownersChanged && last.Owners != nil {
 		v.Owners, v.Others = last.Owners, last.Others
 	} else {
 		v.Owners, v.Others = h.ownersAmong(v.Live)
 	}
-	h.moved = false
+	h.ownersChanged = false
 	h.view.Store(v)
 }
 
-// ranked returns the live instances in the order in which duties for all go to them.
-func (h *Holder) ranked(live map[netip.AddrPort]Instance) []Instance {
-	sightings := make([]sighting, 0, len(live))
+// rankInstances returns the live instances in the order in which they are chosen for duties for
+// all instances.
+func (h *Holder) rankInstances(live map[netip.AddrPort]Instance) []Instance {
+	rows := make([]instanceRow, 0, len(live))
 	for peer := range live {
-		sightings = append(sightings, h.instance[peer])
+		rows = append(rows, h.instances[peer])
 	}
-	slices.SortFunc(sightings, comparePower)
-	all := make([]Instance, 0, len(sightings))
-	for _, s := range sightings {
-		all = append(all, s.Instance)
+	slices.SortFunc(rows, comparePower)
+	all := make([]Instance, 0, len(rows))
+	for _, r := range rows {
+		all = append(all, r.Instance)
 	}
 	return all
 }
 
-// ownersAmong returns the owners of engines that are among the live instances, and where
-// those are reached that are other instances.
+// ownersAmong returns the owners of engines that are among the live instances, and the addresses
+// of those owners that are other instances.
 func (h *Holder) ownersAmong(live map[netip.AddrPort]Instance) (owners map[netip.AddrPort]Owner, others []netip.AddrPort) {
 	owners = make(map[netip.AddrPort]Owner, len(h.owners))
 	peers := make(map[netip.AddrPort]bool)
 	for engine, o := range h.owners {
-		if h.mine(o.ownership) {
+		if h.ownedBySelf(o.ownership) {
 			owners[engine] = Owner{Instance: h.Self, Self: true}
 			continue
 		}
-		// One that has started again takes its engines back at once.
-		if i, ok := live[o.Machine]; ok {
+		// The incarnation is not compared: an owner that has restarted takes its engines back at
+		// once.
+		if i, ok := live[o.Peer]; ok {
 			owners[engine] = Owner{Instance: i}
 			if i.Peer != h.Self.Peer {
 				peers[i.Peer] = true
@@ -104,40 +107,40 @@
 	return owners, slices.Collect(maps.Keys(peers))
 }
 
-// live reports whether an instance's row has changed within a lease's duration.
-// While the table does not answer nobody's row changes and all stay as they were.
-func (h *Holder) live(s sighting) bool {
-	if s.Peer == h.Self.Peer {
+// live reports whether an instance's row has changed within the duration of a lease. While the
+// table does not answer, no row changes and the liveness of all instances stays as it was.
+func (h *Holder) live(r instanceRow) bool {
+	if r.Peer == h.Self.Peer {
 		return true
 	}
-	limit := orderTime + margin + staleRows
-	if s.Standby {
-		limit += 2 * standbyEvery
+	limit := orderTime + margin + maxRowAge
+	if r.Standby {
+		limit += 2 * standbyInterval
 	}
-	return h.heardAt()-s.since < limit
+	return h.livenessTime()-r.observedAt < limit
 }
 
-// heardAt is the time as of which the rows tell who lives: the last step in which the table
-// answered.
-func (h *Holder) heardAt() time.Duration {
-	if h.lost || h.stale {
-		return h.heard
+// livenessTime returns the time as of which the rows show which instances are live: now, or the
+// last step in which the table answered.
+func (h *Holder) livenessTime() time.Duration {
+	if h.renewalFailed || h.readFailed {
+		return h.answeredAt
 	}
 	return h.Clock()
 }
 
-// comparePower orders instances where duties for all are given to a few: the strongest
-// first.
-func comparePower(a, b sighting) int {
-	return cmp.Or(cmp.Compare(b.Power, a.Power), cmp.Compare(rank(forAll, b.hash), rank(forAll, a.hash)))
+// comparePower orders instances for duties that a few perform for all: by decreasing power, then
+// by rank.
+func comparePower(a, b instanceRow) int {
+	return cmp.Or(cmp.Compare(b.Power, a.Power), cmp.Compare(rank(noEngine, b.hash), rank(noEngine, a.hash)))
 }
 
-// forAll stands for the engine where instances rank for duties that concern no engine.
-var forAll = addressHash(netip.AddrPort{})
+// noEngine replaces the engine's hash where instances rank for duties that concern no engine.
+var noEngine = addressHash(netip.AddrPort{})
 
-// addressHash is an address's part of a rank.
+// addressHash returns the hash of an address from which ranks are calculated.
 func addressHash(a netip.AddrPort) uint64 { return sniperoute.Hash(a.String()) }
 
-// rank returns the value by which an instance ranks for an engine, given by the hashes of
-// their addresses.
+// rank returns the score of an instance for an engine; the highest score ranks first. Both are
+// given by the hashes of their addresses.
 func rank(engine, instance uint64) uint64 { return sniperoute.Score(engine, instance) }
