--- a/snipeowner/outage.go
+++ b/snipeowner/outage.go
@@ -215,12 +215,12 @@
 // During such an outage no instance can take over an engine, since a takeover is a write to the
 // store, and the grantors agree not to take over as soon as the store is back.
 func (h *Holder) RunProlong(ctx context.Context) error {
-	return snipetime.Every(ctx, extensionInterval, h.Prolong)
+	return snipetime.Every(ctx, extensionInterval, h.ExtendLease)
 }
 
-// Prolong requests a lease extension from the other instances if the right to order is about to
+// ExtendLease requests a lease extension from the other instances if the right to order is about to
 // end because the store does not answer.
-func (h *Holder) Prolong(ctx context.Context) {
+func (h *Holder) ExtendLease(ctx context.Context) {
 	asked := h.Clock()
 	engines, deadline := h.orderable(asked)
 	if h.Promise == nil || len(engines) == 0 || deadline-asked > extensionLead || !h.outage.storeLost(asked) {
