--- a/snipesignal/news.go
+++ b/snipesignal/news.go
@@ -3,108 +3,113 @@
 import "time"
 
 const (
-	// tellEvery is the time between two times that others are told of a limit that goes on, so
-	// that those that were not reached, or have just started, learn of it.
-	tellEvery = 5 * time.Second
-	// tellers is how many of those that share a limit do so; the others only if these did not.
-	tellers = 3
-	// pastLife is for how long the end of a limit is told: again by whoever heard of it, and to
-	// those that ask.
-	pastLife = 12 * time.Second
+	// announceInterval is the time between two announcements of a limit that continues, so that
+	// instances that missed an announcement or have just started receive it.
+	announceInterval = 5 * time.Second
+	// announcers is how many of the instances that share a limit, counted by rank, announce it at
+	// announceInterval. The others wait twice as long and announce it only if none of those did.
+	announcers = 3
+	// limitEndLife is how long the end of a limit is announced again by the instances that received
+	// it from the upstream, and how long Statements reports it.
+	limitEndLife = 12 * time.Second
 )
 
-// Statement is what an upstream was heard to say, as instances tell each other.
+// Statement is the state of an upstream, in the form in which instances exchange it.
 type Statement struct {
 	Upstream string
 	State
-	// Age is how long ago it said so.
+	// Age is the time since the upstream sent its limit or the end of it.
 	Age time.Duration
 }
 
-// news is what others were told of an upstream.
-type news struct {
-	// heard tells that something was heard from the upstream itself since then, ended that the end
-	// of a limit was.
-	heard bool
-	ended bool
-	// told is what they were last told, by whomever, and toldAt when that was.
-	told   State
-	toldAt time.Time
+// notifications tracks what the other instances were last notified of about one upstream.
+type notifications struct {
+	// received reports whether this instance has received a limit, the end of one or leaving from
+	// the upstream since it last notified the others. ended reports whether the last of these was
+	// the end of a limit, and no newer update has come from another instance.
+	received bool
+	ended    bool
+	// notified is the state that the other instances were last notified of, by any instance, and
+	// notifiedAt is the time of that notification.
+	notified   State
+	notifiedAt time.Time
 }
 
-// due reports whether others are to be told a state.
-func (n *news) due(e *entry, now time.Time) bool {
-	since := now.Sub(n.toldAt)
+// due reports whether the other instances must be notified of the state of an upstream.
+func (n *notifications) due(e *entry, now time.Time) bool {
+	since := now.Sub(n.notifiedAt)
 	switch {
-	case n.heard && !e.same(n.told):
+	case n.received && !e.similar(n.notified):
 		return true
 	case n.ended:
-		return since >= tellEvery && now.Sub(e.saidAt) < pastLife
-	case !n.heard || !e.Limited:
+		return since >= announceInterval && now.Sub(e.signaledAt) < limitEndLife
+	case !n.received || !e.Limited:
 		return false
-	case e.turn.part.Rank < tellers:
-		return since >= tellEvery
+	case e.slots.share.Rank < announcers:
+		return since >= announceInterval
 	default:
-		return since >= 2*tellEvery
+		return since >= 2*announceInterval
 	}
 }
 
-// News returns what this instance has heard of upstreams itself and others are to be told now. It
-// counts as told by that.
+// News returns the states of upstreams that other instances must be notified of now, and records
+// that they have been notified. It returns only states with a signal that this instance received
+// from the upstream itself.
 func (b *Book) News() []Statement {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
 	var all []Statement
-	for id, e := range b.known {
-		if !e.news.due(e, now) {
+	for id, e := range b.entries {
+		if !e.notifications.due(e, now) {
 			continue
 		}
-		e.news.heard, e.news.told, e.news.toldAt = false, e.State, now
-		all = append(all, Statement{id, e.State, now.Sub(e.saidAt)})
+		e.notifications.received, e.notifications.notified, e.notifications.notifiedAt = false, e.State, now
+		all = append(all, Statement{id, e.State, now.Sub(e.signaledAt)})
 	}
 	return all
 }
 
-// Statements returns the limits that stand, those that have lately ended, and who leaves.
+// Statements returns the states of the upstreams that have a limit, whose limit has ended within
+// limitEndLife, or that are leaving.
 func (b *Book) Statements() []Statement {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
 	var all []Statement
-	for id, e := range b.known {
-		age := now.Sub(e.saidAt)
-		if e.Limited || e.Leaving || !e.saidAt.IsZero() && age < pastLife {
+	for id, e := range b.entries {
+		age := now.Sub(e.signaledAt)
+		if e.Limited || e.Leaving || !e.signaledAt.IsZero() && age < limitEndLife {
 			all = append(all, Statement{id, e.State, age})
 		}
 	}
 	return all
 }
 
-// Learn takes what another instance tells. What is known here that is newer stands.
+// Learn merges states that another instance reports. A newer limit that is known here is kept.
 func (b *Book) Learn(all []Statement) {
 	for _, s := range all {
-		change, changed := b.learn(s)
-		b.tell(change, changed)
+		change, changed := b.merge(s)
+		b.reportChange(change, changed)
 	}
 }
 
-func (b *Book) learn(s Statement) (Change, bool) {
+func (b *Book) merge(s Statement) (Change, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
-	saidAt := now.Add(-max(s.Age, 0))
-	e := b.known[s.Upstream]
+	signaledAt := now.Add(-max(s.Age, 0))
+	e := b.entries[s.Upstream]
 	if e == nil && !s.Limited && !s.Leaving {
 		return Change{}, false
 	}
 	e = b.entry(s.Upstream)
-	if saidAt.After(e.saidAt) {
-		b.say(s.Upstream, e, s.Limit, s.Limited, saidAt, now)
-		e.news.ended = false
+	if signaledAt.After(e.signaledAt) {
+		b.setLimit(s.Upstream, e, s.Limit, s.Limited, signaledAt, now)
+		e.notifications.ended = false
 	}
 	e.Leaving = e.Leaving || s.Leaving
-	// Whoever has heard it has told the others.
-	e.news.told, e.news.toldAt = s.State, now
-	return e.change(s.Upstream, Instance)
+	// The instance that received the signal has notified the other instances too.
+	e.notifications.notified, e.notifications.notifiedAt = s.State, now
+	return e.pendingChange(s.Upstream, Instance)
 }
--- a/snipesignal/part.go
+++ b/snipesignal/part.go
@@ -3,54 +3,57 @@
 import "time"
 
 const (
-	// dividedShare is the part of a limit that is divided among instances, lookShare what those
-	// without a part use to learn whether it is still named. An upstream allows half as much
-	// more, which is for instances that do not know each other yet.
-	dividedShare = 0.9
-	lookShare    = 0.1
-	// spareParts is how many parts there are beside one for each request a second: each may
-	// be used at any moment, so that in a span of time there comes one request more for each.
-	spareParts = 4
-	// lookSlot is how long one that has no part may use its turn.
-	lookSlot = 2 * time.Second
-	// leastLimit is the limit, in requests a second, by which one of nearly nothing is divided:
-	// that it is over shows only in an answer.
-	leastLimit = 0.1
+	// sharedFraction is the fraction of a limit that is divided among the instances with a share.
+	// probeFraction is the fraction that all instances without a share may use together for probes,
+	// which find out whether the upstream still names the limit. An upstream tolerates half as much
+	// again as its limit; that margin is left for instances that do not know of each other yet and
+	// so take larger shares.
+	sharedFraction = 0.9
+	probeFraction  = 0.1
+	// spareShares is how many shares there are in addition to one for each request per second of
+	// the limit. A share that was not used may be used at any moment, so each share can add one
+	// request to those of any span of time.
+	spareShares = 4
+	// probeWindow is how long an instance without a share may use each of its send slots.
+	probeWindow = 2 * time.Second
+	// minLimit is the limit, in requests per second, that is divided in place of a smaller one.
+	// Some requests must still be sent, because only an answer shows that a limit is over.
+	minLimit = 0.1
 )
 
-// Part is one instance's part of a limit.
+// Part is the share of one instance in a limit.
 type Part struct {
-	// Interval is the least time between two requests, First the time from the beginning of the
-	// limit to the first one.
+	// Interval is the minimum time between two requests. First is the time from the start of the
+	// limit to the first request.
 	Interval time.Duration
 	First    time.Duration
-	// Slot is how long each turn may be used that an Interval begins; zero where one that was not
-	// used may be used at any time after it.
+	// Slot is how long a send slot may be used after it begins; one begins every Interval. If Slot
+	// is zero, an unused send slot may be used at any later time.
 	Slot time.Duration
-	// Rank is the instance's rank among those that share the limit.
+	// Rank is the rank of the instance among those that share the limit.
 	Rank int
 }
 
-// Divide returns the part of an instance, by its rank from 0 on, in a limit in requests a second
-// that so many instances share.
+// Divide returns the share of the instance with the given rank, which counts from 0, in a limit in
+// requests per second that the given number of instances share.
 func Divide(limit float64, instances, rank int) Part {
-	limit = max(limit, leastLimit)
+	limit = max(limit, minLimit)
 	instances = max(instances, rank+1)
-	parts := spareParts + int(min(limit, float64(instances)))
-	parts = min(parts, instances)
+	shares := spareShares + int(min(limit, float64(instances)))
+	shares = min(shares, instances)
 	p := Part{Rank: rank}
-	if rank < parts {
-		p.share(dividedShare*limit, parts, rank)
+	if rank < shares {
+		p.setIntervals(sharedFraction*limit, shares, rank)
 		return p
 	}
-	p.share(lookShare*limit, instances-parts, rank-parts)
-	p.Slot = lookSlot
+	p.setIntervals(probeFraction*limit, instances-shares, rank-shares)
+	p.Slot = probeWindow
 	return p
 }
 
-// share makes it the part of one that shares requests a second equally with others, each in its
-// turn.
-func (p *Part) share(perSecond float64, sharers, place int) {
+// setIntervals sets the interval and the first send time of one of several sharers, which send
+// perSecond requests per second in total and take turns in the order of their index.
+func (p *Part) setIntervals(perSecond float64, sharers, index int) {
 	p.Interval = time.Duration(float64(sharers) / perSecond * float64(time.Second))
-	p.First = time.Duration(float64(p.Interval) * float64(place+1) / float64(sharers))
+	p.First = time.Duration(float64(p.Interval) * float64(index+1) / float64(sharers))
 }
--- a/snipesignal/rest.go
+++ b/snipesignal/rest.go
@@ -3,51 +3,53 @@
 import "time"
 
 const (
-	// tryTime is for how long the first request after a rest goes alone: until its answer has
-	// come, or will not come soon.
-	tryTime = time.Second
-	// returnPace is the time between two callers that are told to come back after a rest.
-	returnPace = 20 * time.Millisecond
+	// probeTimeout is how long the first request after a backoff is sent alone: until its answer
+	// has arrived or is no longer expected soon.
+	probeTimeout = time.Second
+	// retrySpacing is the time between the retry times given to two callers that were refused
+	// during a backoff.
+	retrySpacing = 20 * time.Millisecond
 )
 
-// rest is the rest that an upstream wants from this instance.
-type rest struct {
+// backoff is the pause that an upstream has asked this instance for.
+type backoff struct {
 	until time.Time
-	// trying tells that the upstream has not served a request since, tried when the last one went.
-	trying bool
-	tried  time.Time
-	// promised is the time that a refused caller was told last.
-	promised time.Time
+	// unconfirmed reports whether the upstream has not served a request since the backoff. probedAt
+	// is when the last request was sent.
+	unconfirmed bool
+	probedAt    time.Time
+	// lastRetry is the retry time that was last given to a refused caller.
+	lastRetry time.Time
 }
 
-// ask notes that the upstream wants to be left alone, and reports whether it did not rest before.
-// Of several times the one that ends last counts.
-func (r *rest) ask(d time.Duration, now time.Time) (begins bool) {
+// extend records that the upstream has asked for a pause, and reports whether no backoff was in
+// force before. If the upstream asks for several pauses, the one that ends last applies.
+func (r *backoff) extend(d time.Duration, now time.Time) (begins bool) {
 	until := now.Add(d)
 	if !until.After(r.until) {
 		return false
 	}
 	begins = !now.Before(r.until)
-	r.until, r.trying, r.tried = until, true, time.Time{}
+	r.until, r.unconfirmed, r.probedAt = until, true, time.Time{}
 	return begins
 }
 
-// served notes that the upstream has answered a request.
-func (r *rest) served(now time.Time) {
+// served records that the upstream has answered a request.
+func (r *backoff) served(now time.Time) {
 	if !now.Before(r.until) {
-		r.trying = false
+		r.unconfirmed = false
 	}
 }
 
-// open reports whether a request may go: none in a rest, and after it one that shows whether the
-// upstream serves again.
-func (r *rest) open(now time.Time) bool {
-	return !now.Before(r.until) && (!r.trying || now.Sub(r.tried) >= tryTime)
+// open reports whether a request may be sent. No request may be sent during a backoff. After it,
+// one request is allowed every probeTimeout until the upstream has served one.
+func (r *backoff) open(now time.Time) bool {
+	return !now.Before(r.until) && (!r.unconfirmed || now.Sub(r.probedAt) >= probeTimeout)
 }
 
-// free is the time of the first request that nobody was promised.
-func (r *rest) free() time.Time {
-	if at := r.promised.Add(returnPace); at.After(r.until) {
+// nextRetry returns the earliest retry time that no caller has been given.
+func (r *backoff) nextRetry() time.Time {
+	if at := r.lastRetry.Add(retrySpacing); at.After(r.until) {
 		return at
 	}
 	return r.until
--- a/snipesignal/rest_test.go
+++ b/snipesignal/rest_test.go
@@ -12,29 +12,32 @@
 
 const second = time.Second
 
-// asks returns what an answer says that asks for rest.
-func asks(rest time.Duration) snipesignal.Signal { return snipesignal.Signal{Rest: rest} }
+// backoffSignal returns a signal that asks for a backoff.
+func backoffSignal(backoff time.Duration) snipesignal.Signal {
+	return snipesignal.Signal{Rest: backoff}
+}
 
-// TestRest guards against requests to an upstream in the rest that it has asked for, also when a
-// shorter rest is asked for after a longer one, and against all that wait coming at its end.
+// TestRest guards against requests to an upstream during the backoff that it asked for, also when
+// it asks for a shorter backoff after a longer one, and against all waiting requests being sent at
+// once when the backoff ends.
 func TestRest(t *testing.T) {
 	type step struct {
-		// at is when, hear what an answer says that comes then; nil for none.
-		at   time.Duration
-		hear *snipesignal.Signal
-		// want tells whether a request may go then. One that may is sent.
+		// at is when the step happens, and signal is the signal that arrives then; nil for none.
+		at     time.Duration
+		signal *snipesignal.Signal
+		// want reports whether a request may be sent then. If it may, the test sends one.
 		want bool
 	}
-	say := func(s snipesignal.Signal) *snipesignal.Signal { return &s }
-	served := say(snipesignal.Signal{})
+	pointer := func(s snipesignal.Signal) *snipesignal.Signal { return &s }
+	served := pointer(snipesignal.Signal{})
 	tests := map[string][]step{
-		"Kept":         {{0, say(asks(3 * second)), false}, {2999 * time.Millisecond, nil, false}, {3 * second, nil, true}},
-		"LongestEnd":   {{0, say(asks(3 * second)), false}, {second, say(asks(second)), false}, {2500 * time.Millisecond, nil, false}, {3 * second, nil, true}},
-		"Prolonged":    {{0, say(asks(3 * second)), false}, {2 * second, say(asks(3 * second)), false}, {4 * second, nil, false}, {5 * second, nil, true}},
-		"OneFirst":     {{0, say(asks(second)), false}, {second, nil, true}, {1010 * time.Millisecond, nil, false}, {1020 * time.Millisecond, served, true}, {1021 * time.Millisecond, nil, true}},
-		"NoAnswer":     {{0, say(asks(second)), false}, {second, nil, true}, {1500 * time.Millisecond, nil, false}, {2 * second, nil, true}},
-		"Again":        {{0, say(asks(second)), false}, {second, nil, true}, {1100 * time.Millisecond, say(asks(second)), false}, {2 * second, nil, false}, {2100 * time.Millisecond, nil, true}},
-		"FormerAnswer": {{0, say(asks(3 * second)), false}, {second, served, false}, {3 * second, nil, true}, {3001 * time.Millisecond, nil, false}},
+		"Kept":         {{0, pointer(backoffSignal(3 * second)), false}, {2999 * time.Millisecond, nil, false}, {3 * second, nil, true}},
+		"LongestEnd":   {{0, pointer(backoffSignal(3 * second)), false}, {second, pointer(backoffSignal(second)), false}, {2500 * time.Millisecond, nil, false}, {3 * second, nil, true}},
+		"Prolonged":    {{0, pointer(backoffSignal(3 * second)), false}, {2 * second, pointer(backoffSignal(3 * second)), false}, {4 * second, nil, false}, {5 * second, nil, true}},
+		"OneFirst":     {{0, pointer(backoffSignal(second)), false}, {second, nil, true}, {1010 * time.Millisecond, nil, false}, {1020 * time.Millisecond, served, true}, {1021 * time.Millisecond, nil, true}},
+		"NoAnswer":     {{0, pointer(backoffSignal(second)), false}, {second, nil, true}, {1500 * time.Millisecond, nil, false}, {2 * second, nil, true}},
+		"Again":        {{0, pointer(backoffSignal(second)), false}, {second, nil, true}, {1100 * time.Millisecond, pointer(backoffSignal(second)), false}, {2 * second, nil, false}, {2100 * time.Millisecond, nil, true}},
+		"FormerAnswer": {{0, pointer(backoffSignal(3 * second)), false}, {second, served, false}, {3 * second, nil, true}, {3001 * time.Millisecond, nil, false}},
 	}
 	for name, steps := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -43,8 +46,8 @@
 				begun := time.Now()
 				for _, s := range steps {
 					time.Sleep(s.at - time.Since(begun))
-					if s.hear != nil {
-						b.Hear(upstream, time.Now(), *s.hear)
+					if s.signal != nil {
+						b.Hear(upstream, time.Now(), *s.signal)
 					}
 					must.Eq(t, s.want, b.Open(upstream), must.Sprint(s.at))
 					_, ok := b.Take(upstream)
@@ -55,45 +58,46 @@
 	}
 }
 
-// TestRestIsOnesOwn guards against a rest that binds other instances than the one that was asked.
+// TestRestIsOnesOwn guards against a backoff that also stops instances other than the one that the
+// upstream asked for it.
 func TestRestIsOnesOwn(t *testing.T) {
-	one, other := &snipesignal.Book{}, &snipesignal.Book{}
-	one.Hear(upstream, time.Now(), asks(second))
-	other.Learn(one.News())
-	other.Learn(one.Statements())
-	must.False(t, one.Open(upstream))
+	asked, other := &snipesignal.Book{}, &snipesignal.Book{}
+	asked.Hear(upstream, time.Now(), backoffSignal(second))
+	other.Learn(asked.News())
+	other.Learn(asked.Statements())
+	must.False(t, asked.Open(upstream))
 	must.True(t, other.Open(upstream))
 }
 
-// TestRestNotSent guards against a request that is the first after a rest, reaches nothing, and holds
-// the others up.
+// TestRestNotSent guards against requests that are held up because the first request after a
+// backoff took the send slot and could not be sent.
 func TestRestNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipesignal.Book{}
-		b.Hear(upstream, time.Now(), asks(second))
+		b.Hear(upstream, time.Now(), backoffSignal(second))
 		time.Sleep(second)
-		giveBack, ok := b.Take(upstream)
+		undo, ok := b.Take(upstream)
 		must.True(t, ok)
 		must.False(t, b.Open(upstream))
-		giveBack()
+		undo()
 		must.True(t, b.Open(upstream))
 	})
 }
 
-// TestPromiseAfterRest guards against refused callers that are told to come back within the rest, or
+// TestPromiseAfterRest guards against refused callers that are told to retry during the backoff, or
 // all at the same moment after it.
 func TestPromiseAfterRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipesignal.Book{}
-		b.Hear(upstream, time.Now(), asks(3*second))
-		b.Hear("u2", time.Now(), asks(2*second))
-		last := time.Duration(0)
+		b.Hear(upstream, time.Now(), backoffSignal(3*second))
+		b.Hear("u2", time.Now(), backoffSignal(2*second))
+		previous := time.Duration(0)
 		for range 10 {
 			wait, ok := b.Promise([]string{upstream, "u2", "unknown"})
 			must.True(t, ok)
 			must.Between(t, 2*second, wait, 2500*time.Millisecond)
-			must.Greater(t, last, wait)
-			last = wait
+			must.Greater(t, previous, wait)
+			previous = wait
 		}
 		time.Sleep(3 * second)
 		_, ok := b.Promise([]string{upstream, "u2"})
--- a/snipesignal/snipesignal.go
+++ b/snipesignal/snipesignal.go
@@ -1,21 +1,25 @@
-// Package snipesignal keeps what upstreams say of themselves in their answers, beside what an
-// answer says to its request, and which requests may go to them by it.
+// Package snipesignal tracks the signals that upstreams send about themselves in their answers (a
+// limit, leaving, a requested backoff), and decides from them which requests may be sent to
+// an upstream.
 //
-// Design. An upstream in need names how many requests a second it takes from all instances
-// together. Each instance uses a part of that limit without asking anybody: Divide gives the parts
-// to so few of them, by rank, that all together stay within the limit even if each sends its next
-// request at the same moment. The others leave the upstream alone, but for a rare request by which
-// they learn that the limit is over; instances tell each other of that as well.
+// Design. An overloaded upstream names how many requests per second it accepts from all instances
+// together. Each instance uses a share of that limit without a message to any other instance:
+// Divide gives shares to only so many instances, by rank, that all together stay within the limit
+// even if each of them sends its next request at the same moment. The other instances send the
+// upstream nothing except a rare request that detects the end of the limit. Instances also notify
+// each other of limits and of their end.
 //
 // Invariants:
 //
-//   - What an upstream said stands until it has said otherwise in the answer to a request that
-//     was sent after that: answers overtake each other.
-//   - What is kept is kept by the identifier of one start of an upstream, and holds for no other.
-//   - Between two requests of one instance to an upstream that names a limit lies its part's
-//     interval.
-//   - An upstream that has asked an instance for rest gets nothing from it until the end of that,
-//     and then one request first. Rest is between the two: other instances are not told.
+//   - A signal of an upstream holds until the answer to a request that was sent after it says
+//     otherwise, because answers overtake each other.
+//   - State is kept under the identifier of one start of an upstream, and applies to no other
+//     start.
+//   - Two requests of one instance to an upstream that names a limit are separated by the interval
+//     of the instance's share.
+//   - An upstream that has asked an instance for a backoff receives no request from it until the
+//     backoff ends, and then a single request first. A backoff applies to that instance only: other
+//     instances are not notified.
 package snipesignal
 
 import (
@@ -24,194 +28,197 @@
 	"time"
 )
 
-// Signal is what one answer says of its upstream.
+// Signal is the signal that one answer carries about its upstream.
 type Signal struct {
-	// Limit is how many requests a second the upstream takes from all instances together, where
-	// it is Limited.
+	// Limit is how many requests per second the upstream accepts from all instances together. It is
+	// set only if Limited is true.
 	Limit   float64
 	Limited bool
-	// Leaving upstreams take no new work.
+	// Leaving reports that the upstream accepts no new work.
 	Leaving bool
-	// Rest is for how long the upstream wants to be left alone by the instance that it has
-	// answered; zero for no time.
+	// Rest is the backoff that the upstream asks of the instance that it answers; zero for none.
 	Rest time.Duration
-	// Wrong is what could not be understood, for the log; empty for nothing.
+	// Wrong describes what could not be parsed, for the log; empty if everything could.
 	Wrong string
 }
 
-// State is what is known of an upstream, by whichever instance.
+// State is the known state of an upstream, from its answers to any instance.
 type State struct {
 	Limit   float64
 	Limited bool
 	Leaving bool
 }
 
-// sameLimit is by what part of it a limit may differ from another one that says the same.
-const sameLimit = 0.1
+// limitTolerance is the relative difference up to which two limits count as the same.
+const limitTolerance = 0.1
 
-// same reports whether two states say the same, by and large: limits may change with each answer.
-func (s State) same(other State) bool {
+// similar reports whether two states are equal up to limitTolerance: an upstream may name a
+// slightly different limit in each answer.
+func (s State) similar(other State) bool {
 	difference := max(s.Limit, other.Limit) - min(s.Limit, other.Limit)
-	return s.Limited == other.Limited && s.Leaving == other.Leaving && difference <= sameLimit*max(s.Limit, other.Limit)
+	return s.Limited == other.Limited && s.Leaving == other.Leaving && difference <= limitTolerance*max(s.Limit, other.Limit)
 }
 
-// Source is from whom a state is known.
+// Source is the kind of sender from which a state was received.
 type Source string
 
-// The sources.
+// Sources of a state.
 const (
-	// Answer: an upstream's answer to this instance.
+	// Answer is an answer of the upstream to this instance.
 	Answer Source = "Answer"
-	// Instance: another instance.
+	// Instance is another instance.
 	Instance Source = "Instance"
 )
 
-// Change is a change of what is known of an upstream.
+// Change is a change of the known state of an upstream.
 type Change struct {
 	Upstream string
 	Before   State
 	Now      State
 	Source   Source
-	// Part is this instance's part of the limit.
+	// Part is the share of this instance in the limit.
 	Part Part
 }
 
-// Book is what one instance knows. Exported fields are set before the first call; it is safe for
-// concurrent use.
+// Book tracks the signals of all upstreams for one instance. Exported fields are set before the
+// first call. It is safe for concurrent use.
 type Book struct {
-	// Part returns this instance's part of an upstream's limit; nil for all of it.
+	// Part returns the share of this instance in the limit of an upstream. If it is nil, the
+	// instance uses the whole limit.
 	Part func(upstream string, limit float64) Part
-	// Changed is told of each change, Rested when an upstream asks for rest that did not rest,
-	// Wrong once of each upstream that says what cannot be understood; nil for nobody. They are
-	// called without a lock.
+	// Changed is called for each change, Rested when an upstream asks for a backoff while none is
+	// in force, and Wrong once for each upstream that sends a signal that cannot be parsed. Each
+	// may be nil. They are called without the lock held.
 	Changed func(c Change)
-	Rested  func(upstream string, rest time.Duration)
+	Rested  func(upstream string, backoff time.Duration)
 	Wrong   func(upstream, text string)
 
-	lock  sync.Mutex // guards known
-	known map[string]*entry
+	lock    sync.Mutex // guards entries
+	entries map[string]*entry
 }
 
-// entry is what is known of one upstream.
+// entry is the known state of one upstream.
 type entry struct {
 	State
-	// saidAt is when the upstream last said so, to whichever instance.
-	saidAt time.Time
-	// shown is the state of which Changed was told last.
-	shown State
-	// news is what others are told.
-	news news
-	rest rest
-	// turn is which requests may go to the upstream.
-	turn turn
-	// wrong tells that it once said what cannot be understood.
-	wrong bool
-}
-
-// Hear takes what an answer says that has just come; sent is when its request was.
+	// signaledAt is when the upstream last sent its limit, or the end of it, to any instance.
+	signaledAt time.Time
+	// reported is the state that was last passed to Changed.
+	reported State
+	// notifications tracks what the other instances have been notified of.
+	notifications notifications
+	backoff       backoff
+	// slots determines when requests may be sent while there is a limit.
+	slots sendSlots
+	// invalid reports whether the upstream has sent a signal that cannot be parsed.
+	invalid bool
+}
+
+// Hear records the signal of an answer that has just arrived. sent is when its request was sent.
 func (b *Book) Hear(upstream string, sent time.Time, s Signal) {
 	b.lock.Lock()
-	if b.known[upstream] == nil && s == (Signal{}) {
+	if b.entries[upstream] == nil && s == (Signal{}) {
 		b.lock.Unlock()
 		return
 	}
 	e := b.entry(upstream)
 	now := time.Now()
-	wrong, rested := e.hearWrong(s), false
+	invalid, backedOff := e.recordInvalid(s), false
 	if s.Rest > 0 {
-		rested = e.rest.ask(s.Rest, now)
+		backedOff = e.backoff.extend(s.Rest, now)
 	} else {
-		e.rest.served(now)
+		e.backoff.served(now)
 	}
-	if s.Limited || e.Limited && sent.After(e.saidAt) {
-		b.say(upstream, e, s.Limit, s.Limited, now, now)
-		e.news.heard, e.news.ended = true, !s.Limited
+	if s.Limited || e.Limited && sent.After(e.signaledAt) {
+		b.setLimit(upstream, e, s.Limit, s.Limited, now, now)
+		e.notifications.received, e.notifications.ended = true, !s.Limited
 	}
 	if s.Leaving {
-		e.Leaving, e.news.heard = true, true
+		e.Leaving, e.notifications.received = true, true
 	}
-	change, changed := e.change(upstream, Answer)
+	change, changed := e.pendingChange(upstream, Answer)
 	b.lock.Unlock()
-	if wrong && b.Wrong != nil {
+	if invalid && b.Wrong != nil {
 		b.Wrong(upstream, s.Wrong)
 	}
-	if rested && b.Rested != nil {
+	if backedOff && b.Rested != nil {
 		b.Rested(upstream, s.Rest)
 	}
-	b.tell(change, changed)
+	b.reportChange(change, changed)
 }
 
-// hearWrong notes what cannot be understood, and reports whether it is the first time.
-func (e *entry) hearWrong(s Signal) bool {
-	if s.Wrong == "" || e.wrong {
+// recordInvalid records a signal that cannot be parsed, and reports whether it is the first one.
+func (e *entry) recordInvalid(s Signal) bool {
+	if s.Wrong == "" || e.invalid {
 		return false
 	}
-	e.wrong = true
+	e.invalid = true
 	return true
 }
 
-// say notes a limit, or that there is none, as of when an upstream said it. The lock is held.
-func (b *Book) say(upstream string, e *entry, limit float64, limited bool, saidAt, now time.Time) {
+// setLimit records a limit, or its end, as of the time at which the upstream sent it. The lock must
+// be held.
+func (b *Book) setLimit(upstream string, e *entry, limit float64, limited bool, signaledAt, now time.Time) {
 	begins := limited && !e.Limited
 	changes := limited && limit != e.Limit
-	e.Limit, e.Limited, e.saidAt = limit, limited, saidAt
+	e.Limit, e.Limited, e.signaledAt = limit, limited, signaledAt
 	switch {
 	case begins:
-		e.turn.begin(b.part(upstream, limit), now)
+		e.slots.begin(b.share(upstream, limit), now)
 	case changes:
-		e.turn.change(b.part(upstream, limit), now)
+		e.slots.setShare(b.share(upstream, limit), now)
 	}
 }
 
-// entry returns what is known of an upstream, to be changed. The lock is held.
+// entry returns the entry of an upstream, and creates it if there is none. The lock must be held.
 func (b *Book) entry(upstream string) *entry {
-	if b.known == nil {
-		b.known = make(map[string]*entry)
+	if b.entries == nil {
+		b.entries = make(map[string]*entry)
 	}
-	if b.known[upstream] == nil {
-		b.known[upstream] = &entry{}
+	if b.entries[upstream] == nil {
+		b.entries[upstream] = &entry{}
 	}
-	return b.known[upstream]
+	return b.entries[upstream]
 }
 
-// change returns what has changed since Changed was told last, if anything has.
-func (e *entry) change(upstream string, source Source) (Change, bool) {
-	if e.same(e.shown) {
+// pendingChange returns the change since the last one that was passed to Changed, if there is any,
+// and records it as passed.
+func (e *entry) pendingChange(upstream string, source Source) (Change, bool) {
+	if e.similar(e.reported) {
 		return Change{}, false
 	}
-	c := Change{Upstream: upstream, Before: e.shown, Now: e.State, Source: source, Part: e.turn.part}
-	e.shown = e.State
+	c := Change{Upstream: upstream, Before: e.reported, Now: e.State, Source: source, Part: e.slots.share}
+	e.reported = e.State
 	return c, true
 }
 
-func (b *Book) tell(c Change, changed bool) {
+func (b *Book) reportChange(c Change, changed bool) {
 	if changed && b.Changed != nil {
 		b.Changed(c)
 	}
 }
 
-// Limited reports whether an upstream names a limit.
+// Limited reports whether an upstream has a limit in force.
 func (b *Book) Limited(upstream string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	e := b.known[upstream]
+	e := b.entries[upstream]
 	return e != nil && e.Limited
 }
 
-// Leaving reports whether an upstream has said that it leaves.
+// Leaving reports whether an upstream has signaled that it is leaving.
 func (b *Book) Leaving(upstream string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	e := b.known[upstream]
+	e := b.entries[upstream]
 	return e != nil && e.Leaving
 }
 
-// CountLimited returns how many upstreams name a limit.
+// CountLimited returns how many upstreams have a limit in force.
 func (b *Book) CountLimited() int {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	n := 0
-	for _, e := range b.known {
+	for _, e := range b.entries {
 		if e.Limited {
 			n++
 		}
@@ -219,9 +226,9 @@
 	return n
 }
 
-// Keep forgets all upstreams but some.
+// Keep removes the state of all upstreams for which registered returns false.
 func (b *Book) Keep(registered func(upstream string) bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	maps.DeleteFunc(b.known, func(id string, _ *entry) bool { return !registered(id) })
+	maps.DeleteFunc(b.entries, func(id string, _ *entry) bool { return !registered(id) })
 }
--- a/snipesignal/turn.go
+++ b/snipesignal/turn.go
@@ -3,108 +3,112 @@
 import "time"
 
 const (
-	// partLife is for how long a part counts before it is asked for again: instances come and go.
-	partLife = time.Second
-	// lookAfter is how long nothing may have been heard of a limit for those without a part to
-	// look whether it still stands: some of the times at which others tell of it.
-	lookAfter = 3 * tellEvery
-	// mostPromised is the longest time that a refused caller is told.
-	mostPromised = 5 * time.Second
+	// shareLife is how long a share is used before it is computed again, because instances start
+	// and stop.
+	shareLife = time.Second
+	// probeAfter is how long an instance without a share must have received no update of a limit
+	// before it probes whether the limit still holds: several announcement intervals.
+	probeAfter = 3 * announceInterval
+	// maxRetryAfter is the longest time after which a refused caller is told to retry.
+	maxRetryAfter = 5 * time.Second
 )
 
-// turn is which requests of this instance may go to an upstream that names a limit.
-type turn struct {
-	part   Part
-	partAt time.Time
-	// next is from when on a request may go, promised the time of the last one that a refused
-	// caller was told to send.
-	next     time.Time
-	promised time.Time
+// sendSlots determines when this instance may send requests to an upstream that names a limit.
+type sendSlots struct {
+	share   Part
+	shareAt time.Time
+	// next is the earliest time of the next request. lastRetry is the retry time that was last
+	// given to a refused caller.
+	next      time.Time
+	lastRetry time.Time
 }
 
-// begin begins a limit.
-func (t *turn) begin(p Part, now time.Time) {
-	*t = turn{part: p, partAt: now, next: now.Add(p.First)}
+// begin starts a limit.
+func (s *sendSlots) begin(p Part, now time.Time) {
+	*s = sendSlots{share: p, shareAt: now, next: now.Add(p.First)}
 }
 
-// change takes another part.
-func (t *turn) change(p Part, now time.Time) {
-	t.part, t.partAt = p, now
-	if latest := now.Add(p.Interval); t.next.After(latest) {
-		t.next = latest
+// setShare replaces the share.
+func (s *sendSlots) setShare(p Part, now time.Time) {
+	s.share, s.shareAt = p, now
+	if latest := now.Add(p.Interval); s.next.After(latest) {
+		s.next = latest
 	}
 }
 
-// open reports whether a request may go; said is how long ago the limit was last heard of.
-func (t *turn) open(now time.Time, said time.Duration) bool {
-	since := now.Sub(t.next)
-	if t.part.Slot == 0 || since < 0 {
+// open reports whether a request may be sent. sinceSignal is the time since the upstream last named
+// the limit, as far as this instance has been notified. An instance without a share may send only
+// while each send slot lasts, and only after probeAfter without an update.
+func (s *sendSlots) open(now time.Time, sinceSignal time.Duration) bool {
+	since := now.Sub(s.next)
+	if s.share.Slot == 0 || since < 0 {
 		return since >= 0
 	}
-	return said >= lookAfter && since%t.part.Interval < t.part.Slot
+	return sinceSignal >= probeAfter && since%s.share.Interval < s.share.Slot
 }
 
-// use uses the turn that is open.
-func (t *turn) use(now time.Time) {
-	if t.part.Slot == 0 {
-		t.next = now.Add(t.part.Interval)
+// use takes the send slot that is open.
+func (s *sendSlots) use(now time.Time) {
+	if s.share.Slot == 0 {
+		s.next = now.Add(s.share.Interval)
 		return
 	}
-	passed := now.Sub(t.next) / t.part.Interval
-	t.next = t.next.Add((passed + 1) * t.part.Interval)
+	passed := now.Sub(s.next) / s.share.Interval
+	s.next = s.next.Add((passed + 1) * s.share.Interval)
 }
 
-// part returns this instance's part of an upstream's limit.
-func (b *Book) part(upstream string, limit float64) Part {
+// share returns the share of this instance in the limit of an upstream.
+func (b *Book) share(upstream string, limit float64) Part {
 	if b.Part == nil {
 		return Divide(limit, 1, 0)
 	}
 	return b.Part(upstream, limit)
 }
 
-// Open reports whether a request may go to an upstream now.
+// Open reports whether a request may be sent to an upstream now.
 func (b *Book) Open(upstream string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	e := b.known[upstream]
+	e := b.entries[upstream]
 	return e == nil || e.open(time.Now())
 }
 
 func (e *entry) open(now time.Time) bool {
-	return e.rest.open(now) && (!e.Limited || e.turn.open(now, now.Sub(e.saidAt)))
+	return e.backoff.open(now) && (!e.Limited || e.slots.open(now, now.Sub(e.signaledAt)))
 }
 
-// Take counts a request that is about to be sent to an upstream; false if it may not be. The
-// returned function gives back what a request took that was not sent after all.
-func (b *Book) Take(upstream string) (giveBack func(), ok bool) {
+// Take takes the send slot for a request that is about to be sent to an upstream. It returns false
+// if the request may not be sent. The returned function must be called if the request was not sent
+// after all: it makes the send slot available again.
+func (b *Book) Take(upstream string) (undo func(), ok bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	e := b.known[upstream]
+	e := b.entries[upstream]
 	if e == nil {
 		return func() {}, true
 	}
 	now := time.Now()
-	if e.Limited && now.Sub(e.turn.partAt) >= partLife {
-		e.turn.change(b.part(upstream, e.Limit), now)
+	if e.Limited && now.Sub(e.slots.shareAt) >= shareLife {
+		e.slots.setShare(b.share(upstream, e.Limit), now)
 	}
 	if !e.open(now) {
 		return nil, false
 	}
-	next, tried := e.turn.next, e.rest.tried
+	next, probedAt := e.slots.next, e.backoff.probedAt
 	if e.Limited {
-		e.turn.use(now)
+		e.slots.use(now)
 	}
-	e.rest.tried = now
+	e.backoff.probedAt = now
 	return func() {
 		b.lock.Lock()
 		defer b.lock.Unlock()
-		e.turn.next, e.rest.tried = next, tried
+		e.slots.next, e.backoff.probedAt = next, probedAt
 	}, true
 }
 
-// Promise returns when a request may come back that could be sent to none of some upstreams, since
-// they want rest or have named limits: each caller is told another time. It is false where none of
-// them does.
+// Promise returns the time after which a request that could be sent to none of the given upstreams
+// may be retried. It considers the upstreams that have named a limit or asked for a backoff, and
+// gives each caller another time. It returns false if there is no such upstream.
 func (b *Book) Promise(upstreams []string) (time.Duration, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -112,34 +116,34 @@
 	var first *entry
 	var soonest time.Time
 	for _, id := range upstreams {
-		e := b.known[id]
-		if e == nil || !e.Limited && !now.Before(e.rest.until) {
+		e := b.entries[id]
+		if e == nil || !e.Limited && !now.Before(e.backoff.until) {
 			continue
 		}
-		if at := e.free(); first == nil || at.Before(soonest) {
+		if at := e.nextRetry(); first == nil || at.Before(soonest) {
 			first, soonest = e, at
 		}
 	}
 	if first == nil {
 		return 0, false
 	}
-	first.turn.promised, first.rest.promised = soonest, soonest
-	return min(max(soonest.Sub(now), returnPace), mostPromised), true
+	first.slots.lastRetry, first.backoff.lastRetry = soonest, soonest
+	return min(max(soonest.Sub(now), retrySpacing), maxRetryAfter), true
 }
 
-// free is the time of the first request that nobody was promised.
-func (e *entry) free() time.Time {
-	at := e.rest.free()
-	if e.Limited && e.turn.free().After(at) {
-		return e.turn.free()
+// nextRetry returns the earliest retry time that no caller has been given.
+func (e *entry) nextRetry() time.Time {
+	at := e.backoff.nextRetry()
+	if e.Limited && e.slots.nextRetry().After(at) {
+		return e.slots.nextRetry()
 	}
 	return at
 }
 
-// free is the time of the first request that nobody was promised.
-func (t *turn) free() time.Time {
-	if at := t.promised.Add(t.part.Interval); at.After(t.next) {
+// nextRetry returns the earliest time of a send slot that no caller has been given.
+func (s *sendSlots) nextRetry() time.Time {
+	if at := s.lastRetry.Add(s.share.Interval); at.After(s.next) {
 		return at
 	}
-	return t.next
+	return s.next
 }
--- a/snipesignal/world_test.go
+++ b/snipesignal/world_test.go
@@ -17,70 +17,72 @@
 
 const (
 	upstream = "u1"
-	// step is how finely the world moves, way how long a request or its answer takes.
-	step = 5 * time.Millisecond
-	way  = 5 * time.Millisecond
-	// tellPace is the time between two times that instances tell each other what is new.
-	tellPace = 80 * time.Millisecond
+	// tick is the time step of the simulation, and latency the time that a request or its answer
+	// takes.
+	tick    = 5 * time.Millisecond
+	latency = 5 * time.Millisecond
+	// updateInterval is the time between two exchanges of updates among the instances.
+	updateInterval = 80 * time.Millisecond
 )
 
-// world is an upstream before many instances without a network. Instances are asked for requests at
-// random moments and send what their books let pass.
-type world struct {
+// simulation simulates one upstream and many instances without a network. Each instance gets
+// requests at random moments, and sends those that its Book allows.
+type simulation struct {
 	rand  *rand.Rand
 	limit float64
-	// limited tells that the upstream names its limit.
+	// limited reports whether the upstream names its limit.
 	limited   bool
-	instances []*peer
+	instances []*instance
 	arrivals  []snipestand.Arrival
 	answers   []answer
-	steps     int
+	ticks     int
 }
 
-// peer is an instance of the world.
-type peer struct {
+// instance is an instance of the simulation.
+type instance struct {
 	name   string
 	book   *snipesignal.Book
 	demand float64
-	// known is how many instances it thinks there are.
+	// known is how many instances it knows of.
 	known int
-	// cut instances reach no other one.
-	cut bool
+	// partitioned instances reach no other instance.
+	partitioned bool
 }
 
-// answer is one on its way.
+// answer is an answer that has not arrived yet.
 type answer struct {
-	to     *peer
+	to     *instance
 	at     time.Time
 	sent   time.Time
 	signal snipesignal.Signal
 }
 
-// divide gives an instance its part; see snipesignal.Divide.
+// divide returns the share of an instance; see snipesignal.Divide.
 type divide func(limit float64, instances, rank int) snipesignal.Part
 
-func newWorld(seed uint64, count int, d divide) *world {
-	w := &world{rand: rand.New(rand.NewPCG(seed, 1))}
+func newSimulation(seed uint64, count int, d divide) *simulation {
+	s := &simulation{rand: rand.New(rand.NewPCG(seed, 1))}
 	for range count {
-		w.add(count, d)
+		s.add(count, d)
 	}
-	return w
+	return s
 }
 
-// add starts an instance that thinks that there are so many.
-func (w *world) add(known int, d divide) {
-	p := &peer{name: fmt.Sprint("i", len(w.instances)), known: known}
+// add starts an instance that knows of the given number of instances.
+func (s *simulation) add(known int, d divide) {
+	p := &instance{name: fmt.Sprint("i", len(s.instances)), known: known}
 	p.book = &snipesignal.Book{Part: func(upstream string, limit float64) snipesignal.Part {
-		return d(limit, p.known, w.rank(p, upstream))
+		return d(limit, p.known, s.rank(p, upstream))
 	}}
-	w.instances = append(w.instances, p)
+	s.instances = append(s.instances, p)
 }
 
-// rank returns an instance's rank among those that it knows: the first ones of all.
-func (w *world) rank(p *peer, upstream string) int {
+// rank returns the rank of an instance among the instances that it knows of, which are the first
+// ones of all.
+func (s *simulation) rank(p *instance, upstream string) int {
 	key := sniperoute.Hash(upstream)
 	own, rank := sniperoute.Score(key, sniperoute.Hash(p.name)), 0
-	for _, other := range w.instances[:min(p.known, len(w.instances))] {
+	for _, other := range s.instances[:min(p.known, len(s.instances))] {
 		if other != p && sniperoute.Score(key, sniperoute.Hash(other.name)) > own {
 			rank++
 		}
@@ -88,9 +90,10 @@
 	return rank
 }
 
-// ask spreads so many requests a second over the first of some instances.
-func (w *world) ask(perSecond float64, among int) {
-	for n, p := range w.instances {
+// setDemand spreads perSecond requests per second evenly over the first instances, as many as
+// among.
+func (s *simulation) setDemand(perSecond float64, among int) {
+	for n, p := range s.instances {
 		p.demand = 0
 		if n < among {
 			p.demand = perSecond / float64(among)
@@ -98,23 +101,23 @@
 	}
 }
 
-// run lets time pass.
-func (w *world) run(d time.Duration) {
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(step) {
-		w.hear()
-		for _, p := range w.instances {
-			if w.rand.Float64() < p.demand*step.Seconds() {
-				w.send(p)
+// run runs the simulation for d.
+func (s *simulation) run(d time.Duration) {
+	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(tick) {
+		s.deliverAnswers()
+		for _, p := range s.instances {
+			if s.rand.Float64() < p.demand*tick.Seconds() {
+				s.send(p)
 			}
 		}
-		if w.steps++; w.steps%int(tellPace/step) == 0 {
-			w.tell()
+		if s.ticks++; s.ticks%int(updateInterval/tick) == 0 {
+			s.exchangeUpdates()
 		}
 	}
 }
 
-// send sends a request if the instance's book lets it pass.
-func (w *world) send(p *peer) {
+// send sends a request if the instance's Book allows it.
+func (s *simulation) send(p *instance) {
 	if !p.book.Open(upstream) {
 		return
 	}
@@ -122,43 +125,43 @@
 		return
 	}
 	now := time.Now()
-	w.arrivals = append(w.arrivals, snipestand.Arrival{ID: p.name + "/", At: now, Limit: w.limit, Limited: w.limited})
-	w.answers = append(w.answers, answer{p, now.Add(way), now, snipesignal.Signal{Limit: w.limit, Limited: w.limited}})
+	s.arrivals = append(s.arrivals, snipestand.Arrival{ID: p.name + "/", At: now, Limit: s.limit, Limited: s.limited})
+	s.answers = append(s.answers, answer{p, now.Add(latency), now, snipesignal.Signal{Limit: s.limit, Limited: s.limited}})
 }
 
-// hear delivers the answers that have come.
-func (w *world) hear() {
-	for len(w.answers) > 0 && !w.answers[0].at.After(time.Now()) {
-		a := w.answers[0]
-		w.answers = w.answers[1:]
+// deliverAnswers delivers the answers that have arrived.
+func (s *simulation) deliverAnswers() {
+	for len(s.answers) > 0 && !s.answers[0].at.After(time.Now()) {
+		a := s.answers[0]
+		s.answers = s.answers[1:]
 		a.to.book.Hear(upstream, a.sent, a.signal)
 	}
 }
 
-// tell has instances tell the others what is new to them.
-func (w *world) tell() {
-	for _, p := range w.instances {
-		news := p.book.News()
-		if p.cut || len(news) == 0 {
+// exchangeUpdates sends the updates of each instance to the other ones.
+func (s *simulation) exchangeUpdates() {
+	for _, p := range s.instances {
+		updates := p.book.News()
+		if p.partitioned || len(updates) == 0 {
 			continue
 		}
-		for _, other := range w.instances {
-			if other != p && !other.cut {
-				other.book.Learn(news)
+		for _, other := range s.instances {
+			if other != p && !other.partitioned {
+				other.book.Learn(updates)
 			}
 		}
 	}
 }
 
-// breaches returns how often more had reached the upstream than it allows.
-func (w *world) breaches() []string {
-	return snipestand.LimitBreaches(w.arrivals, func(id string) string { return strings.TrimSuffix(id, "/") }, nil)
+// breaches describes each time that more requests reached the upstream than it allows.
+func (s *simulation) breaches() []string {
+	return snipestand.LimitBreaches(s.arrivals, func(id string) string { return strings.TrimSuffix(id, "/") }, nil)
 }
 
-// perSecond returns how many requests a second have come since a moment.
-func (w *world) perSecond(since time.Time) float64 {
+// perSecond returns the rate of requests, per second, that have arrived since the given time.
+func (s *simulation) perSecond(since time.Time) float64 {
 	n := 0
-	for _, a := range w.arrivals {
+	for _, a := range s.arrivals {
 		if !a.At.Before(since) {
 			n++
 		}
@@ -166,25 +169,25 @@
 	return float64(n) / time.Since(since).Seconds()
 }
 
-// TestLimitAtSize guards against more requests than an upstream in need takes, at any number of
-// instances that have been told, wherever their callers are, and against a limit that is hardly
-// used by those that have callers.
+// TestLimitAtSize guards against more requests than an overloaded upstream accepts, at any number
+// of instances that know the limit and wherever their callers are. It also guards against a limit
+// that the instances with callers hardly use.
 func TestLimitAtSize(t *testing.T) {
 	for _, count := range []int{1, 3, 7, 66, 300} {
 		for _, limit := range []float64{0, 0.5, 3, 60} {
 			for _, among := range []int{1, 3} {
 				t.Run(fmt.Sprintf("%dInstances/%gASecond/CallersAtOneIn%d", count, limit, among), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						w := newWorld(7, count, snipesignal.Divide)
-						w.ask(max(20*limit, 100, float64(count)), (count+among-1)/among)
-						w.run(time.Second)
-						w.limit, w.limited = limit, true
-						w.run(6 * time.Second)
+						s := newSimulation(7, count, snipesignal.Divide)
+						s.setDemand(max(20*limit, 100, float64(count)), (count+among-1)/among)
+						s.run(time.Second)
+						s.limit, s.limited = limit, true
+						s.run(6 * time.Second)
 						since := time.Now()
-						w.run(30 * time.Second)
-						must.SliceEmpty(t, w.breaches())
+						s.run(30 * time.Second)
+						must.SliceEmpty(t, s.breaches())
 						if among == 1 {
-							must.GreaterEq(t, 0.6*limit, w.perSecond(since), must.Sprint("requests a second"))
+							must.GreaterEq(t, 0.6*limit, s.perSecond(since), must.Sprint("requests a second"))
 						}
 					})
 				})
@@ -193,43 +196,44 @@
 	}
 }
 
-// TestLimitAfterQuiet guards against a burst that uses all parts at once which were saved up while
-// there was nothing to send.
+// TestLimitAfterQuiet guards against a burst after an idle time: while there was nothing to send,
+// all shares became available, and all are used at once.
 func TestLimitAfterQuiet(t *testing.T) {
 	for _, count := range []int{7, 66, 300} {
 		for _, limit := range []float64{0, 0.5, 3, 60} {
 			t.Run(fmt.Sprintf("%dInstances/%gASecond", count, limit), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newWorld(7, count, snipesignal.Divide)
-					w.limit, w.limited = limit, true
+					s := newSimulation(7, count, snipesignal.Divide)
+					s.limit, s.limited = limit, true
 					for range 4 {
-						w.ask(max(20*limit, 100, 10*float64(count)), count)
-						w.run(6 * time.Second)
-						w.ask(0, count)
-						w.run(40 * time.Second)
+						s.setDemand(max(20*limit, 100, 10*float64(count)), count)
+						s.run(6 * time.Second)
+						s.setDemand(0, count)
+						s.run(40 * time.Second)
 					}
-					must.SliceEmpty(t, w.breaches())
+					must.SliceEmpty(t, s.breaches())
 				})
 			})
 		}
 	}
 }
 
-// TestLimitOver guards against instances that leave an upstream alone long after its limit is over,
-// since they send it nothing and hear nothing of it.
+// TestLimitOver guards against instances that send an upstream nothing long after its limit is
+// over, because they receive no answer that shows it and no update about it.
 func TestLimitOver(t *testing.T) {
 	for _, count := range []int{7, 66, 300} {
 		for _, limit := range []float64{0.5, 3, 60} {
 			t.Run(fmt.Sprintf("%dInstances/%gASecond", count, limit), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newWorld(7, count, snipesignal.Divide)
-					w.ask(max(20*limit, 100), count)
-					w.limit, w.limited = limit, true
-					w.run(10 * time.Second)
-					w.limited = false
-					// One request shows it, and what tells the others comes within a moment of that.
-					w.run(time.Duration(3/limit*float64(time.Second)) + 2*tellPace)
-					for _, p := range w.instances {
+					s := newSimulation(7, count, snipesignal.Divide)
+					s.setDemand(max(20*limit, 100), count)
+					s.limit, s.limited = limit, true
+					s.run(10 * time.Second)
+					s.limited = false
+					// One request shows the end of the limit, and the update reaches the other
+					// instances shortly afterwards.
+					s.run(time.Duration(3/limit*float64(time.Second)) + 2*updateInterval)
+					for _, p := range s.instances {
 						must.False(t, p.book.Limited(upstream), must.Sprint(p.name))
 					}
 				})
@@ -238,36 +242,36 @@
 	}
 }
 
-// TestLimitInTroubles guards against more requests than allowed while instances start that know
-// nobody, others are cut off, and the limit falls and rises.
+// TestLimitInTroubles guards against more requests than allowed while new instances know of few
+// others, some instances are partitioned, and the limit rises and falls.
 func TestLimitInTroubles(t *testing.T) {
 	for _, count := range []int{7, 66, 300} {
 		for _, limit := range []float64{0.5, 3, 60} {
 			for seed := range uint64(3) {
 				t.Run(fmt.Sprintf("%dInstances/%gASecond/%d", count, limit, seed), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						w := newWorld(seed, count, snipesignal.Divide)
-						w.ask(max(20*limit, 100), count)
-						w.run(time.Second)
-						for n, p := range w.instances {
-							p.cut = n%3 == 0
+						s := newSimulation(seed, count, snipesignal.Divide)
+						s.setDemand(max(20*limit, 100), count)
+						s.run(time.Second)
+						for n, p := range s.instances {
+							p.partitioned = n%3 == 0
 						}
-						w.limit, w.limited = limit, true
-						w.run(5 * time.Second)
-						// Two start. They know six, the others learn of them later.
-						w.add(6, snipesignal.Divide)
-						w.add(6, snipesignal.Divide)
-						w.ask(max(20*limit, 100), len(w.instances))
-						w.run(2 * time.Second)
-						for _, p := range w.instances {
-							p.known = len(w.instances)
+						s.limit, s.limited = limit, true
+						s.run(5 * time.Second)
+						// Two instances start. They know of six; the others learn of them later.
+						s.add(6, snipesignal.Divide)
+						s.add(6, snipesignal.Divide)
+						s.setDemand(max(20*limit, 100), len(s.instances))
+						s.run(2 * time.Second)
+						for _, p := range s.instances {
+							p.known = len(s.instances)
 						}
-						w.run(6 * time.Second)
-						w.limit = 2 * limit
-						w.run(6 * time.Second)
-						w.limit = limit
-						w.run(12 * time.Second)
-						must.SliceEmpty(t, w.breaches())
+						s.run(6 * time.Second)
+						s.limit = 2 * limit
+						s.run(6 * time.Second)
+						s.limit = limit
+						s.run(12 * time.Second)
+						must.SliceEmpty(t, s.breaches())
 					})
 				})
 			}
@@ -275,8 +279,8 @@
 	}
 }
 
-// TestEndIsToldAgain guards against an instance that leaves an upstream alone for minutes because the
-// one message was lost that told it of the end of a limit.
+// TestEndIsToldAgain guards against an instance that sends an upstream nothing for minutes because
+// the single update about the end of a limit was lost.
 func TestEndIsToldAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipesignal.Book{}
@@ -284,28 +288,29 @@
 		must.Len(t, 1, b.News())
 		time.Sleep(time.Second)
 		b.Hear(upstream, time.Now(), snipesignal.Signal{})
-		told := 0
+		announced := 0
 		for range 30 {
-			for _, s := range b.News() {
-				must.False(t, s.Limited)
-				told++
+			for _, u := range b.News() {
+				must.False(t, u.Limited)
+				announced++
 			}
 			time.Sleep(time.Second)
 		}
-		must.Between(t, 2, told, 3)
+		must.Between(t, 2, announced, 3)
 	})
 }
 
-// TestNewsOfTwo guards against what an instance has heard itself that is lost for the others because
-// one of them tells it something else of the same upstream before.
+// TestNewsOfTwo guards against a signal that is never passed on: this instance received it from the
+// upstream, and before it notified the others, one of them reported another state of the same
+// upstream.
 func TestNewsOfTwo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipesignal.Book{}
 		b.Hear(upstream, time.Now(), snipesignal.Signal{Leaving: true})
 		b.Learn([]snipesignal.Statement{{Upstream: upstream, State: snipesignal.State{Limit: 3, Limited: true}}})
-		news := b.News()
-		must.Len(t, 1, news)
-		must.True(t, news[0].Leaving && news[0].Limited)
+		updates := b.News()
+		must.Len(t, 1, updates)
+		must.True(t, updates[0].Leaving && updates[0].Limited)
 		must.SliceEmpty(t, b.News())
 	})
 }
