--- a/snipequota/account.go
+++ b/snipequota/account.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// askTimeout bounds one question to an issuer, which is a few milliseconds away: requests
+	// askTimeout bounds one call to the issuer, which normally takes a few milliseconds. Requests
 	// wait for it.
 	askTimeout = 120 * time.Millisecond
-	// unansweredPause is for how long no issuer is asked after one did not answer.
-	unansweredPause = 250 * time.Millisecond
-	// leaseMargin is how much before the issuer's an instance counts the end of its share.
+	// issuerRetryDelay is how long after an unanswered call requests are served without the issuer
+	// instead of waiting for another call.
+	issuerRetryDelay = 250 * time.Millisecond
+	// leaseMargin is how much earlier an instance ends the lease of its share than the issuer does.
 	leaseMargin = time.Second
 )
 
-// Account is what one instance may use of all quotas. Exported fields are set before Run. It is
+// Account tracks what one instance may use of all quotas. Exported fields are set before Run. It is
 // safe for concurrent use.
 type Account struct {
-	// Ask puts questions to the issuer.
+	// Ask sends asks to the issuer and returns its grants.
 	Ask func(ctx context.Context, asks []Ask) ([]Grant, error)
 	// Limited reports whether any workspace has a quota.
 	Limited func() bool
@@ -31,79 +32,82 @@
 	Bounds    Bounds
 	Log       *snipelog.Logger
 
-	prepared sync.Once // makes wake
+	wakeOnce sync.Once // initializes wake
 	wake     chan struct{}
 
 	lock       sync.Mutex // guards the fields below
 	allowances map[string]*allowance
-	// heardAt is when the issuer last answered, askedAt when it was last asked.
-	heardAt time.Time
-	askedAt time.Time
-	// lost tells that the issuer did not answer last.
-	lost bool
+	// answeredAt is the time of the last call that the issuer answered, and askedAt the time of the
+	// last call.
+	answeredAt time.Time
+	askedAt    time.Time
+	// unreachable reports whether the issuer did not answer the last call.
+	unreachable bool
 }
 
-// Take counts a request of so many units, or returns when there will be room for it.
+// Take counts a request of the given number of units against the quota of a workspace. If the
+// request may not run, Take returns false and the time until units are available. Take may wait for
+// an answer of the issuer. If ctx ends meanwhile, it returns zero and false.
 func (a *Account) Take(ctx context.Context, w *snipecatalog.Workspace, units float64) (time.Duration, bool) {
-	v, waiting := a.take(w, units)
+	d, waiting := a.take(w, units)
 	if waiting == nil {
-		return v.wait, v.ok
+		return d.wait, d.ok
 	}
-	a.nudge()
+	a.wakeRun()
 	select {
-	case v = <-waiting.done:
-		return v.wait, v.ok
+	case d = <-waiting.done:
+		return d.wait, d.ok
 	case <-ctx.Done():
 		a.abandon(w.Name, waiting)
 		return 0, false
 	}
 }
 
-// take counts a request if units are left or it is known that there are none; else the request
-// waits for an answer.
-func (a *Account) take(w *snipecatalog.Workspace, units float64) (verdict, *waiter) {
+// take decides on a request if enough units are left, if the quota is known to be used up, or if
+// the issuer is unreachable. Otherwise it returns a waiter for the answer of the issuer.
+func (a *Account) take(w *snipecatalog.Workspace, units float64) (decision, *waiter) {
 	now := time.Now()
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	p := a.allowance(w)
-	p.arrive(units, now)
+	p.recordDemand(units, now)
 	p.expire(now)
 	switch {
-	case len(p.waiting) == 0 && p.left >= units:
-		p.left -= units
+	case len(p.waiting) == 0 && p.remaining >= units:
+		p.remaining -= units
 		if p.low() {
-			a.nudge()
+			a.wakeRun()
 		}
-		return verdict{ok: true}, nil
-	case now.Before(p.closed):
-		return verdict{wait: p.reopens.Sub(now)}, nil
-	case a.lost && now.Sub(a.askedAt) < unansweredPause:
-		return a.takeAlone(p, units, now), nil
+		return decision{ok: true}, nil
+	case now.Before(p.refuseUntil):
+		return decision{wait: p.availableAt.Sub(now)}, nil
+	case a.unreachable && now.Sub(a.askedAt) < issuerRetryDelay:
+		return a.takeFallback(p, units, now), nil
 	}
-	r := &waiter{units: units, done: make(chan verdict, 1)}
+	r := &waiter{units: units, done: make(chan decision, 1)}
 	p.waiting = append(p.waiting, r)
-	return verdict{}, r
+	return decision{}, r
 }
 
-// Again counts a request that is run once more: it is late for a refusal, so that what it takes
-// is paid for later.
+// Again counts a request that runs once more. Such a request can no longer be refused, so its units
+// are deducted from later grants if none are left.
 func (a *Account) Again(w *snipecatalog.Workspace, units float64) { a.add(w, -units) }
 
-// Return gives back what was taken for a request that was not run.
+// Return returns the units that were taken for a request that did not run.
 func (a *Account) Return(w *snipecatalog.Workspace, units float64) { a.add(w, units) }
 
-// add changes what is left. The workspace may be that of a catalog of before, whose quota is in
-// force no more.
+// add changes the remaining units. The workspace may be from a previous catalog whose quota is no
+// longer in force.
 func (a *Account) add(w *snipecatalog.Workspace, units float64) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	if p := a.allowances[w.Name]; p != nil {
 		p.expire(time.Now())
-		p.left += units
+		p.remaining += units
 	}
 }
 
-// abandon takes back a request whose caller has left.
+// abandon removes a waiting request whose caller is gone.
 func (a *Account) abandon(workspace string, r *waiter) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -114,13 +118,13 @@
 			return
 		}
 	}
-	// Its answer has come meanwhile.
-	if v := <-r.done; v.ok {
-		p.left += r.units
+	// The request has been decided meanwhile.
+	if d := <-r.done; d.ok {
+		p.remaining += r.units
 	}
 }
 
-// allowance returns what may be used of a workspace's quota.
+// allowance returns the allowance of a workspace, and creates it if there is none.
 func (a *Account) allowance(w *snipecatalog.Workspace) *allowance {
 	p := a.allowances[w.Name]
 	if p == nil {
@@ -131,27 +135,27 @@
 		a.allowances[w.Name] = p
 	}
 	if p.quota != w.Quota {
-		// What was granted by another quota is void.
-		p.quota, p.left, p.closed = w.Quota, min(p.left, 0), time.Time{}
+		// Units that were granted under another quota are void. A debt stays.
+		p.quota, p.remaining, p.refuseUntil = w.Quota, min(p.remaining, 0), time.Time{}
 	}
 	return p
 }
 
-func (a *Account) nudges() chan struct{} {
-	a.prepared.Do(func() { a.wake = make(chan struct{}, 1) })
+func (a *Account) wakeChannel() chan struct{} {
+	a.wakeOnce.Do(func() { a.wake = make(chan struct{}, 1) })
 	return a.wake
 }
 
-func (a *Account) nudge() {
+func (a *Account) wakeRun() {
 	select {
-	case a.nudges() <- struct{}{}:
-	default: // a question is due already
+	case a.wakeChannel() <- struct{}{}:
+	default: // Run has already been woken
 	}
 }
 
-// Run asks the issuer until ctx ends.
+// Run calls the issuer at each report interval, and when units are needed, until ctx ends.
 func (a *Account) Run(ctx context.Context) error {
-	report := time.NewTicker(reportEvery)
+	report := time.NewTicker(reportInterval)
 	defer report.Stop()
 	for {
 		select {
@@ -161,93 +165,97 @@
 			if !a.Limited() {
 				continue
 			}
-		case <-a.nudges():
+		case <-a.wakeChannel():
 		}
 		a.askOnce(ctx)
 	}
 }
 
-// askOnce puts one question to the issuer and takes its answer.
+// askOnce sends one call to the issuer and applies its answer.
 func (a *Account) askOnce(ctx context.Context) {
 	begun := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	asks := a.questions(begun)
+	asks := a.pendingAsks(begun)
 	grants, err := a.Ask(ctx, asks)
 	a.lock.Lock()
 	defer a.lock.Unlock()
-	a.note(err, begun)
+	a.recordResult(err, begun)
 	now := time.Now()
 	if err != nil {
 		for _, p := range a.allowances {
-			a.serveAlone(p, now)
+			a.serveFallback(p, now)
 		}
 		return
 	}
 	for _, g := range grants {
 		if p := a.allowances[g.Workspace]; p != nil && p.receive(g, begun, now) {
-			a.nudge()
+			a.wakeRun()
 		}
 	}
-	// What the issuer knows no quota for is served as it comes: its catalog is another one.
+	// The issuer returns no grant for a workspace that has no quota in its catalog, which may
+	// differ from the catalog here. The waiting requests of such a workspace are served without the
+	// issuer.
 	for _, q := range asks {
 		if p := a.allowances[q.Workspace]; p.levelAt.Before(begun) {
-			a.serveAlone(p, now)
+			a.serveFallback(p, now)
 		}
 	}
 }
 
-// note notes whether the issuer answered, and logs a change.
-func (a *Account) note(err error, asked time.Time) {
+// recordResult records whether the issuer answered, and logs a change.
+func (a *Account) recordResult(err error, asked time.Time) {
 	a.askedAt = asked
 	if err == nil {
-		a.heardAt = asked
+		a.answeredAt = asked
 	}
 	switch {
-	case err != nil && !a.lost:
+	case err != nil && !a.unreachable:
 		a.Log.Error(snipelog.QuotaUnreached, err, nil)
-	case err == nil && a.lost:
+	case err == nil && a.unreachable:
 		a.Log.Log(snipelog.QuotaReached, nil)
 	}
-	a.lost = err != nil
+	a.unreachable = err != nil
 }
 
-// questions returns what to ask for all workspaces of which requests came lately.
-func (a *Account) questions(now time.Time) []Ask {
+// pendingAsks returns the asks for all workspaces with recent requests.
+func (a *Account) pendingAsks(now time.Time) []Ask {
 	a.lock.Lock()
 	defer a.lock.Unlock()
 	var all []Ask
 	for name, p := range a.allowances {
-		p.fade(now)
+		p.decayDemand(now)
 		p.expire(now)
-		if len(p.waiting) == 0 && p.demand < 1 && p.left == 0 && p.used == 0 {
+		if len(p.waiting) == 0 && p.demand < 1 && p.remaining == 0 && p.fallbackUsed == 0 {
 			continue
 		}
-		all = append(all, p.question(name, now))
+		all = append(all, p.ask(name, now))
 	}
 	return all
 }
 
-// serveAlone serves what waits without an issuer.
-func (a *Account) serveAlone(p *allowance, now time.Time) {
+// serveFallback decides on the waiting requests without an issuer.
+func (a *Account) serveFallback(p *allowance, now time.Time) {
 	for len(p.waiting) > 0 {
-		p.answer(a.takeAlone(p, p.waiting[0].units, now))
+		p.answerFirst(a.takeFallback(p, p.waiting[0].units, now))
 	}
 }
 
-// takeAlone counts a request against what this instance may use without an issuer: its share of
-// the rate since the issuer was last heard, and its part of what is left for those without one.
-func (a *Account) takeAlone(p *allowance, units float64, now time.Time) verdict {
+// takeFallback counts a request against what this instance may use without an issuer: its share of
+// the rate since the last answer of the issuer, and its fraction of the bounds for instances
+// without one.
+func (a *Account) takeFallback(p *allowance, units float64, now time.Time) decision {
 	if !p.quota.Limited() {
-		return verdict{ok: true}
+		return decision{ok: true}
 	}
-	p.growAlone(a, now)
-	// A request larger than what can be saved up goes as well, and is paid for later.
-	if needed := min(units, p.aloneLimit); p.alone < needed {
-		seconds := (needed - p.alone) / max(p.aloneRate, 1)
-		return verdict{wait: min(time.Duration(seconds*float64(time.Second)), mostWait)}
+	p.fillFallback(a, now)
+	// A request larger than the limit of the fallback bucket runs when the bucket is full, and its
+	// level becomes negative.
+	if needed := min(units, p.fallbackLimit); p.fallback < needed {
+		seconds := (needed - p.fallback) / max(p.fallbackRate, 1)
+		return decision{wait: min(time.Duration(seconds*float64(time.Second)), maxWait)}
 	}
-	p.alone -= units
-	p.used += units
-	return verdict{ok: true}
+	p.fallback -= units
+	p.fallbackUsed += units
+	return decision{ok: true}
 }
--- a/snipequota/allowance.go
+++ b/snipequota/allowance.go
@@ -8,48 +8,48 @@
 )
 
 const (
-	// aheadTime is for how long units are asked ahead of their use, lowTime how long what is
-	// left must last for none to be asked for.
+	// aheadTime is how far ahead of their use units are requested. lowTime is how long the
+	// remaining units must last for no more to be requested.
 	aheadTime = time.Second
 	lowTime   = 300 * time.Millisecond
-	// aheadRequests is how many requests' units are asked ahead at least.
+	// aheadRequests is the minimum number of requests of mean size whose units are requested ahead.
 	aheadRequests = 2
-	// demandTime is the time constant of what arrives.
+	// demandTime is the time constant with which the demand decays.
 	demandTime = 2 * time.Second
-	// pauseTime is the least time between two questions for a workspace whose quota is used
-	// up; longestPause the longest.
-	pauseTime    = 60 * time.Millisecond
-	longestPause = 300 * time.Millisecond
-	// aloneTime is for how long a share can be saved up without an issuer.
-	aloneTime = 500 * time.Millisecond
+	// minPause and maxPause bound the time between two asks for a workspace whose quota is used up.
+	minPause = 60 * time.Millisecond
+	maxPause = 300 * time.Millisecond
+	// fallbackTime is the time over which a share may accumulate without an issuer.
+	fallbackTime = 500 * time.Millisecond
 )
 
-// allowance is what may be used of one workspace's quota.
+// allowance is what this instance may use of the quota of one workspace.
 type allowance struct {
 	quota snipecatalog.Quota
-	// left is what is left of grants, until its end. It is negative after requests that ran
-	// again.
-	left float64
-	end  time.Time
-	// demand is what arrives in a second as of seen, size what a request needs on average.
-	demand float64
-	seen   time.Time
-	size   float64
-	// closed is until when requests are refused without asking, reopens when there will be
-	// room.
-	closed  time.Time
-	reopens time.Time
-	waiting []*waiter
-	// share is the part of the rate that may be used without an issuer. Alone is the bucket of
-	// that as of at, with its rate and its limit, used what was taken from it since an issuer
-	// answered.
-	share      float64
-	alone      float64
-	at         time.Time
-	aloneRate  float64
-	aloneLimit float64
-	used       float64
-	// level is what the issuer told of its bucket.
+	// remaining is the number of units left of the grants, which expire at expires. It is negative
+	// after requests that ran again.
+	remaining float64
+	expires   time.Time
+	// demand is the rate of arriving requests, in units per second, as of demandAt. meanUnits is
+	// the moving average of the units of a request.
+	demand    float64
+	demandAt  time.Time
+	meanUnits float64
+	// refuseUntil is the time until which requests are refused without an ask. availableAt is when
+	// units are expected to be available.
+	refuseUntil time.Time
+	availableAt time.Time
+	waiting     []*waiter
+	// share is the fraction of the rate that may be used without an issuer. fallback is the level
+	// of the bucket for that use as of fallbackAt, which fills at fallbackRate up to fallbackLimit.
+	// fallbackUsed is the number of units taken from it since an issuer last answered.
+	share         float64
+	fallback      float64
+	fallbackAt    time.Time
+	fallbackRate  float64
+	fallbackLimit float64
+	fallbackUsed  float64
+	// level is the level of the issuer's bucket, as reported at levelAt.
 	level   float64
 	levelAt time.Time
 }
@@ -57,60 +57,60 @@
 // waiter is a request that waits for units.
 type waiter struct {
 	units float64
-	done  chan verdict
+	done  chan decision
 }
 
-// verdict tells a request whether it may go, or when there will be room.
-type verdict struct {
+// decision reports whether a request may run, or otherwise the time until units are available.
+type decision struct {
 	ok   bool
 	wait time.Duration
 }
 
-// arrive counts a request into the demand.
-func (p *allowance) arrive(units float64, now time.Time) {
-	p.fade(now)
+// recordDemand counts a request in the demand.
+func (p *allowance) recordDemand(units float64, now time.Time) {
+	p.decayDemand(now)
 	p.demand += units / demandTime.Seconds()
-	if p.size == 0 {
-		p.size = units
+	if p.meanUnits == 0 {
+		p.meanUnits = units
 	}
-	p.size += (units - p.size) / 8
+	p.meanUnits += (units - p.meanUnits) / 8
 }
 
-func (p *allowance) fade(now time.Time) {
-	if passed := now.Sub(p.seen); passed > 0 {
+func (p *allowance) decayDemand(now time.Time) {
+	if passed := now.Sub(p.demandAt); passed > 0 {
 		p.demand *= math.Exp(-passed.Seconds() / demandTime.Seconds())
 	}
-	p.seen = now
+	p.demandAt = now
 }
 
-// expire ends grants whose time is over.
+// expire removes the units of grants that have expired.
 func (p *allowance) expire(now time.Time) {
-	if p.left > 0 && !now.Before(p.end) {
-		p.left = 0
+	if p.remaining > 0 && !now.Before(p.expires) {
+		p.remaining = 0
 	}
 }
 
-// low reports whether what is left does not last.
-func (p *allowance) low() bool { return p.left < max(p.demand*lowTime.Seconds(), p.size) }
+// low reports whether the remaining units do not last for lowTime or for one request of mean size.
+func (p *allowance) low() bool { return p.remaining < max(p.demand*lowTime.Seconds(), p.meanUnits) }
 
-// ahead is what is asked for beside what waits.
+// ahead returns how many units to request in addition to those that waiting requests need.
 func (p *allowance) ahead() float64 {
-	return max(max(p.demand*aheadTime.Seconds(), aheadRequests*p.size)-max(p.left, 0), 0)
+	return max(max(p.demand*aheadTime.Seconds(), aheadRequests*p.meanUnits)-max(p.remaining, 0), 0)
 }
 
-// question returns what to ask the issuer for.
-func (p *allowance) question(name string, now time.Time) Ask {
-	q := Ask{Workspace: name, Held: p.left, Alone: p.used, Demand: p.demand}
+// ask returns the ask for the issuer.
+func (p *allowance) ask(name string, now time.Time) Ask {
+	q := Ask{Workspace: name, Held: p.remaining, Alone: p.fallbackUsed, Demand: p.demand}
 	for n, r := range p.waiting {
 		if n == 0 {
-			q.First = r.units - p.left
+			q.First = r.units - p.remaining
 		}
 		q.Need += r.units
 	}
 	if q.Need > 0 {
-		q.Need -= p.left
-	} else if p.left < 0 {
-		q.Need, q.First = -p.left, -p.left
+		q.Need -= p.remaining
+	} else if p.remaining < 0 {
+		q.Need, q.First = -p.remaining, -p.remaining
 	}
 	q.Need, q.First = max(q.Need, 0), max(q.First, 0)
 	q.Ahead = p.ahead()
@@ -120,58 +120,59 @@
 	return q
 }
 
-// receive takes a grant and serves what waits, in the order of arrival. It reports whether requests
-// still wait: they have come since the question.
-func (p *allowance) receive(g Grant, asked, now time.Time) (again bool) {
+// receive applies a grant and serves the waiting requests in the order of arrival. It reports
+// whether requests still wait: they have arrived since the ask.
+func (p *allowance) receive(g Grant, asked, now time.Time) (more bool) {
 	p.expire(now)
 	if g.Units > 0 {
-		p.left += g.Units
-		p.end = asked.Add(life)
+		p.remaining += g.Units
+		p.expires = asked.Add(grantLife)
 	}
-	p.share, p.used, p.level, p.levelAt = g.Share, 0, g.Level, now
-	for len(p.waiting) > 0 && p.left >= p.waiting[0].units {
-		p.left -= p.waiting[0].units
-		p.answer(verdict{ok: true})
+	p.share, p.fallbackUsed, p.level, p.levelAt = g.Share, 0, g.Level, now
+	for len(p.waiting) > 0 && p.remaining >= p.waiting[0].units {
+		p.remaining -= p.waiting[0].units
+		p.answerFirst(decision{ok: true})
 	}
 	if g.Wait > 0 {
-		p.close(g.Wait, now)
+		p.refuse(g.Wait, now)
 	}
 	return len(p.waiting) > 0
 }
 
-// close refuses what waits and what comes in the next moment: the quota is used up.
-func (p *allowance) close(wait time.Duration, now time.Time) {
-	pause := min(max(wait, pauseTime), longestPause)
-	p.closed, p.reopens = now.Add(pause), now.Add(max(wait, pause))
+// refuse refuses the waiting requests and those that arrive during a pause, because the quota is
+// used up.
+func (p *allowance) refuse(wait time.Duration, now time.Time) {
+	pause := min(max(wait, minPause), maxPause)
+	p.refuseUntil, p.availableAt = now.Add(pause), now.Add(max(wait, pause))
 	for len(p.waiting) > 0 {
-		p.answer(verdict{wait: p.reopens.Sub(now)})
+		p.answerFirst(decision{wait: p.availableAt.Sub(now)})
 	}
 }
 
-// answer tells the first of those that wait.
-func (p *allowance) answer(v verdict) {
-	p.waiting[0].done <- v
+// answerFirst sends a decision to the first waiting request and removes it from the queue.
+func (p *allowance) answerFirst(d decision) {
+	p.waiting[0].done <- d
 	p.waiting = p.waiting[1:]
 }
 
-// growAlone adds what may be used without an issuer since it was last looked at.
-func (p *allowance) growAlone(a *Account, now time.Time) {
-	// One half is there at once, the other one comes over the window.
+// fillFallback adds the units that may be used without an issuer to the fallback bucket.
+func (p *allowance) fillFallback(a *Account, now time.Time) {
+	// One half of the reserve is available at once, the other half accumulates over the window.
 	reserve := a.Bounds.Over(p.quota) / 2 / float64(max(a.Instances(), 1)) / 2
-	slow, share := reserve/a.Bounds.Span.Seconds(), 0.0
-	if now.Sub(a.heardAt) < lease-leaseMargin {
+	reserveRate, share := reserve/a.Bounds.Span.Seconds(), 0.0
+	if now.Sub(a.answeredAt) < lease-leaseMargin {
 		share = p.share * p.quota.PerSecond
 	}
-	p.aloneRate = slow + share
-	p.aloneLimit = reserve + share*aloneTime.Seconds()
-	if p.at.IsZero() {
-		p.alone, p.at = reserve, now
+	p.fallbackRate = reserveRate + share
+	p.fallbackLimit = reserve + share*fallbackTime.Seconds()
+	if p.fallbackAt.IsZero() {
+		p.fallback, p.fallbackAt = reserve, now
 	}
-	since := p.at
-	if a.heardAt.After(since) {
-		since = a.heardAt
+	since := p.fallbackAt
+	if a.answeredAt.After(since) {
+		since = a.answeredAt
 	}
-	p.alone += slow*now.Sub(p.at).Seconds() + share*max(now.Sub(since), 0).Seconds()
-	p.alone = min(p.alone, p.aloneLimit)
-	p.at = now
+	p.fallback += reserveRate*now.Sub(p.fallbackAt).Seconds() + share*max(now.Sub(since), 0).Seconds()
+	p.fallback = min(p.fallback, p.fallbackLimit)
+	p.fallbackAt = now
 }
--- a/snipequota/bench_test.go
+++ b/snipequota/bench_test.go
@@ -11,7 +11,7 @@
 	"snipepitch.example/snipepitch/snipequota"
 )
 
-// BenchmarkTake is a request that units are there for.
+// BenchmarkTake measures a request for which units are left.
 func BenchmarkTake(b *testing.B) {
 	issuer := &snipequota.Issuer{
 		Quota:     func(string) snipecatalog.Quota { return snipecatalog.Quota{PerSecond: 1e15, Burst: 1e15} },
@@ -33,7 +33,8 @@
 	}
 }
 
-// BenchmarkIssue is a question of one of three hundred instances for sixteen workspaces.
+// BenchmarkIssue measures one call of one of three hundred instances, with asks for sixteen
+// workspaces.
 func BenchmarkIssue(b *testing.B) {
 	const instances, workspaces = 300, 16
 	var names []string
--- a/snipequota/issuer.go
+++ b/snipequota/issuer.go
@@ -8,67 +8,71 @@
 )
 
 const (
-	// equalPart is the part of a rate that is shared among all instances alike; the rest
-	// follows what arrives at them.
-	equalPart = 0.2
-	// aheadLevel is the part of the burst that is left for requests that wait: above it units
-	// are granted ahead.
-	aheadLevel = 0.4
-	// countEvery is the time between two counts of what is kept back.
-	countEvery = 250 * time.Millisecond
-	// leastWait and mostWait bound the time that is told until there is room.
-	leastWait = 10 * time.Millisecond
-	mostWait  = 5 * time.Second
+	// equalFraction is the fraction of a rate that is shared equally among all instances. The
+	// remainder is shared in proportion to the demand at each instance.
+	equalFraction = 0.2
+	// aheadReserve is the fraction of the burst that is reserved for waiting requests. Only units
+	// above it are granted ahead of use.
+	aheadReserve = 0.4
+	// recountInterval is the time between two computations of the withheld shares and the held
+	// units.
+	recountInterval = 250 * time.Millisecond
+	// minWait and maxWait bound the reported time until units are available.
+	minWait = 10 * time.Millisecond
+	maxWait = 5 * time.Second
 )
 
-// Issuer grants units. Exported fields are set before the first call. It is safe for concurrent
-// use.
+// Issuer grants units of the quotas of workspaces. Exported fields are set before the first call.
+// It is safe for concurrent use.
 type Issuer struct {
-	// Quota returns a workspace's quota.
+	// Quota returns the quota of a workspace.
 	Quota func(workspace string) snipecatalog.Quota
 	// Instances returns the names of the live instances.
 	Instances func() []string
 	Bounds    Bounds
 
-	lock    sync.Mutex // guards the fields below
-	began   time.Time
-	heard   map[string]time.Time
-	counted time.Time
-	buckets map[string]*bucket
+	lock sync.Mutex // guards the fields below
+	// startedAt is when the state below was last reset. contacts holds the time of the last ask of
+	// each instance.
+	startedAt   time.Time
+	contacts    map[string]time.Time
+	recountedAt time.Time
+	buckets     map[string]*bucket
 }
 
-// bucket is the quota of one workspace.
+// bucket is the token bucket of one workspace.
 type bucket struct {
 	level float64
 	at    time.Time
-	// parts are what is known of the instances, demand the sum of theirs, held what they have
-	// left of their grants.
-	parts  map[string]*part
-	demand float64
-	held   float64
-	// kept is the part of the rate that is kept back for those unheard.
-	kept float64
+	// instances holds the known state of each instance. demand and held are the sums of their
+	// demands and of the units they have left of their grants.
+	instances map[string]*instanceState
+	demand    float64
+	held      float64
+	// withheld is the fraction of the rate that is withheld for instances without contact.
+	withheld float64
 }
 
-// part is one instance's part of a bucket.
-type part struct {
+// instanceState is the known state of one instance in a bucket.
+type instanceState struct {
 	demand float64
 	held   float64
 	heldAt time.Time
-	// told is the share that it was told of last.
-	told float64
-	// keptSince is from when on keptShare of the rate is kept back; zero when none is.
-	keptSince time.Time
-	keptShare float64
+	// share is the share of the rate that was last reported to the instance.
+	share float64
+	// withheldSince is when the issuer started to withhold withheldShare of the rate for the
+	// instance; zero if it withholds none.
+	withheldSince time.Time
+	withheldShare float64
 }
 
-// Issue grants an instance what it may use.
+// Issue answers the asks of an instance. It returns no grant for a workspace without a quota.
 func (s *Issuer) Issue(instance string, asks []Ask) []Grant {
 	now := time.Now()
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.hear(instance, now)
-	s.count(now)
+	s.recordContact(instance, now)
+	s.recount(now)
 	all := make([]Grant, 0, len(asks))
 	for _, a := range asks {
 		q := s.Quota(a.Workspace)
@@ -80,19 +84,21 @@
 	return all
 }
 
-// hear notes that an instance asks.
-func (s *Issuer) hear(instance string, now time.Time) {
-	if s.heard == nil || s.idle(now) {
-		// What was known before a break is void: another instance has granted meanwhile.
-		s.heard, s.buckets, s.began = make(map[string]time.Time), make(map[string]*bucket), now
+// recordContact records that an instance asks.
+func (s *Issuer) recordContact(instance string, now time.Time) {
+	if s.contacts == nil || s.idle(now) {
+		// State from before an idle time is void, because another instance has granted units
+		// meanwhile.
+		s.contacts, s.buckets, s.startedAt = make(map[string]time.Time), make(map[string]*bucket), now
 	}
-	s.heard[instance] = now
+	s.contacts[instance] = now
 }
 
-// idle reports whether nobody has asked for so long that another issuer must have been asked.
+// idle reports whether no instance has asked for so long that the instances must have asked another
+// issuer.
 func (s *Issuer) idle(now time.Time) bool {
-	for _, at := range s.heard {
-		if now.Sub(at) < silence {
+	for _, at := range s.contacts {
+		if now.Sub(at) < contactTimeout {
 			return false
 		}
 	}
@@ -102,23 +108,23 @@
 func (s *Issuer) issue(instance string, a Ask, q snipecatalog.Quota, now time.Time) Grant {
 	b := s.buckets[a.Workspace]
 	if b == nil {
-		b = &bucket{at: now, parts: make(map[string]*part), level: min(q.Burst, s.Bounds.Over(q)/2)}
-		b.kept = s.unheard(now)
+		b = &bucket{at: now, instances: make(map[string]*instanceState), level: min(q.Burst, s.Bounds.Over(q)/2)}
+		b.withheld = s.unknownFraction(now)
 		s.buckets[a.Workspace] = b
 	}
 	b.fill(q, now)
-	p := b.parts[instance]
+	p := b.instances[instance]
 	if p == nil {
-		p = &part{}
-		b.parts[instance] = p
-		b.learn(a, q)
+		p = &instanceState{}
+		b.instances[instance] = p
+		b.adoptLevel(a, q)
 	}
 	b.reconcile(p, a, q, now)
 	b.demand += a.Demand - p.demand
 	b.held += a.Held - p.held
 	p.demand, p.held, p.heldAt = a.Demand, a.Held, now
-	p.told = s.share(b, p)
-	g := Grant{Workspace: a.Workspace, Units: b.grant(a, q), Share: p.told}
+	p.share = s.share(b, p)
+	g := Grant{Workspace: a.Workspace, Units: b.grant(a, q), Share: p.share}
 	b.level -= g.Units
 	b.held += g.Units
 	p.held += g.Units
@@ -129,123 +135,126 @@
 	return g
 }
 
-// learn takes what an instance that is heard for the first time knows of the bucket from the
-// issuer before.
-func (b *bucket) learn(a Ask, q snipecatalog.Quota) {
+// adoptLevel lowers the level of the bucket to the one that a previous issuer reported to an
+// instance that asks for the first time, plus what the rate may have added since.
+func (b *bucket) adoptLevel(a Ask, q snipecatalog.Quota) {
 	if a.Known {
 		b.level = min(b.level, a.Level+q.PerSecond*a.Age.Seconds())
 	}
 }
 
-// reconcile takes off what an instance used while it reached no issuer, and gives back what was
-// kept for it meanwhile.
-func (b *bucket) reconcile(p *part, a Ask, q snipecatalog.Quota, now time.Time) {
-	if !p.keptSince.IsZero() {
-		b.level += p.keptShare * q.PerSecond * now.Sub(p.keptSince).Seconds()
-		b.kept -= p.keptShare
-		p.keptSince = time.Time{}
+// reconcile deducts the units that an instance used while it reached no issuer, and credits the
+// units that were withheld for it in that time.
+func (b *bucket) reconcile(p *instanceState, a Ask, q snipecatalog.Quota, now time.Time) {
+	if !p.withheldSince.IsZero() {
+		b.level += p.withheldShare * q.PerSecond * now.Sub(p.withheldSince).Seconds()
+		b.withheld -= p.withheldShare
+		p.withheldSince = time.Time{}
 	}
 	b.level = min(b.level-a.Alone, q.Burst)
 }
 
-// fill adds what the rate has brought. What is held elsewhere counts as saved up.
+// fill adds the units that the rate has produced. Units that instances hold count towards the
+// burst.
 func (b *bucket) fill(q snipecatalog.Quota, now time.Time) {
-	rate := q.PerSecond * max(1-b.kept, 0)
-	room := max(q.Burst-b.held, 0)
-	if b.level < room {
-		b.level = min(b.level+rate*now.Sub(b.at).Seconds(), room)
+	rate := q.PerSecond * max(1-b.withheld, 0)
+	capacity := max(q.Burst-b.held, 0)
+	if b.level < capacity {
+		b.level = min(b.level+rate*now.Sub(b.at).Seconds(), capacity)
 	}
 	b.level = min(b.level, q.Burst)
 	b.at = now
 }
 
-// grant returns how much of an ask is granted: what waits as far as there is room, and more where
-// there is much. A request larger than what is left goes as well, and is paid for later: otherwise
-// small ones alone would go while a workspace sends more than its quota.
+// grant returns how many units of an ask are granted: the needed ones as far as the bucket has
+// them, and units ahead of use if it has many. A request larger than the level is granted too, and
+// the level becomes negative: otherwise only small requests would be granted while a workspace
+// sends more than its quota.
 func (b *bucket) grant(a Ask, q snipecatalog.Quota) float64 {
 	if b.level <= 0 {
 		return 0
 	}
 	units := min(a.Need, max(b.level, a.First))
-	if spare := b.level - units - aheadLevel*q.Burst; spare > 0 {
+	if spare := b.level - units - aheadReserve*q.Burst; spare > 0 {
 		units += min(a.Ahead, spare)
 	}
 	return units
 }
 
-// wait returns when there will be so much.
+// wait returns the time until the bucket holds the given number of units.
 func (b *bucket) wait(units float64, q snipecatalog.Quota) time.Duration {
-	rate := q.PerSecond * max(1-b.kept, equalPart)
+	rate := q.PerSecond * max(1-b.withheld, equalFraction)
 	seconds := max(min(units, q.Burst)-b.level, 0) / rate
-	return min(max(time.Duration(seconds*float64(time.Second)), leastWait), mostWait)
+	return min(max(time.Duration(seconds*float64(time.Second)), minWait), maxWait)
 }
 
-// share returns an instance's part of the rate.
-func (s *Issuer) share(b *bucket, p *part) float64 {
-	share := equalPart / float64(max(len(s.heard), 1))
+// share returns the share of the rate for an instance, as a fraction.
+func (s *Issuer) share(b *bucket, p *instanceState) float64 {
+	share := equalFraction / float64(max(len(s.contacts), 1))
 	if b.demand > 0 {
-		share += (1 - equalPart) * p.demand / b.demand
+		share += (1 - equalFraction) * p.demand / b.demand
 	}
 	return share
 }
 
-// unheard returns the part of a rate that live instances may use of which this issuer does not
-// know anything.
-func (s *Issuer) unheard(now time.Time) float64 {
-	if now.Sub(s.began) > lease {
+// unknownFraction returns the fraction of a rate that live instances may be using without having
+// contacted this issuer yet. It is zero once a lease has passed since this issuer started.
+func (s *Issuer) unknownFraction(now time.Time) float64 {
+	if now.Sub(s.startedAt) > lease {
 		return 0
 	}
 	all := s.Instances()
-	silent := 0
+	unknown := 0
 	for _, name := range all {
-		if _, ok := s.heard[name]; !ok {
-			silent++
+		if _, ok := s.contacts[name]; !ok {
+			unknown++
 		}
 	}
-	return float64(silent) / float64(max(len(all), 1))
+	return float64(unknown) / float64(max(len(all), 1))
 }
 
-// count counts anew what is kept back and what is held.
-func (s *Issuer) count(now time.Time) {
-	if now.Sub(s.counted) < countEvery {
+// recount computes the withheld shares and the held units again, and removes the instances without
+// contact for longer than a lease.
+func (s *Issuer) recount(now time.Time) {
+	if now.Sub(s.recountedAt) < recountInterval {
 		return
 	}
-	s.counted = now
-	unheard := s.unheard(now)
+	s.recountedAt = now
+	unknown := s.unknownFraction(now)
 	for name, b := range s.buckets {
-		b.count(s, s.Quota(name), unheard, now)
+		b.recount(s, s.Quota(name), unknown, now)
 	}
-	for name, at := range s.heard {
+	for name, at := range s.contacts {
 		if now.Sub(at) > lease {
-			delete(s.heard, name)
+			delete(s.contacts, name)
 		}
 	}
 }
 
-// count counts what one bucket keeps back. The share of one that has just become silent is taken
-// off since it was heard last.
-func (b *bucket) count(s *Issuer, q snipecatalog.Quota, unheard float64, now time.Time) {
+// recount computes what one bucket withholds. For an instance whose contact has just timed out, it
+// also deducts the units of its share since the last contact.
+func (b *bucket) recount(s *Issuer, q snipecatalog.Quota, unknown float64, now time.Time) {
 	b.fill(q, now)
-	b.demand, b.held, b.kept = 0, 0, unheard
-	for name, p := range b.parts {
-		silent := now.Sub(s.heard[name])
-		if silent > lease {
-			delete(b.parts, name)
+	b.demand, b.held, b.withheld = 0, 0, unknown
+	for name, p := range b.instances {
+		sinceContact := now.Sub(s.contacts[name])
+		if sinceContact > lease {
+			delete(b.instances, name)
 			continue
 		}
-		if now.Sub(p.heldAt) < life {
+		if now.Sub(p.heldAt) < grantLife {
 			b.held += p.held
 		}
 		b.demand += p.demand
 	}
-	for name, p := range b.parts {
-		silent := now.Sub(s.heard[name])
-		if silent > silence && p.keptSince.IsZero() {
-			p.keptSince, p.keptShare = s.heard[name], p.told
-			b.level -= p.keptShare * q.PerSecond * silent.Seconds()
+	for name, p := range b.instances {
+		sinceContact := now.Sub(s.contacts[name])
+		if sinceContact > contactTimeout && p.withheldSince.IsZero() {
+			p.withheldSince, p.withheldShare = s.contacts[name], p.share
+			b.level -= p.withheldShare * q.PerSecond * sinceContact.Seconds()
 		}
-		if !p.keptSince.IsZero() {
-			b.kept += p.keptShare
+		if !p.withheldSince.IsZero() {
+			b.withheld += p.withheldShare
 		}
 	}
 }
--- a/snipequota/snipequota.go
+++ b/snipequota/snipequota.go
@@ -1,26 +1,27 @@
-// Package snipequota keeps the quotas of workspaces over all instances together.
+// Package snipequota enforces the quotas of workspaces over all instances together.
 //
-// Design. One instance, the issuer, has a bucket for each workspace, which fills with the quota's
-// rate up to its burst. It grants units to the others ahead of their use, by what arrives at
-// them; an instance takes what its requests need from its grants without a message, and asks
-// before they run out, for all workspaces at once. What is granted and not used ends after a
-// while and goes back to the bucket.
+// Design. One instance, the issuer, keeps a token bucket for each workspace. The bucket fills at
+// the rate of the quota up to its burst. The issuer grants units to the instances ahead of their
+// use, according to the demand at each. An instance takes the units of its requests from its grants
+// without a message, and asks for more before they run out, for all workspaces at once. A grant
+// that is not used expires after a while, and its units return to the bucket.
 //
-// An instance that reaches no issuer goes on with its share of the rate, which the issuer has told
-// it and which follows its part of what arrives. The issuer keeps back the shares of those that it
-// does not hear, so that all together stay within the quota whoever reaches whom.
+// An instance that cannot reach an issuer continues with its share of the rate. The issuer has
+// reported this share to it, and computes it from the demand at the instance. The issuer withholds the
+// shares of the instances that do not contact it, so that all instances together stay within the
+// quota, whichever of them reach which.
 //
 // Invariants:
 //
-//   - An issuer grants no more in any time than the rate times that time and the burst, less the
-//     shares of the instances that it does not hear.
-//   - What an instance may use by its share ends a lease after its last contact, before the issuer
-//     ceases to keep it back.
-//   - What nobody can know (what was used before all were killed, grants of an issuer that is
-//     gone, use without a share) stays within Bounds.Overrun and Bounds.Slack: one half is for
-//     issuers that begin, the other for instances without an issuer.
+//   - In any span of time, an issuer grants no more than the rate times that time and the burst,
+//     less the shares of the instances that do not contact it.
+//   - An instance stops using its share within a lease of its last contact, before the issuer stops
+//     withholding that share.
+//   - Use that no instance can count (use before all instances were killed, grants of an issuer
+//     that is gone, use without a share) stays within Bounds.Overrun and Bounds.Slack. One half of
+//     these is for issuers that start, the other half for instances without an issuer.
 //
-// Ways that were weighed stand in docs/design/shifted-work.md.
+// The alternatives that were considered are in docs/design/shifted-work.md.
 package snipequota
 
 import (
@@ -30,59 +31,60 @@
 )
 
 const (
-	// life is how long a grant may be used: some requests of a workspace that sends few.
-	life = 3 * time.Second
-	// lease is for how long after its last contact an instance goes on with its share.
+	// grantLife is how long a grant may be used: long enough for several requests of a workspace
+	// that sends few.
+	grantLife = 3 * time.Second
+	// lease is how long after its last contact with an issuer an instance may use its share.
 	lease = 14 * time.Second
-	// silence is how long an instance may be unheard before its share is kept back: some of
-	// its reports.
-	silence = 2500 * time.Millisecond
-	// reportEvery is the longest time between two reports of an instance.
-	reportEvery = time.Second
+	// contactTimeout is how long an instance may be without contact before the issuer withholds its
+	// share: several report intervals.
+	contactTimeout = 2500 * time.Millisecond
+	// reportInterval is the longest time between two reports of an instance.
+	reportInterval = time.Second
 )
 
-// Bounds are how far use may exceed a quota, which all instances together keep.
+// Bounds limit how far the use by all instances together may exceed a quota.
 type Bounds struct {
-	// Span is the window over which use is counted.
+	// Span is the length of the window over which use is counted.
 	Span time.Duration
-	// Overrun is the part of a window's quota by which use may exceed it, Slack how many units
-	// beside that.
+	// Overrun is the fraction of the quota of a window by which use may exceed it. Slack is the
+	// number of units by which use may exceed it in addition.
 	Overrun float64
 	Slack   float64
 }
 
-// Over returns how many units of a window may be used beyond a quota.
+// Over returns how many units beyond a quota may be used within a window.
 func (b Bounds) Over(q snipecatalog.Quota) float64 {
 	return b.Overrun*(q.PerSecond*b.Span.Seconds()+q.Burst) + b.Slack
 }
 
-// Ask is what an instance asks of an issuer for one workspace.
+// Ask is a request of an instance to the issuer for units of one workspace.
 type Ask struct {
 	Workspace string
-	// Need is what requests wait for, First what the first of them does, Ahead what may be
-	// granted beside.
+	// Need is the number of units that waiting requests need, First the number that the first of
+	// them needs, and Ahead the number that may be granted in addition, ahead of use.
 	Need, First, Ahead float64
-	// Held is what is left of former grants.
+	// Held is the number of units left of previous grants.
 	Held float64
-	// Alone is what was used without an issuer since the last answer.
+	// Alone is the number of units used without an issuer since the last answer of one.
 	Alone float64
-	// Demand is how many units arrive in a second.
+	// Demand is the rate of arriving requests, in units per second.
 	Demand float64
-	// Level is what an issuer last told of the bucket, Age how long ago; none where Known is
-	// false.
+	// Level is the level of the bucket that an issuer last reported, and Age the time since then.
+	// Both are set only if Known is true.
 	Level float64
 	Age   time.Duration
 	Known bool
 }
 
-// Grant answers an Ask.
+// Grant is the answer to an Ask.
 type Grant struct {
 	Workspace string
 	Units     float64
-	// Share is the instance's part of the rate while it reaches no issuer.
+	// Share is the fraction of the rate that the instance may use while it reaches no issuer.
 	Share float64
-	// Wait is when there will be room again, where less was granted than is needed.
+	// Wait is the time until units are available again, if fewer units were granted than needed.
 	Wait time.Duration
-	// Level is what the bucket holds.
+	// Level is the level of the bucket after the grant.
 	Level float64
 }
--- a/snipequota/ways_test.go
+++ b/snipequota/ways_test.go
@@ -12,32 +12,32 @@
 	"snipepitch.example/snipepitch/snipecatalog"
 )
 
-// Quotas of a large and a small workspace.
+// Quotas of a large and of a small workspace.
 var (
 	large = snipecatalog.Quota{PerSecond: 298_000, Burst: 298_000, Tokens: true}
 	small = snipecatalog.Quota{PerSecond: 29_000, Burst: 29_000, Tokens: true}
 )
 
-// evenShare counts by an even part of the quota at each instance.
-func evenShare(w *world) taker {
-	type own struct {
+// evenShare gives each instance a token bucket with an equal share of the quota.
+func evenShare(c *cluster) takeFunc {
+	type state struct {
 		level float64
 		at    time.Time
 	}
 	var lock sync.Mutex
-	parts := make([]own, len(w.nodes))
+	shares := make([]state, len(c.nodes))
 	return func(n int, units float64) bool {
-		q, part := w.workspace().Quota, float64(len(w.nodes))
+		q, sharers := c.workspace().Quota, float64(len(c.nodes))
 		lock.Lock()
 		defer lock.Unlock()
-		p := &parts[n]
+		p := &shares[n]
 		if p.at.IsZero() {
-			p.level = q.Burst / part
+			p.level = q.Burst / sharers
 		} else {
-			p.level = min(p.level+q.PerSecond/part*time.Since(p.at).Seconds(), q.Burst/part)
+			p.level = min(p.level+q.PerSecond/sharers*time.Since(p.at).Seconds(), q.Burst/sharers)
 		}
 		p.at = time.Now()
-		if p.level < min(units, q.Burst/part) {
+		if p.level < min(units, q.Burst/sharers) {
 			return false
 		}
 		p.level -= units
@@ -45,11 +45,11 @@
 	}
 }
 
-// lateSum counts by one bucket whose level each instance knows as it was some reports ago, beside
-// its own use since. That is what sums by failure domain can tell. Instances that do not reach each
-// other do not know of each other's use.
-func lateSum(w *world) taker {
-	const late = 400 * time.Millisecond
+// delayedSum uses one token bucket, whose level each instance knows with a delay of several reports
+// except for its own use since. That is the information that sums by failure domain provide.
+// Instances that do not reach each other do not count each other's use.
+func delayedSum(c *cluster) takeFunc {
+	const delay = 400 * time.Millisecond
 	type use struct {
 		at    time.Time
 		n     int
@@ -57,28 +57,28 @@
 	}
 	var lock sync.Mutex
 	var uses []use
-	var groups [3]struct {
+	var partitions [3]struct {
 		level float64
 		at    time.Time
 	}
-	for n := range groups {
-		groups[n].level, groups[n].at = w.workspace().Quota.Burst, time.Now()
+	for n := range partitions {
+		partitions[n].level, partitions[n].at = c.workspace().Quota.Burst, time.Now()
 	}
 	return func(n int, units float64) bool {
-		q := w.workspace().Quota
+		q := c.workspace().Quota
 		lock.Lock()
 		defer lock.Unlock()
 		now := time.Now()
-		group := w.groupOf(n)
-		g := &groups[group]
+		partition := c.partitionOf(n)
+		g := &partitions[partition]
 		g.level = min(g.level+q.PerSecond*now.Sub(g.at).Seconds(), q.Burst)
 		g.at = now
 		known := g.level
-		for len(uses) > 0 && now.Sub(uses[0].at) > late {
+		for len(uses) > 0 && now.Sub(uses[0].at) > delay {
 			uses = uses[1:]
 		}
 		for _, u := range uses {
-			if u.n != n && w.groupOf(u.n) == group {
+			if u.n != n && c.partitionOf(u.n) == partition {
 				known += u.units
 			}
 		}
@@ -91,99 +91,100 @@
 	}
 }
 
-// granted counts by grants of an issuer.
-func granted(w *world) taker { return w.take }
+// granted uses the grants of an issuer, which is the method of this package.
+func granted(c *cluster) takeFunc { return c.take }
 
-// load is what happens in a play.
+// load is the quota and the sequence of requests and faults of one run.
 type load struct {
 	quota snipecatalog.Quota
-	play  func(w *world, take taker)
+	run   func(c *cluster, take takeFunc)
 }
 
 var loads = map[string]load{
-	"Steady": {large, func(w *world, take taker) { w.send(take, 16*time.Second, 0.55*large.PerSecond, w.sizes(700)) }},
-	"Hot": {large, func(w *world, take taker) {
-		w.send(take, 6*time.Second, 0.55*large.PerSecond, w.sizes(700))
-		w.send(take, 10*time.Second, 4*large.PerSecond, w.sizes(700))
+	"Steady": {large, func(c *cluster, take takeFunc) { c.send(take, 16*time.Second, 0.55*large.PerSecond, c.sizes(700)) }},
+	"Hot": {large, func(c *cluster, take takeFunc) {
+		c.send(take, 6*time.Second, 0.55*large.PerSecond, c.sizes(700))
+		c.send(take, 10*time.Second, 4*large.PerSecond, c.sizes(700))
 	}},
-	"HotSmall": {small, func(w *world, take taker) {
-		w.send(take, 6*time.Second, 0.55*small.PerSecond, w.sizes(700))
-		w.send(take, 10*time.Second, 4*small.PerSecond, w.sizes(700))
+	"HotSmall": {small, func(c *cluster, take takeFunc) {
+		c.send(take, 6*time.Second, 0.55*small.PerSecond, c.sizes(700))
+		c.send(take, 10*time.Second, 4*small.PerSecond, c.sizes(700))
 	}},
-	"CallersMove": {large, func(w *world, take taker) {
-		w.send(take, 6*time.Second, 0.8*large.PerSecond, w.sizes(700))
-		for n := range w.nodes {
-			w.change(n, func(d *node) { d.weight = w.rand.ExpFloat64() * w.rand.ExpFloat64() })
+	"CallersMove": {large, func(c *cluster, take takeFunc) {
+		c.send(take, 6*time.Second, 0.8*large.PerSecond, c.sizes(700))
+		for n := range c.nodes {
+			c.update(n, func(d *node) { d.weight = c.rand.ExpFloat64() * c.rand.ExpFloat64() })
 		}
-		w.send(take, 10*time.Second, 0.8*large.PerSecond, w.sizes(700))
+		c.send(take, 10*time.Second, 0.8*large.PerSecond, c.sizes(700))
 	}},
-	"FewLarge": {small, func(w *world, take taker) {
-		w.send(take, 20*time.Second, 0.6*small.PerSecond, func() float64 { return 40_000 })
+	"FewLarge": {small, func(c *cluster, take takeFunc) {
+		c.send(take, 20*time.Second, 0.6*small.PerSecond, func() float64 { return 40_000 })
 	}},
-	"AllKilled": {large, func(w *world, take taker) {
-		w.send(take, 5*time.Second, 4*large.PerSecond, w.sizes(700))
-		for n := range w.nodes {
-			w.kill(n)
+	"AllKilled": {large, func(c *cluster, take takeFunc) {
+		c.send(take, 5*time.Second, 4*large.PerSecond, c.sizes(700))
+		for n := range c.nodes {
+			c.kill(n)
 		}
-		for n := range w.nodes {
-			w.again(n)
+		for n := range c.nodes {
+			c.restart(n)
 		}
-		w.send(take, 8*time.Second, 4*large.PerSecond, w.sizes(700))
+		c.send(take, 8*time.Second, 4*large.PerSecond, c.sizes(700))
 	}},
-	"ThirdCut": {large, func(w *world, take taker) {
-		w.send(take, 5*time.Second, 0.55*large.PerSecond, w.sizes(700))
-		for n := range len(w.nodes) / 3 {
-			w.change(n, func(d *node) { d.group = 1 + n%2 })
+	"ThirdCut": {large, func(c *cluster, take takeFunc) {
+		c.send(take, 5*time.Second, 0.55*large.PerSecond, c.sizes(700))
+		for n := range len(c.nodes) / 3 {
+			c.update(n, func(d *node) { d.partition = 1 + n%2 })
 		}
-		w.send(take, 8*time.Second, 0.55*large.PerSecond, w.sizes(700))
-		w.send(take, 6*time.Second, 4*large.PerSecond, w.sizes(700))
+		c.send(take, 8*time.Second, 0.55*large.PerSecond, c.sizes(700))
+		c.send(take, 6*time.Second, 4*large.PerSecond, c.sizes(700))
 	}},
-	"IssuerFrozen": {large, func(w *world, take taker) {
-		w.send(take, 5*time.Second, 0.55*large.PerSecond, w.sizes(700))
-		w.change(0, func(d *node) { d.frozen = true })
-		w.send(take, 6*time.Second, 2*large.PerSecond, w.sizes(700))
-		w.change(0, func(d *node) { d.frozen = false })
-		w.send(take, 6*time.Second, 2*large.PerSecond, w.sizes(700))
+	"IssuerFrozen": {large, func(c *cluster, take takeFunc) {
+		c.send(take, 5*time.Second, 0.55*large.PerSecond, c.sizes(700))
+		c.update(0, func(d *node) { d.frozen = true })
+		c.send(take, 6*time.Second, 2*large.PerSecond, c.sizes(700))
+		c.update(0, func(d *node) { d.frozen = false })
+		c.send(take, 6*time.Second, 2*large.PerSecond, c.sizes(700))
 	}},
-	"Replaced": {large, func(w *world, take taker) {
+	"Replaced": {large, func(c *cluster, take takeFunc) {
 		for n := range 6 {
-			w.send(take, 2*time.Second, 2*large.PerSecond, w.sizes(700))
-			w.kill(n)
-			w.send(take, time.Second, 2*large.PerSecond, w.sizes(700))
-			w.again(n)
+			c.send(take, 2*time.Second, 2*large.PerSecond, c.sizes(700))
+			c.kill(n)
+			c.send(take, time.Second, 2*large.PerSecond, c.sizes(700))
+			c.restart(n)
 		}
 	}},
 }
 
-// groupOf returns the part of the network that an instance reaches.
-func (w *world) groupOf(n int) (group int) {
-	w.change(n, func(d *node) { group = d.group })
-	return group
+// partitionOf returns the network partition of an instance.
+func (c *cluster) partitionOf(n int) (partition int) {
+	c.update(n, func(d *node) { partition = d.partition })
+	return partition
 }
 
-// ways are those of counting, with the numbers of instances at which they are played.
-var ways = map[string]struct {
-	count func(w *world) taker
+// methods are the ways to count use, with the numbers of instances for which each is run.
+var methods = map[string]struct {
+	count func(c *cluster) takeFunc
 	sizes []int
 }{
-	"EvenShare": {evenShare, []int{66}}, "LateSum": {lateSum, []int{66}}, "Granted": {granted, []int{9, 66}},
+	"EvenShare": {evenShare, []int{66}}, "LateSum": {delayedSum, []int{66}}, "Granted": {granted, []int{9, 66}},
 }
 
-// TestWays plays loads by each way of counting. The built one keeps the quota's bound in each, and
-// refuses no more than a twentieth below the quota where instances reach each other.
+// TestWays runs the loads with each method. It guards against a method of this package that exceeds
+// the bound of the quota, or that refuses more than a twentieth of what the quota allows although
+// the instances reach each other.
 func TestWays(t *testing.T) {
-	// unreached are loads in which instances reach no issuer for a while.
-	unreached := map[string]bool{"ThirdCut": true, "IssuerFrozen": true, "AllKilled": true, "Replaced": true}
+	// withoutIssuer are the loads in which instances reach no issuer for a while.
+	withoutIssuer := map[string]bool{"ThirdCut": true, "IssuerFrozen": true, "AllKilled": true, "Replaced": true}
 	for name, l := range loads {
-		for way, u := range ways {
+		for method, u := range methods {
 			for _, n := range u.sizes {
-				t.Run(fmt.Sprint(name, way, n), func(t *testing.T) {
-					most, early := playWay(t, n, l, u.count)
-					if way != "Granted" {
+				t.Run(fmt.Sprint(name, method, n), func(t *testing.T) {
+					maxUse, early := runLoad(t, n, l, u.count)
+					if method != "Granted" {
 						return
 					}
-					must.LessEq(t, 1, most)
-					if !unreached[name] {
+					must.LessEq(t, 1, maxUse)
+					if !withoutIssuer[name] {
 						must.LessEq(t, 0.05, early)
 					}
 				})
@@ -192,24 +193,26 @@
 	}
 }
 
-// TestHundreds plays a workspace that sends four times its quota at three hundred instances.
+// TestHundreds guards against the same failures for a workspace that sends four times its quota to
+// three hundred instances.
 func TestHundreds(t *testing.T) {
-	most, early := playWay(t, 300, loads["Hot"], granted)
-	must.LessEq(t, 1, most)
+	maxUse, early := runLoad(t, 300, loads["Hot"], granted)
+	must.LessEq(t, 1, maxUse)
 	must.LessEq(t, 0.05, early)
 }
 
-// playWay plays a load and returns the most units in a window, as a part of what is allowed, and
-// the part of what one bucket for all lets run that did not.
-func playWay(t *testing.T, n int, l load, count func(w *world) taker) (most, early float64) {
+// runLoad runs a load. It returns the maximum of the units in a window, as a fraction of what is
+// allowed, and the fraction of the units that a single bucket for all instances would have let run
+// but that did not run.
+func runLoad(t *testing.T, n int, l load, count func(c *cluster) takeFunc) (maxUse, early float64) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, 7, n, l.quota)
-		defer w.end()
+		c := newCluster(t, 7, n, l.quota)
+		defer c.stopAll()
 		time.Sleep(time.Second)
-		l.play(w, count(w))
-		most, early = w.most(0)/allowed(l.quota), w.early(l.quota)
+		l.run(c, count(c))
+		maxUse, early = c.maxUnits(0)/allowed(l.quota), c.refusedEarly(l.quota)
 		t.Logf("most %.2f of what is allowed, early %.3f, %.1f messages a second an instance",
-			most, early, w.messages()/float64(n))
+			maxUse, early, c.callRate()/float64(n))
 	})
-	return most, early
+	return maxUse, early
 }
--- a/snipequota/world_test.go
+++ b/snipequota/world_test.go
@@ -14,31 +14,31 @@
 	"snipepitch.example/snipepitch/snipequota"
 )
 
-// Bounds of the tests: those of a deployment that counts tokens over eight seconds.
+// bounds are those of a deployment that counts tokens over eight seconds.
 var bounds = snipequota.Bounds{Span: 8 * time.Second, Overrun: 0.1, Slack: 110_000}
 
-// oneWay is the time from one instance to another.
-const oneWay = time.Millisecond
+// latency is the time that a message takes from one instance to another.
+const latency = time.Millisecond
 
-var errCut = errors.New("no answer")
+var errUnreachable = errors.New("no answer")
 
-// world is a deployment whose instances count one workspace's requests.
-type world struct {
+// cluster is a deployment whose instances count the requests of one workspace.
+type cluster struct {
 	t    *testing.T
 	rand *rand.Rand
 
-	lock  sync.Mutex // guards the fields below
-	space *snipecatalog.Workspace
-	nodes []*node
-	// asked counts messages between instances.
-	asked int
+	lock    sync.Mutex // guards the fields below
+	current *snipecatalog.Workspace
+	nodes   []*node
+	// calls counts the calls to an issuer.
+	calls int
 	began time.Time
-	sent  []event
-	ran   []event
+	sent  []request
+	ran   []request
 }
 
-// event is a request and when it came or ran.
-type event struct {
+// request is a request and when it arrived or ran.
+type request struct {
 	at    time.Duration
 	units float64
 }
@@ -48,190 +48,192 @@
 	account *snipequota.Account
 	issuer  *snipequota.Issuer
 	stop    context.CancelFunc
-	// group is the part of the network that it reaches; frozen answers nobody.
-	group  int
-	frozen bool
-	// down since, zero while it runs; others see it by their rows after seenAfter.
+	// partition is the network partition of the instance. A frozen instance answers no call.
+	partition int
+	frozen    bool
+	// down is when the instance stopped; zero while it runs. It counts as live for detectionDelay
+	// after that, until its row has expired.
 	down time.Time
-	// weight is its part of the requests.
+	// weight is the relative rate of requests at the instance.
 	weight float64
 }
 
-// seenAfter is how long after its end an instance is thought to live.
-const seenAfter = 4 * time.Second
+// detectionDelay is how long a stopped instance still counts as live.
+const detectionDelay = 4 * time.Second
 
-func newWorld(t *testing.T, seed uint64, instances int, quota snipecatalog.Quota) *world {
-	w := &world{
+func newCluster(t *testing.T, seed uint64, instances int, quota snipecatalog.Quota) *cluster {
+	c := &cluster{
 		t: t, rand: rand.New(rand.NewPCG(seed, 1)), began: time.Now(),
-		space: &snipecatalog.Workspace{Name: "w", Quota: quota},
+		current: &snipecatalog.Workspace{Name: "w", Quota: quota},
 	}
-	w.lock.Lock()
-	defer w.lock.Unlock()
+	c.lock.Lock()
+	defer c.lock.Unlock()
 	for n := range instances {
-		// Callers are spread by a hash: some instances get several times as many as others.
-		w.nodes = append(w.nodes, &node{weight: w.rand.ExpFloat64()})
-		w.start(n)
+		// Callers are spread by a hash, so some instances get several times as many as others.
+		c.nodes = append(c.nodes, &node{weight: c.rand.ExpFloat64()})
+		c.start(n)
 	}
-	return w
+	return c
 }
 
-// start starts an instance that knows nothing.
-func (w *world) start(n int) {
-	d := w.nodes[n]
+// start starts an instance without any state.
+func (c *cluster) start(n int) {
+	d := c.nodes[n]
 	d.issuer = &snipequota.Issuer{
-		Quota:     func(string) snipecatalog.Quota { return w.workspace().Quota },
-		Instances: func() []string { return w.live() }, Bounds: bounds,
+		Quota:     func(string) snipecatalog.Quota { return c.workspace().Quota },
+		Instances: func() []string { return c.live() }, Bounds: bounds,
 	}
 	d.account = &snipequota.Account{
 		Ask: func(ctx context.Context, asks []snipequota.Ask) ([]snipequota.Grant, error) {
-			return w.ask(ctx, n, asks)
+			return c.ask(ctx, n, asks)
 		},
-		Limited: func() bool { return true }, Instances: func() int { return len(w.live()) },
+		Limited: func() bool { return true }, Instances: func() int { return len(c.live()) },
 		Bounds: bounds, Log: snipelog.Discard(),
 	}
-	ctx, cancel := context.WithCancel(w.t.Context())
+	ctx, cancel := context.WithCancel(c.t.Context())
 	d.stop, d.down = cancel, time.Time{}
 	account := d.account
 	go func() { _ = account.Run(ctx) }()
 }
 
-// kill ends an instance.
-func (w *world) kill(n int) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.nodes[n].stop()
-	w.nodes[n].down = time.Now()
+// kill stops an instance.
+func (c *cluster) kill(n int) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.nodes[n].stop()
+	c.nodes[n].down = time.Now()
 }
 
-// again starts an instance anew.
-func (w *world) again(n int) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.start(n)
+// restart starts an instance again, without its previous state.
+func (c *cluster) restart(n int) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.start(n)
 }
 
-// end ends all instances.
-func (w *world) end() {
-	for n := range w.nodes {
-		w.change(n, func(d *node) { d.stop() })
+// stopAll stops all instances.
+func (c *cluster) stopAll() {
+	for n := range c.nodes {
+		c.update(n, func(d *node) { d.stop() })
 	}
 	time.Sleep(time.Second)
 }
 
-func (w *world) workspace() *snipecatalog.Workspace {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	return w.space
+func (c *cluster) workspace() *snipecatalog.Workspace {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return c.current
 }
 
-// declare changes the quota for all.
-func (w *world) declare(q snipecatalog.Quota) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.space = &snipecatalog.Workspace{Name: "w", Quota: q}
+// setQuota changes the quota for all instances.
+func (c *cluster) setQuota(q snipecatalog.Quota) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.current = &snipecatalog.Workspace{Name: "w", Quota: q}
 }
 
-// live returns who lives by the rows, which all instances see alike, and late.
-func (w *world) live() []string {
-	w.lock.Lock()
-	defer w.lock.Unlock()
+// live returns the names of the live instances by their rows, which all instances see alike and
+// with a delay.
+func (c *cluster) live() []string {
+	c.lock.Lock()
+	defer c.lock.Unlock()
 	var all []string
-	for n, d := range w.nodes {
-		if d.down.IsZero() || time.Since(d.down) < seenAfter {
+	for n, d := range c.nodes {
+		if d.down.IsZero() || time.Since(d.down) < detectionDelay {
 			all = append(all, fmt.Sprint(n))
 		}
 	}
 	return all
 }
 
-// ask puts an instance's questions to the first that lives by the rows.
-func (w *world) ask(ctx context.Context, n int, asks []snipequota.Ask) ([]snipequota.Grant, error) {
+// ask sends the asks of an instance to the first live instance.
+func (c *cluster) ask(ctx context.Context, n int, asks []snipequota.Ask) ([]snipequota.Grant, error) {
 	var first int
-	if _, err := fmt.Sscan(w.live()[0], &first); err != nil {
+	if _, err := fmt.Sscan(c.live()[0], &first); err != nil {
 		return nil, err
 	}
-	w.lock.Lock()
-	from, to := w.nodes[n], w.nodes[first]
+	c.lock.Lock()
+	from, to := c.nodes[n], c.nodes[first]
 	issuer := to.issuer
-	reached := from == to || from.group == to.group && !from.frozen && !to.frozen
+	reached := from == to || from.partition == to.partition && !from.frozen && !to.frozen
 	down := !to.down.IsZero()
-	w.asked++
-	w.lock.Unlock()
+	c.calls++
+	c.lock.Unlock()
 	switch {
 	case down:
-		time.Sleep(oneWay)
-		return nil, errCut
+		time.Sleep(latency)
+		return nil, errUnreachable
 	case !reached:
 		<-ctx.Done()
 		return nil, ctx.Err()
 	case from == to:
 		return issuer.Issue(fmt.Sprint(n), asks), nil
 	}
-	time.Sleep(oneWay)
+	time.Sleep(latency)
 	grants := issuer.Issue(fmt.Sprint(n), asks)
-	time.Sleep(oneWay)
+	time.Sleep(latency)
 	return grants, nil
 }
 
-// taker is a way of counting: it reports whether a request may run at an instance.
-type taker func(n int, units float64) bool
+// takeFunc is a method of counting. It reports whether a request may run at an instance.
+type takeFunc func(n int, units float64) bool
 
-// take counts by the way that is built.
-func (w *world) take(n int, units float64) bool {
-	w.lock.Lock()
-	account := w.nodes[n].account
-	w.lock.Unlock()
-	_, ok := account.Take(w.t.Context(), w.workspace(), units)
+// take uses the accounts of this package.
+func (c *cluster) take(n int, units float64) bool {
+	c.lock.Lock()
+	account := c.nodes[n].account
+	c.lock.Unlock()
+	_, ok := account.Take(c.t.Context(), c.workspace(), units)
 	return ok
 }
 
-// change changes what becomes of an instance.
-func (w *world) change(n int, f func(d *node)) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	f(w.nodes[n])
+// update changes an instance under the lock.
+func (c *cluster) update(n int, f func(d *node)) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	f(c.nodes[n])
 }
 
-// send sends so many units a second in requests of a size for a while, to the instances that run
-// by their weights.
-func (w *world) send(take taker, d time.Duration, rate float64, size func() float64) {
-	var waiting sync.WaitGroup
+// send sends requests of the given sizes for d, at a rate in units per second, to the running
+// instances in proportion to their weights.
+func (c *cluster) send(take takeFunc, d time.Duration, rate float64, size func() float64) {
+	var pending sync.WaitGroup
 	end := time.Now().Add(d)
 	for time.Now().Before(end) {
 		units := size()
-		time.Sleep(time.Duration(w.rand.ExpFloat64() * units / rate * float64(time.Second)))
-		n := w.pick()
+		time.Sleep(time.Duration(c.rand.ExpFloat64() * units / rate * float64(time.Second)))
+		n := c.pickInstance()
 		if n < 0 {
 			continue
 		}
-		w.note(&w.sent, units)
-		waiting.Go(func() {
+		c.record(&c.sent, units)
+		pending.Go(func() {
 			if take(n, units) {
-				w.note(&w.ran, units)
+				c.record(&c.ran, units)
 			}
 		})
 	}
-	waiting.Wait()
+	pending.Wait()
 }
 
-func (w *world) note(to *[]event, units float64) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	*to = append(*to, event{time.Since(w.began), units})
+func (c *cluster) record(to *[]request, units float64) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	*to = append(*to, request{time.Since(c.began), units})
 }
 
-// pick returns the instance of the next request; -1 where none runs.
-func (w *world) pick() int {
-	w.lock.Lock()
-	defer w.lock.Unlock()
+// pickInstance returns the instance for the next request, or -1 if none runs.
+func (c *cluster) pickInstance() int {
+	c.lock.Lock()
+	defer c.lock.Unlock()
 	sum := 0.0
-	for _, d := range w.nodes {
+	for _, d := range c.nodes {
 		if d.down.IsZero() && !d.frozen {
 			sum += d.weight
 		}
 	}
-	at := w.rand.Float64() * sum
-	for n, d := range w.nodes {
+	at := c.rand.Float64() * sum
+	for n, d := range c.nodes {
 		if !d.down.IsZero() || d.frozen {
 			continue
 		}
@@ -242,43 +244,45 @@
 	return -1
 }
 
-// most returns the most units that ran within a window, in those after a time.
-func (w *world) most(after time.Duration) float64 {
-	sum, most, first := 0.0, 0.0, 0
-	for _, e := range w.ran {
+// maxUnits returns the maximum of the units that ran within a window, counting only requests after
+// the given time.
+func (c *cluster) maxUnits(after time.Duration) float64 {
+	sum, maxUse, first := 0.0, 0.0, 0
+	for _, e := range c.ran {
 		if e.at < after {
 			first++
 			continue
 		}
 		sum += e.units
-		for e.at-w.ran[first].at > bounds.Span {
-			sum -= w.ran[first].units
+		for e.at-c.ran[first].at > bounds.Span {
+			sum -= c.ran[first].units
 			first++
 		}
-		most = max(most, sum)
+		maxUse = max(maxUse, sum)
 	}
-	return most
+	return maxUse
 }
 
-// questions returns how many questions were asked.
-func (w *world) questions() int {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	return w.asked
+// callCount returns the number of calls to an issuer.
+func (c *cluster) callCount() int {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return c.calls
 }
 
-// messages returns how many questions were asked in a second.
-func (w *world) messages() float64 { return float64(w.questions()) / time.Since(w.began).Seconds() }
+// callRate returns the number of calls per second.
+func (c *cluster) callRate() float64 { return float64(c.callCount()) / time.Since(c.began).Seconds() }
 
-// allowed is how many units may run within a window.
+// allowed returns how many units may run within a window.
 func allowed(q snipecatalog.Quota) float64 {
 	return q.PerSecond*bounds.Span.Seconds() + q.Burst + bounds.Over(q)
 }
 
-// early returns the part of the units that one bucket for all would have let run, and that did not.
-func (w *world) early(q snipecatalog.Quota) float64 {
+// refusedEarly returns the fraction of the units that a single bucket for all instances would have
+// let run but that did not run.
+func (c *cluster) refusedEarly(q snipecatalog.Quota) float64 {
 	level, at, ideal := q.Burst, time.Duration(0), 0.0
-	for _, e := range w.sent {
+	for _, e := range c.sent {
 		level = min(level+q.PerSecond*(e.at-at).Seconds(), q.Burst)
 		at = e.at
 		if level >= min(e.units, q.Burst) {
@@ -287,17 +291,18 @@
 		}
 	}
 	ran := 0.0
-	for _, e := range w.ran {
+	for _, e := range c.ran {
 		ran += e.units
 	}
 	return max(ideal-ran, 0) / ideal
 }
 
-// sizes returns requests' sizes as those of drafts: some hundred tokens, few of them many.
-func (w *world) sizes(mean float64) func() float64 {
+// sizes returns a generator of request sizes like those of drafts: mostly some hundred tokens, few
+// of them many.
+func (c *cluster) sizes(mean float64) func() float64 {
 	return func() float64 {
-		w.lock.Lock()
-		defer w.lock.Unlock()
-		return mean * (0.3 + 0.7*w.rand.ExpFloat64())
+		c.lock.Lock()
+		defer c.lock.Unlock()
+		return mean * (0.3 + 0.7*c.rand.ExpFloat64())
 	}
 }
