--- a/snipesignal/part.go
+++ b/snipesignal/part.go
@@ -6,8 +6,8 @@
 	// sharedFraction is the fraction of a limit that is divided among the instances with a share.
 	// probeFraction is the fraction that all instances without a share may use together for probes,
 	// which find out whether the upstream still names the limit. An upstream tolerates half as much
-	// again as its limit; that margin is left for instances that do not know of each other yet and
-	// so take larger shares.
+	// again as its limit; that margin is left for instances that have not discovered each other yet
+	// and so take larger shares.
 	sharedFraction = 0.9
 	probeFraction  = 0.1
 	// spareShares is how many shares there are in addition to one for each request per second of
@@ -51,8 +51,8 @@
 	return p
 }
 
-// setIntervals sets the interval and the first send time of one of several sharers, which send
-// perSecond requests per second in total and take turns in the order of their index.
+// setIntervals sets the interval and the first send time of one of several sharers, which together
+// send perSecond requests per second, in the order of their index.
 func (p *Part) setIntervals(perSecond float64, sharers, index int) {
 	p.Interval = time.Duration(float64(sharers) / perSecond * float64(time.Second))
 	p.First = time.Duration(float64(p.Interval) * float64(index+1) / float64(sharers))
--- a/snipesignal/rest_test.go
+++ b/snipesignal/rest_test.go
@@ -84,8 +84,8 @@
 	})
 }
 
-// TestPromiseAfterRest guards against refused callers that are told to retry during the backoff, or
-// all at the same moment after it.
+// TestPromiseAfterRest guards against retry times of refused callers that lie within the backoff,
+// or all at the same moment after it.
 func TestPromiseAfterRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipesignal.Book{}
--- a/snipesignal/snipesignal.go
+++ b/snipesignal/snipesignal.go
@@ -11,8 +11,8 @@
 //
 // Invariants:
 //
-//   - A signal of an upstream holds until the answer to a request that was sent after it says
-//     otherwise, because answers overtake each other.
+//   - A signal of an upstream holds until the answer to a request that was sent later contradicts
+//     it, because answers overtake each other.
 //   - State is kept under the identifier of one start of an upstream, and applies to no other
 //     start.
 //   - Two requests of one instance to an upstream that names a limit are separated by the interval
--- a/snipesignal/turn.go
+++ b/snipesignal/turn.go
@@ -9,7 +9,7 @@
 	// probeAfter is how long an instance without a share must have received no update of a limit
 	// before it probes whether the limit still holds: several announcement intervals.
 	probeAfter = 3 * announceInterval
-	// maxRetryAfter is the longest time after which a refused caller is told to retry.
+	// maxRetryAfter is the longest retry time that is returned for a refused caller.
 	maxRetryAfter = 5 * time.Second
 )
 
--- a/snipesignal/world_test.go
+++ b/snipesignal/world_test.go
@@ -43,7 +43,7 @@
 	name   string
 	book   *snipesignal.Book
 	demand float64
-	// known is how many instances it knows of.
+	// known is how many instances it has discovered.
 	known int
 	// partitioned instances reach no other instance.
 	partitioned bool
@@ -68,7 +68,7 @@
 	return s
 }
 
-// add starts an instance that knows of the given number of instances.
+// add starts an instance that has discovered the given number of instances.
 func (s *simulation) add(known int, d divide) {
 	p := &instance{name: fmt.Sprint("i", len(s.instances)), known: known}
 	p.book = &snipesignal.Book{Part: func(upstream string, limit float64) snipesignal.Part {
@@ -77,8 +77,8 @@
 	s.instances = append(s.instances, p)
 }
 
-// rank returns the rank of an instance among the instances that it knows of, which are the first
-// ones of all.
+// rank returns the rank of an instance among the instances that it has discovered, which are the
+// first ones of all.
 func (s *simulation) rank(p *instance, upstream string) int {
 	key := sniperoute.Hash(upstream)
 	own, rank := sniperoute.Score(key, sniperoute.Hash(p.name)), 0
@@ -170,8 +170,8 @@
 }
 
 // TestLimitAtSize guards against more requests than an overloaded upstream accepts, at any number
-// of instances that know the limit and wherever their callers are. It also guards against a limit
-// that the instances with callers hardly use.
+// of instances that were notified of the limit and wherever their callers are. It also guards
+// against a limit that the instances with callers hardly use.
 func TestLimitAtSize(t *testing.T) {
 	for _, count := range []int{1, 3, 7, 66, 300} {
 		for _, limit := range []float64{0, 0.5, 3, 60} {
@@ -242,8 +242,8 @@
 	}
 }
 
-// TestLimitInTroubles guards against more requests than allowed while new instances know of few
-// others, some instances are partitioned, and the limit rises and falls.
+// TestLimitInTroubles guards against more requests than allowed while new instances have discovered
+// few others, some instances are partitioned, and the limit rises and falls.
 func TestLimitInTroubles(t *testing.T) {
 	for _, count := range []int{7, 66, 300} {
 		for _, limit := range []float64{0.5, 3, 60} {
@@ -258,7 +258,8 @@
 						}
 						s.limit, s.limited = limit, true
 						s.run(5 * time.Second)
-						// Two instances start. They know of six; the others learn of them later.
+						// Two instances start. They have discovered six; the others discover them
+						// later.
 						s.add(6, snipesignal.Divide)
 						s.add(6, snipesignal.Divide)
 						s.setDemand(max(20*limit, 100), len(s.instances))
