--- a/snipeadapter/controller.go
+++ b/snipeadapter/controller.go
@@ -16,117 +16,120 @@
 )
 
 const (
-	// mostOnTheWay bounds the adapters on their way to one engine, which takes four at once,
-	// mostFromStore those of them that come from the weight store. It serves one to two an
-	// engine at full speed, and takes longer in proportion beyond; what waits here meanwhile
-	// can still be put in order and taken back.
-	mostOnTheWay  = 4
-	mostFromStore = 2
-	// orderTimeout bounds one order: an engine answers within milliseconds.
+	// maxActiveLoads bounds the loads in progress on one engine, which accepts four at once.
+	// maxActiveStoreLoads bounds those among them that come from the weight store, which serves one
+	// to two loads per engine at full speed and becomes proportionally slower beyond that. A load
+	// that waits in the queue instead can still be reordered or dropped.
+	maxActiveLoads      = 4
+	maxActiveStoreLoads = 2
+	// orderTimeout bounds one order; an engine answers within milliseconds.
 	orderTimeout = 150 * time.Millisecond
-	// reportAge is how old an engine's report may be.
-	reportAge = 300 * time.Millisecond
-	// loadTime is how long an adapter usually takes from the weight store, reloadTime
-	// one that the engine has held lately, a tenth; it is asked for from then on.
-	loadTime   = 245 * time.Millisecond
-	reloadTime = 25 * time.Millisecond
-	// askEvery is the time between two questions whether a load is complete.
-	askEvery = 15 * time.Millisecond
-	// loadTimeout bounds a load, over all its tries.
+	// maxReportAge is how old an engine's report may be.
+	maxReportAge = 300 * time.Millisecond
+	// storeLoadTime is how long an adapter usually takes to load from the weight store; reloadTime
+	// is a tenth of that, for an adapter that the engine has held recently. The first poll of a
+	// load is sent after reloadTime.
+	storeLoadTime = 245 * time.Millisecond
+	reloadTime    = 25 * time.Millisecond
+	// pollInterval is the time between two polls for the completion of an order.
+	pollInterval = 15 * time.Millisecond
+	// loadTimeout bounds a load, including all its retries.
 	loadTimeout = 6 * time.Second
-	// modelTimeout bounds the load of a base model, which takes up to two seconds,
-	// and in proportion longer when many engines load one.
+	// modelTimeout bounds the load of a base model, which takes up to two seconds, and
+	// proportionally longer when many engines load one at the same time.
 	modelTimeout = 15 * time.Second
-	// calmUse is how long an adapter must not have been used to be evicted: uses that
-	// have begun are heard of later than that seldom. An engine that has to wait for an
-	// answer before it unloads takes no other order; a longer calm leaves too few to
-	// choose from under heavy load.
-	calmUse = 300 * time.Millisecond
-	// firstVersion is the version of an adapter before any was announced, as engines
-	// list it.
+	// minIdle is how long an adapter must have been unused before it can be evicted. Uses are
+	// seldom reported later than this after they begin. An engine that has to wait for a running
+	// request before it unloads an adapter accepts no other order meanwhile; a longer idle time
+	// leaves too few candidates under heavy load.
+	minIdle = 300 * time.Millisecond
+	// firstVersion is the version that engines list for an adapter before any version was
+	// announced.
 	firstVersion = 1
 )
 
-// Desk gives orders to the engines that this instance owns. Exported fields are
-// set before the first call; it is safe for concurrent use.
+// Desk is the controller that gives orders to the engines that this instance owns. Exported fields
+// are set before the first call; the methods are safe for concurrent use.
 type Desk struct {
 	Engine Engine
-	// Fence returns the right to order.
+	// Fence returns the fencing number for an order, and whether this instance may give one.
 	Fence Fence
-	// Upstream returns an engine of the directory; nil when it is not there.
+	// Upstream returns the directory entry of an engine, or nil if there is none.
 	Upstream func(id string) *snipedirectory.Upstream
 	// Slots returns how many adapters an engine can hold.
 	Slots func(u *snipedirectory.Upstream) int
-	// Model returns the base model that an engine without one should hold; empty
-	// for none.
+	// Model returns the base model that an engine without one should hold; empty for none.
 	Model func(u *snipedirectory.Upstream) string
-	// Newest returns the newest announced version of an adapter; 0 for none.
+	// Newest returns the newest announced version of an adapter; 0 if none was announced.
 	Newest func(a snipecatalog.Adapter) int64
-	// Spare reports whether an engine may lose an adapter that is used so many times a
-	// second there, because others hold it too; nil for never.
+	// Spare reports whether an engine can lose an adapter that is used perSecond times a second
+	// there, because other engines hold it too; nil means that it never can.
 	Spare func(u *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool
-	// StartedAgain is told of a start of an engine that is over, as its report shows,
-	// though the directory does not tell yet.
+	// StartedAgain is called with an engine's ID when the engine's report shows that this start has
+	// ended but the directory still lists it.
 	StartedAgain func(id string)
-	// Formerly reports whether an engine held an adapter lately, so that it brings it back
-	// without the weight store; nil for never.
+	// Formerly reports whether an engine held an adapter recently, so that it reloads the adapter
+	// without the weight store; nil means never.
 	Formerly func(engine string, a snipecatalog.Adapter) bool
 	// Holder is this instance's name in orders.
 	Holder string
 	Log    *snipelog.Logger
 
-	evicted evictions
+	evicted evictionLog
 
-	late lateOrders
+	unanswered unansweredLoads
 
 	lock    sync.Mutex // guards engines
 	engines map[string]*engine
 }
 
-// engine is the desk's knowledge of one engine.
+// engine is the controller's state of one start of an engine.
 type engine struct {
-	desk *Desk
-	id   string
-	// name and again are the upstream's; learned is since when this desk knows this start.
-	name    string
-	again   bool
-	learned time.Time
-	// ordering serialises orders: each states the number of those before it. It is
-	// held while an order is under way, so it is no mutex.
-	ordering turn
-	// fence is that under which the engine was last read; what was known under an
-	// earlier one is void.
+	controller *Desk
+	id         string
+	// name and restarted come from the directory entry (restarted: an earlier start had the same
+	// name). discovered is when this controller first used this start of the engine.
+	name       string
+	restarted  bool
+	discovered time.Time
+	// orderLock serializes orders, because each states the number of orders before it. It is held
+	// while an order is in progress, so waiting for it honors a context, unlike a mutex.
+	orderLock ctxLock
+	// fence is the fencing number under which the engine was last read; state that was read under
+	// an earlier one is invalid.
 	fence uint64
-	// orders is the number of orders that the engine has taken; it is known once
-	// the engine was read.
-	orders uint64
-	read   atomic.Bool
-	// sure tells that the last order of all got its answer here. Else one that got
-	// none, of this instance or of the owner before, may still be carried out.
-	sure bool
+	// accepted is the number of orders that the engine has accepted; it is valid once the engine
+	// was read. stateKnown is false until then, and while the state must be read again.
+	accepted   uint64
+	stateKnown atomic.Bool
+	// lastAnswered reports that this controller received the answer to the engine's latest order.
+	// Otherwise an unanswered order, of this instance or of the previous owner, may still be
+	// carried out.
+	lastAnswered bool
 
 	lock sync.Mutex // guards the fields below
 	// readAt is when the engine was last read.
 	readAt time.Time
-	// models are the base models that it holds; nil until it was read.
+	// models are the base models that the engine holds; nil until the engine was read.
 	models map[string]bool
-	held   map[snipecatalog.Adapter]*holding
+	held   map[snipecatalog.Adapter]*heldAdapter
 	loads  map[snipecatalog.Adapter]*load
-	// flights are the adapters in flight, by the instance that reports them.
-	flights map[string]flights
-	// queue are the loads that wait for their turn, bringing the adapters of those that
-	// have it, fromStore how many of these come from the weight store.
-	queue     []*load
-	bringing  map[snipecatalog.Adapter]bool
-	fromStore int
-	// forPlace is how long loads have waited of late for a place where all were in use.
-	forPlace time.Duration
+	// inFlightReports are the adapters with requests in flight, by the instance that reported them.
+	inFlightReports map[string]inFlightReport
+	// queue are the loads that have not started yet, activeLoads the adapters of those that have,
+	// activeStoreLoads the number of active loads that come from the weight store.
+	queue            []*load
+	activeLoads      map[snipecatalog.Adapter]bool
+	activeStoreLoads int
+	// slotWait is the moving average of how long loads waited for a slot when all were in use; 0
+	// until the first such wait.
+	slotWait time.Duration
 }
 
-// turn is taken by one goroutine at a time.
-type turn chan struct{}
+// ctxLock is a mutual exclusion lock whose acquisition honors a context.
+type ctxLock chan struct{}
 
-func (t turn) take(ctx context.Context) error {
+func (t ctxLock) acquire(ctx context.Context) error {
 	select {
 	case t <- struct{}{}:
 		return nil
@@ -135,59 +138,60 @@
 	}
 }
 
-func (t turn) leave() { <-t }
+func (t ctxLock) release() { <-t }
 
-// holding is an adapter that an engine holds.
-type holding struct {
+// heldAdapter is an adapter that takes a slot on an engine.
+type heldAdapter struct {
 	version int64
-	// used is when it was last used, uses how often it is, rate how often of late.
-	used time.Time
-	uses Decay
-	rate Rate
-	// coming adapters take a place, and cannot be used yet.
-	coming bool
-	// replaced adapters are used while a newer version, which takes a place of its
-	// own, is on its way.
-	replaced bool
+	// lastUsed is when the adapter was last used, useCount the decaying count of its uses, useRate
+	// its recent rate of use.
+	lastUsed time.Time
+	useCount DecayingCount
+	useRate  Rate
+	// loading reports that the adapter takes a slot but cannot be used yet.
+	loading bool
+	// replacing reports that a newer version, which takes a slot of its own, is loading. Until it
+	// is complete this version is used.
+	replacing bool
 }
 
-// note notes uses.
-func (h *holding) note(now time.Time, n int) {
-	h.used = now
-	h.uses.Add(now, float64(n))
-	h.rate.Add(now, float64(n))
+// recordUses records n uses of the adapter.
+func (h *heldAdapter) recordUses(now time.Time, n int) {
+	h.lastUsed = now
+	h.useCount.Add(now, float64(n))
+	h.useRate.Add(now, float64(n))
 }
 
-// inherit takes the use of what was known of the same adapter before.
-func (h *holding) inherit(known *holding) {
-	if known != nil {
-		h.used, h.uses, h.rate = known.used, known.uses, known.rate
+// inheritUse copies the use statistics from an earlier record of the same adapter.
+func (h *heldAdapter) inheritUse(previous *heldAdapter) {
+	if previous != nil {
+		h.lastUsed, h.useCount, h.useRate = previous.lastUsed, previous.useCount, previous.useRate
 	}
 }
 
-// Ensure waits until an engine holds an adapter in at least the given version and
-// returns the version that it holds. A load that cannot be complete within patience
-// is refused at once: the error is then a BusyError.
-func (d *Desk) Ensure(ctx context.Context, id string, a snipecatalog.Adapter, version int64, patience time.Duration) (int64, error) {
-	u := d.Upstream(id)
+// Ensure waits until an engine holds an adapter in at least the given version and returns the
+// version that it holds. If the load is not expected to complete within maxWait, Ensure returns a
+// BusyError at once.
+func (c *Desk) Ensure(ctx context.Context, id string, a snipecatalog.Adapter, version int64, maxWait time.Duration) (int64, error) {
+	u := c.Upstream(id)
 	if u == nil {
 		return 0, errors.Wrap(ErrUnknownEngine, id)
 	}
-	if _, ok := d.Fence(u.Address); !ok {
+	if _, ok := c.Fence(u.Address); !ok {
 		return 0, errors.Wrap(ErrNotOwner, id)
 	}
-	e := d.engine(u)
+	e := c.engine(u)
 	if !e.serves(a.Model) {
 		return 0, errors.Wrap(ErrNoModel, id)
 	}
-	l, held, err := e.want(a, d.target(a, version), version, patience)
+	l, held, err := e.findOrQueue(a, c.target(a, version), version, maxWait)
 	if l == nil {
 		return held, err
 	}
 	select {
 	case <-l.done:
 	case <-ctx.Done():
-		e.leave(l)
+		e.removeWaiter(l)
 		return 0, ctx.Err()
 	}
 	if l.err != nil {
@@ -196,19 +200,18 @@
 	return l.version, nil
 }
 
-// target returns the version to load of an adapter of which at least one version is
-// asked for. It is always stated: the repeat of an order that states none would begin
-// the load of a version that was announced meanwhile, which has no place.
-func (d *Desk) target(a snipecatalog.Adapter, least int64) int64 {
-	return max(least, d.Newest(a), firstVersion)
+// target returns the version to load of an adapter that is requested in at least version least. It
+// is never 0: a repeat of an order without a version would start the load of a version announced in
+// the meantime, for which no slot is free.
+func (c *Desk) target(a snipecatalog.Adapter, least int64) int64 {
+	return max(least, c.Newest(a), firstVersion)
 }
 
-// Rates returns how often a second the adapters of an engine are used, of those that
-// are used at least so often.
-func (d *Desk) Rates(id string, least float64) map[snipecatalog.Adapter]float64 {
-	d.lock.Lock()
-	e := d.engines[id]
-	d.lock.Unlock()
+// Rates returns the uses per second of an engine's adapters, without those below least.
+func (c *Desk) Rates(id string, least float64) map[snipecatalog.Adapter]float64 {
+	c.lock.Lock()
+	e := c.engines[id]
+	c.lock.Unlock()
 	if e == nil {
 		return nil
 	}
@@ -217,7 +220,7 @@
 	now := time.Now()
 	var rates map[snipecatalog.Adapter]float64
 	for a, h := range e.held {
-		perSecond := h.rate.PerSecond(now)
+		perSecond := h.useRate.PerSecond(now)
 		if perSecond < least {
 			continue
 		}
@@ -229,83 +232,84 @@
 	return rates
 }
 
-// Refresh replaces an adapter by a newer version on all engines of this desk that
-// hold it.
-func (d *Desk) Refresh(a snipecatalog.Adapter, version int64) {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	for _, e := range d.engines {
+// Refresh replaces older versions of an adapter by the given version on all engines of this
+// controller that hold it.
+func (c *Desk) Refresh(a snipecatalog.Adapter, version int64) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	for _, e := range c.engines {
 		e.lock.Lock()
 		h := e.held[a]
 		e.lock.Unlock()
 		if h != nil && h.version < version {
-			e.must(a, version)
+			e.queueRequired(a, version)
 		}
 	}
 }
 
-// Take reads an engine that this instance has come to own, so that what it holds
-// is known before the first order.
-func (d *Desk) Take(ctx context.Context, u *snipedirectory.Upstream) {
-	fence, ok := d.Fence(u.Address)
+// Take reads the state of an engine that this instance has come to own, so that the state is known
+// before the first order. It then queues the load of a missing base model, or of newer versions of
+// the adapters that the engine holds.
+func (c *Desk) Take(ctx context.Context, u *snipedirectory.Upstream) {
+	fence, ok := c.Fence(u.Address)
 	if !ok {
 		return
 	}
-	e := d.engine(u)
-	if err := e.ordering.take(ctx); err != nil {
+	e := c.engine(u)
+	if err := e.orderLock.acquire(ctx); err != nil {
 		return
 	}
-	defer e.ordering.leave()
-	if e.read.Load() && e.fence == fence {
+	defer e.orderLock.release()
+	if e.stateKnown.Load() && e.fence == fence {
 		return
 	}
 	if err := e.readState(ctx, u, fence); err != nil {
-		d.Log.Error(snipelog.EngineUnread, err, e.fields(nil))
+		c.Log.Error(snipelog.EngineUnread, err, e.logFields(nil))
 		return
 	}
-	if model := d.Model(u); model != "" && !e.serves(model) {
-		e.must(snipecatalog.Adapter{Model: model}, 0)
+	if model := c.Model(u); model != "" && !e.serves(model) {
+		e.queueRequired(snipecatalog.Adapter{Model: model}, 0)
 		return
 	}
 	for a, version := range e.outdated() {
-		e.must(a, version)
+		e.queueRequired(a, version)
 	}
 }
 
-// Engines returns the engines that this desk has ordered and that are not gone.
-func (d *Desk) Engines() []string {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	return slices.Collect(maps.Keys(d.engines))
+// Engines returns the IDs of the engines that this controller has used and that were not forgotten.
+func (c *Desk) Engines() []string {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	return slices.Collect(maps.Keys(c.engines))
 }
 
-// Forget drops an engine that is gone.
-func (d *Desk) Forget(id string) {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	delete(d.engines, id)
+// Forget drops the state of an engine that no longer exists.
+func (c *Desk) Forget(id string) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	delete(c.engines, id)
 }
 
-func (d *Desk) engine(u *snipedirectory.Upstream) *engine {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	if e := d.engines[u.ID]; e != nil {
+func (c *Desk) engine(u *snipedirectory.Upstream) *engine {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if e := c.engines[u.ID]; e != nil {
 		return e
 	}
-	if d.engines == nil {
-		d.engines = make(map[string]*engine)
+	if c.engines == nil {
+		c.engines = make(map[string]*engine)
 	}
 	e := &engine{
-		desk: d, id: u.ID, name: u.Name, again: u.Again, learned: time.Now(), ordering: make(turn, 1),
-		held: make(map[snipecatalog.Adapter]*holding), loads: make(map[snipecatalog.Adapter]*load),
-		bringing: make(map[snipecatalog.Adapter]bool), flights: make(map[string]flights),
+		controller: c, id: u.ID, name: u.Name, restarted: u.Again, discovered: time.Now(), orderLock: make(ctxLock, 1),
+		held: make(map[snipecatalog.Adapter]*heldAdapter), loads: make(map[snipecatalog.Adapter]*load),
+		activeLoads: make(map[snipecatalog.Adapter]bool), inFlightReports: make(map[string]inFlightReport),
 	}
-	d.engines[u.ID] = e
+	c.engines[u.ID] = e
 	return e
 }
 
-// fields adds the engine to the fields of a log line.
-func (e *engine) fields(f snipelog.Fields) snipelog.Fields {
+// logFields adds the engine's ID to the fields of a log line.
+func (e *engine) logFields(f snipelog.Fields) snipelog.Fields {
 	if f == nil {
 		f = snipelog.Fields{}
 	}
@@ -313,21 +317,21 @@
 	return f
 }
 
-// serves reports whether the engine holds a base model, as far as is known.
+// serves reports whether the engine holds a base model; it is true while the engine's models are
+// not known.
 func (e *engine) serves(model string) bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	return e.models == nil || e.models[model]
 }
 
-// outdated returns the adapters that the engine holds in an older version than the
-// newest one.
+// outdated returns the newest versions of the adapters that the engine holds in an older version.
 func (e *engine) outdated() map[snipecatalog.Adapter]int64 {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	all := make(map[snipecatalog.Adapter]int64)
 	for a, h := range e.held {
-		if newest := e.desk.Newest(a); newest > h.version {
+		if newest := e.controller.Newest(a); newest > h.version {
 			all[a] = newest
 		}
 	}
--- a/snipeadapter/evict.go
+++ b/snipeadapter/evict.go
@@ -12,17 +12,17 @@
 	"snipepitch.example/snipepitch/snipetime"
 )
 
-// makeRoom unloads adapters until there is room for one more, the least recently
-// used first. The caller holds ordering.
-func (e *engine) makeRoom(ctx context.Context, u *snipedirectory.Upstream) error {
+// freeSlot unloads adapters, those of least value first, until a slot is free. The caller holds
+// orderLock.
+func (e *engine) freeSlot(ctx context.Context, u *snipedirectory.Upstream) error {
 	for {
 		victim, full := e.victim(u)
 		if !full {
 			return nil
 		}
-		if e.strays() {
-			e.read.Store(false)
-			if _, err := e.known(ctx); err != nil {
+		if e.foreignLoadsDue() {
+			e.stateKnown.Store(false)
+			if _, err := e.ensureState(ctx); err != nil {
 				return err
 			}
 			continue
@@ -36,38 +36,39 @@
 	}
 }
 
-// strays reports whether adapters should have come meanwhile that were on their way when the
-// engine was last read, by orders of which this instance awaits no end: of the owner before,
-// or given up. Until the engine is read again they take places and cannot be evicted.
-func (e *engine) strays() bool {
+// foreignLoadsDue reports whether the engine must be read again, because loads that were in
+// progress when it was last read should be complete by now and this controller does not wait for
+// them: loads of the previous owner, or loads that this controller has abandoned. Until the engine
+// is read again their adapters take slots and cannot be evicted.
+func (e *engine) foreignLoadsDue() bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	if time.Since(e.readAt) < strayAge {
+	if time.Since(e.readAt) < foreignLoadAge {
 		return false
 	}
 	for a, h := range e.held {
-		if (h.coming || h.replaced) && !e.bringing[a] {
+		if (h.loading || h.replacing) && !e.activeLoads[a] {
 			return true
 		}
 	}
 	return false
 }
 
-// strayAge is how old the reading of an engine may be that showed an adapter on its way: two
-// loads are over by then, and reading an engine costs as much as an order.
-const strayAge = 500 * time.Millisecond
+// foreignLoadAge is the age from which a read that showed an adapter as loading is repeated: two
+// loads are complete by then, and reading an engine costs as much as an order.
+const foreignLoadAge = 500 * time.Millisecond
 
-// unload takes an adapter off the engine and waits until its place is free. The
-// caller holds ordering: meanwhile the engine takes no other order.
+// unload unloads an adapter and waits until its slot is free. The caller holds orderLock: the
+// engine accepts no other order meanwhile.
 func (e *engine) unload(ctx context.Context, u *snipedirectory.Upstream, victim snipecatalog.Adapter) error {
-	away := Order{Action: Unload, Adapter: victim}
-	reply, err := e.give(ctx, u, &away)
+	order := Order{Action: Unload, Adapter: victim}
+	reply, err := e.sendUntilAnswered(ctx, u, &order)
 	for reply == Taken {
-		if !snipetime.Sleep(ctx, askEvery) {
+		if !snipetime.Sleep(ctx, pollInterval) {
 			return ctx.Err()
 		}
-		if reply, err = e.send(ctx, u, &away); reply == Unanswered {
-			reply = Taken // asked again
+		if reply, err = e.send(ctx, u, &order); reply == Unanswered {
+			reply = Taken // poll again
 		}
 	}
 	switch reply {
@@ -75,50 +76,50 @@
 		e.lock.Lock()
 		delete(e.held, victim)
 		e.lock.Unlock()
-		e.desk.evicted.add(e.id, victim)
+		e.controller.evicted.add(e.id, victim)
 		return nil
 	case Conflict, Unanswered:
-		_, err := e.known(ctx)
+		_, err := e.ensureState(ctx)
 		return err
 	default:
 		return errors.Wrapf(ErrRefused, "unload: %s: %v", reply, err)
 	}
 }
 
-// victim returns the adapter to unload so that another one finds room, and whether
-// the engine is full. A new version takes a place beside the one that it replaces.
+// victim returns the adapter to unload so that a slot becomes free, and whether the engine is full.
+// The adapter is the zero value if none can be evicted. A new version takes a slot beside the
+// version that it replaces.
 func (e *engine) victim(u *snipedirectory.Upstream) (snipecatalog.Adapter, bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	slots := e.desk.Slots(u)
-	if e.placesTaken() < slots-e.reserved(slots) {
+	slots := e.controller.Slots(u)
+	if e.slotsTaken() < slots-e.reservedSlots(slots) {
 		return snipecatalog.Adapter{}, false
 	}
-	a, _ := e.leastUsed(u)
+	a, _ := e.leastValuable(u)
 	return a, true
 }
 
-// placesTaken returns how many places are taken. The lock is held.
-func (e *engine) placesTaken() int {
+// slotsTaken returns how many slots are taken. The lock is held.
+func (e *engine) slotsTaken() int {
 	taken := len(e.held)
 	for _, h := range e.held {
-		if h.replaced {
+		if h.replacing {
 			taken++
 		}
 	}
 	return taken
 }
 
-// evictable reports whether an adapter may make way: it was not used for calmUse, and no
-// request for it is in flight. One whose newer version only waits for its turn may: if all
-// did that, none of them would find room. The lock is held.
-func (e *engine) evictable(a snipecatalog.Adapter, h *holding, inFlight map[snipecatalog.Adapter]bool, now time.Time) bool {
-	return !h.coming && !h.replaced && !e.bringing[a] && !inFlight[a] && now.Sub(h.used) >= calmUse
+// evictable reports whether an adapter can be evicted: it was not used for minIdle, and no request
+// for it is in flight. An adapter whose newer version is still queued can be evicted: otherwise, if
+// all adapters had a newer version queued, none of these loads would get a slot. The lock is held.
+func (e *engine) evictable(a snipecatalog.Adapter, h *heldAdapter, inFlight map[snipecatalog.Adapter]bool, now time.Time) bool {
+	return !h.loading && !h.replacing && !e.activeLoads[a] && !inFlight[a] && now.Sub(h.lastUsed) >= minIdle
 }
 
-// leastUsed returns the adapter whose loss costs least, of those that may make way. The lock
-// is held.
-func (e *engine) leastUsed(u *snipedirectory.Upstream) (snipecatalog.Adapter, bool) {
+// leastValuable returns the evictable adapter whose loss costs least. The lock is held.
+func (e *engine) leastValuable(u *snipedirectory.Upstream) (snipecatalog.Adapter, bool) {
 	var least snipecatalog.Adapter
 	var lowest float64
 	found := false
@@ -128,7 +129,7 @@
 		if !e.evictable(a, h, inFlight, now) {
 			continue
 		}
-		if score := e.worth(u, a, h, now); !found || score < lowest {
+		if score := e.value(u, a, h, now); !found || score < lowest {
 			least, lowest, found = a, score, true
 		}
 	}
@@ -136,24 +137,24 @@
 }
 
 const (
-	// silentUses is how many uses were due in the time that an adapter has not been used:
-	// a demand that has ended shows after three times the pause between its requests.
-	silentUses = 3
-	// spareWorth is what an adapter is worth that other engines hold too, as a share of
-	// one that they do not: its loss costs a few refusals until it is known, no load.
-	spareWorth = 0.05
+	// missedUses limits the rate assumed for an adapter that is idle for time t to missedUses/t:
+	// the end of demand shows after three times the interval between its requests.
+	missedUses = 3
+	// replicatedFactor scales the value of an adapter that other engines hold too: its loss costs a
+	// few refusals until callers know of it, but no load.
+	replicatedFactor = 0.05
 )
 
-// worth is what an engine loses with an adapter: the uses of late, no more than the time
-// without any allows, and little of that where other engines do as well.
-func (e *engine) worth(u *snipedirectory.Upstream, a snipecatalog.Adapter, h *holding, now time.Time) float64 {
-	uses := h.uses.At(now)
-	if silent := now.Sub(h.used); silent > 0 {
-		uses = min(uses, silentUses*float64(halfLife)/math.Ln2/float64(silent))
+// value returns the cost of evicting an adapter: its decaying use count, limited by the time since
+// its last use, and scaled by replicatedFactor if other engines can serve it instead.
+func (e *engine) value(u *snipedirectory.Upstream, a snipecatalog.Adapter, h *heldAdapter, now time.Time) float64 {
+	uses := h.useCount.At(now)
+	if idle := now.Sub(h.lastUsed); idle > 0 {
+		uses = min(uses, missedUses*float64(halfLife)/math.Ln2/float64(idle))
 	}
 	perSecond := uses * math.Ln2 / halfLife.Seconds()
-	if e.desk.Spare != nil && e.desk.Spare(u, a, perSecond) {
-		return spareWorth * uses
+	if e.controller.Spare != nil && e.controller.Spare(u, a, perSecond) {
+		return replicatedFactor * uses
 	}
 	return uses
 }
--- a/snipeadapter/evictions.go
+++ b/snipeadapter/evictions.go
@@ -8,9 +8,9 @@
 	"snipepitch.example/snipepitch/snipecatalog"
 )
 
-// evictionNews is for how long others are told of an eviction: an instance talks to each
-// owner about every 0.7 s, and the registry shows it to all a second later.
-const evictionNews = 1500 * time.Millisecond
+// evictionTTL is how long an eviction is reported to other instances: an instance contacts each
+// owner about every 0.7 s, and the registry shows the eviction to all a second later.
+const evictionTTL = 1500 * time.Millisecond
 
 // Eviction is an adapter that an engine no longer holds.
 type Eviction struct {
@@ -18,22 +18,22 @@
 	Adapter snipecatalog.Adapter
 }
 
-// evictions are those of the last moment. The zero value is ready.
-type evictions struct {
+// evictionLog records recent evictions. The zero value is ready to use.
+type evictionLog struct {
 	lock   sync.Mutex // guards the fields below
 	all    []datedEviction
 	number uint64
 }
 
-// datedEviction is an eviction with its number, which grows.
+// datedEviction is an eviction with its time and its number; numbers increase.
 type datedEviction struct {
 	Eviction
 	number uint64
 	at     time.Time
 }
 
-// add notes an eviction.
-func (v *evictions) add(engine string, a snipecatalog.Adapter) {
+// add records an eviction.
+func (v *evictionLog) add(engine string, a snipecatalog.Adapter) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	v.prune()
@@ -41,22 +41,23 @@
 	v.all = append(v.all, datedEviction{Eviction{engine, a}, v.number, time.Now()})
 }
 
-// drop forgets an eviction: the engine holds the adapter again.
-func (v *evictions) drop(engine string, a snipecatalog.Adapter) {
+// drop removes an eviction because the engine holds the adapter again.
+func (v *evictionLog) drop(engine string, a snipecatalog.Adapter) {
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	v.all = slices.DeleteFunc(v.all, func(d datedEviction) bool { return d.Eviction == Eviction{engine, a} })
 }
 
-// prune forgets what is no news any more. The lock is held.
-func (v *evictions) prune() {
-	v.all = slices.DeleteFunc(v.all, func(d datedEviction) bool { return time.Since(d.at) > evictionNews })
+// prune drops evictions that are no longer reported. The lock is held.
+func (v *evictionLog) prune() {
+	v.all = slices.DeleteFunc(v.all, func(d datedEviction) bool { return time.Since(d.at) > evictionTTL })
 }
 
-// Evictions returns the adapters that engines of this desk have lately unloaded and do
-// not hold again, of those after a number, and the number of the last one.
-func (d *Desk) Evictions(after uint64) (recent []Eviction, last uint64) {
-	v := &d.evicted
+// Evictions returns the adapters that engines of this controller have recently unloaded and do not
+// hold again, as far as their numbers are greater than after, and the number of the latest
+// eviction.
+func (c *Desk) Evictions(after uint64) (recent []Eviction, last uint64) {
+	v := &c.evicted
 	v.lock.Lock()
 	defer v.lock.Unlock()
 	v.prune()
--- a/snipeadapter/load.go
+++ b/snipeadapter/load.go
@@ -12,168 +12,169 @@
 	"snipepitch.example/snipepitch/snipetime"
 )
 
-// ErrUnwanted says that nobody waits for the load any more.
-var ErrUnwanted = errors.New("nobody waits for the adapter")
+// ErrNoWaiter reports that no caller waits for the load any more.
+var ErrNoWaiter = errors.New("nobody waits for the adapter")
 
-// errInUse: all adapters that the engine holds were used a moment ago.
+// errInUse reports that no adapter on the engine can be evicted because all are in use.
 var errInUse = errors.New("all adapters of the engine are in use")
 
-// calmPause is the time between two looks for an adapter that is no longer used.
-const calmPause = 40 * time.Millisecond
+// evictionRetryInterval is the time between two searches for an adapter that can be evicted.
+const evictionRetryInterval = 40 * time.Millisecond
 
-// BusyError is the error of a load that would take too long.
+// BusyError reports that a load would take longer than the caller waits.
 type BusyError struct {
-	// Wait is when there will be room for it.
+	// Wait is how long the load is expected to take.
 	Wait time.Duration
 }
 
 // Error implements error.
 func (b *BusyError) Error() string { return "too many loads wait: " + b.Wait.String() }
 
-// load is an adapter that is on its way, or waits for its turn.
+// load is the load of an adapter or base model that is queued or in progress.
 type load struct {
-	adapter snipecatalog.Adapter
-	version int64
-	since   time.Time
-	// quick loads come from the engine's own memory, as far as is known.
-	quick bool
-	// due is until when the last of those who wait counts on it.
-	due time.Time
-	// waiting counts those who wait for it. One that nobody waits for is not begun.
-	waiting int
+	adapter  snipecatalog.Adapter
+	version  int64
+	queuedAt time.Time
+	// reload reports that the engine probably loads the adapter from its own memory.
+	reload bool
+	// deadline is the latest time until which a caller waits for the load.
+	deadline time.Time
+	// waiters counts the callers that wait for the load. A load without waiters is not started.
+	waiters int
 	done    chan struct{}
 	err     error
 }
 
-// want returns the load that brings an adapter, queueing it if none is under way,
-// or the version that the engine holds already if that will do. The caller waits
-// for the load, or leaves it.
-func (e *engine) want(a snipecatalog.Adapter, target, least int64, patience time.Duration) (*load, int64, error) {
+// findOrQueue returns the load of an adapter, queueing one if none is pending, or the version that
+// the engine already holds if it is at least least. The caller waits for the load or calls
+// removeWaiter. If the load is not expected to complete within maxWait, the error is a BusyError.
+func (e *engine) findOrQueue(a snipecatalog.Adapter, target, least int64, maxWait time.Duration) (*load, int64, error) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	h := e.held[a]
 	if h != nil {
-		h.used = time.Now()
+		h.lastUsed = time.Now()
 	}
-	if h != nil && !h.coming && h.version >= least {
+	if h != nil && !h.loading && h.version >= least {
 		return nil, h.version, nil
 	}
 	if l := e.loads[a]; l != nil && l.version >= least {
-		l.join(patience)
+		l.addWaiter(maxWait)
 		return l, 0, nil
 	}
-	if wait := e.wait(a); wait > patience {
+	if wait := e.expectedWait(a); wait > maxWait {
 		return nil, 0, &BusyError{Wait: wait}
 	}
-	return e.enqueue(a, target, patience), 0, nil
+	return e.enqueue(a, target, maxWait), 0, nil
 }
 
-// join notes that somebody waits for the load who has patience. The engine's lock is held.
-func (l *load) join(patience time.Duration) {
-	l.waiting++
-	if due := time.Now().Add(patience); due.After(l.due) {
-		l.due = due
+// addWaiter adds a caller that waits up to maxWait for the load. The engine's lock is held.
+func (l *load) addWaiter(maxWait time.Duration) {
+	l.waiters++
+	if deadline := time.Now().Add(maxWait); deadline.After(l.deadline) {
+		l.deadline = deadline
 	}
 }
 
-// must queues a load that somebody always waits for.
-func (e *engine) must(a snipecatalog.Adapter, version int64) {
+// queueRequired queues a load with a waiter that never leaves, so that the load is not dropped.
+func (e *engine) queueRequired(a snipecatalog.Adapter, version int64) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	if l := e.loads[a]; l != nil && l.version >= version {
-		l.join(loadTimeout)
+		l.addWaiter(loadTimeout)
 		return
 	}
 	e.enqueue(a, version, loadTimeout)
 }
 
-// wait is how long a load that is queued now will take. The lock is held.
-func (e *engine) wait(a snipecatalog.Adapter) time.Duration {
-	if e.quick(a) {
-		return reloadTime + e.placeWait()
+// expectedWait returns how long a load that is queued now is expected to take. The lock is held.
+func (e *engine) expectedWait(a snipecatalog.Adapter) time.Duration {
+	if e.isReload(a) {
+		return reloadTime + e.expectedSlotWait()
 	}
-	ahead := len(e.queue) + e.fromStore
-	return loadTime + time.Duration(ahead/mostFromStore)*loadTime + e.placeWait()
+	ahead := len(e.queue) + e.activeStoreLoads
+	return storeLoadTime + time.Duration(ahead/maxActiveStoreLoads)*storeLoadTime + e.expectedSlotWait()
 }
 
-// quick reports whether the engine has an adapter in its own memory, as far as is known.
-func (e *engine) quick(a snipecatalog.Adapter) bool {
-	return a.Name != "" && e.desk.Formerly != nil && e.desk.Formerly(e.id, a)
+// isReload reports whether the engine probably has an adapter in its own memory.
+func (e *engine) isReload(a snipecatalog.Adapter) bool {
+	return a.Name != "" && e.controller.Formerly != nil && e.controller.Formerly(e.id, a)
 }
 
 // enqueue queues a load. The lock is held.
-func (e *engine) enqueue(a snipecatalog.Adapter, version int64, patience time.Duration) *load {
-	l := &load{adapter: a, version: version, since: time.Now(), quick: e.quick(a), done: make(chan struct{})}
-	l.join(patience)
+func (e *engine) enqueue(a snipecatalog.Adapter, version int64, maxWait time.Duration) *load {
+	l := &load{adapter: a, version: version, queuedAt: time.Now(), reload: e.isReload(a), done: make(chan struct{})}
+	l.addWaiter(maxWait)
 	e.loads[a] = l
 	e.queue = append(e.queue, l)
-	e.begin()
+	e.startLoads()
 	return l
 }
 
-// leave notes that somebody no longer waits.
-func (e *engine) leave(l *load) {
+// removeWaiter records that a caller no longer waits for a load.
+func (e *engine) removeWaiter(l *load) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	l.waiting--
+	l.waiters--
 }
 
-// begin starts the loads whose turn it is. The lock is held.
-func (e *engine) begin() {
-	for len(e.bringing) < mostOnTheWay {
+// startLoads starts queued loads as far as the limits allow. The lock is held.
+func (e *engine) startLoads() {
+	for len(e.activeLoads) < maxActiveLoads {
 		next := e.nextLoad()
 		if next < 0 {
 			return
 		}
 		l := e.queue[next]
 		e.queue = slices.Delete(e.queue, next, next+1)
-		if l.waiting <= 0 {
-			e.end(l, ErrUnwanted)
+		if l.waiters <= 0 {
+			e.finish(l, ErrNoWaiter)
 			continue
 		}
-		if !l.quick {
-			e.fromStore++
+		if !l.reload {
+			e.activeStoreLoads++
 		}
-		e.bringing[l.adapter] = true
-		go e.run(l)
+		e.activeLoads[l.adapter] = true
+		go e.runLoad(l)
 	}
 }
 
-// nextLoad returns which of the queued loads is next, or -1: quick ones, which hold up nobody,
-// then those that come in time for somebody, then the one that most wait for, the oldest first.
-// Where all are served in the order of their numbers, an overload makes everybody late: those for
-// whom it is too late get what the others leave. Another version of an adapter waits until the
-// one before it has come: two at once would take a place more than is counted. The lock is held.
+// nextLoad returns the index of the queued load to start next, or -1 if none can start. Reloads go
+// first because they delay no other load, then loads that complete before their deadline, then the
+// load with the most waiters, then the oldest. In plain queue order an overload would make every
+// load late; in this order the loads that are already too late get the remaining capacity. Another
+// version of an adapter waits until the load of the version before it has completed: two at once
+// would take one slot more than is counted. The lock is held.
 func (e *engine) nextLoad() int {
 	next := -1
-	ready := time.Now().Add(loadTime)
+	ready := time.Now().Add(storeLoadTime)
 	for n, l := range e.queue {
-		if e.bringing[l.adapter] {
+		if e.activeLoads[l.adapter] {
 			continue
 		}
-		if l.quick {
+		if l.reload {
 			return n
 		}
-		if e.fromStore >= mostFromStore {
+		if e.activeStoreLoads >= maxActiveStoreLoads {
 			continue
 		}
-		if next < 0 || l.before(e.queue[next], ready) {
+		if next < 0 || l.precedes(e.queue[next], ready) {
 			next = n
 		}
 	}
 	return next
 }
 
-// before reports whether a load goes before an older one, if both would be complete at a time.
-func (l *load) before(older *load, ready time.Time) bool {
-	if inTime := l.due.After(ready); inTime != older.due.After(ready) {
+// precedes reports whether a load starts before an older one, if either would be complete at ready.
+func (l *load) precedes(older *load, ready time.Time) bool {
+	if inTime := l.deadline.After(ready); inTime != older.deadline.After(ready) {
 		return inTime
 	}
-	return l.waiting > older.waiting
+	return l.waiters > older.waiters
 }
 
-// end ends a load. The lock is held.
-func (e *engine) end(l *load, err error) {
+// finish ends a load with its result. The lock is held.
+func (e *engine) finish(l *load, err error) {
 	if e.loads[l.adapter] == l {
 		delete(e.loads, l.adapter)
 	}
@@ -181,92 +182,92 @@
 	close(l.done)
 }
 
-// run brings one adapter onto the engine.
-func (e *engine) run(l *load) {
+// runLoad carries out one load and starts the next ones.
+func (e *engine) runLoad(l *load) {
 	limit := loadTimeout
 	if l.adapter.Name == "" {
 		limit = modelTimeout
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	err := e.bring(ctx, l)
+	err := e.performLoad(ctx, l)
 	if err != nil {
-		e.desk.Log.Error(snipelog.LoadFailed, err, e.fields(snipelog.Fields{
-			"Adapter": l.adapter.Name, "Waiting": e.waiting(l),
+		e.controller.Log.Error(snipelog.LoadFailed, err, e.logFields(snipelog.Fields{
+			"Adapter": l.adapter.Name, "Waiting": e.waiterCount(l),
 		}))
 	}
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	if err == nil {
-		e.arrived(l)
+		e.recordLoaded(l)
 	}
-	e.end(l, err)
-	if !l.quick {
-		e.fromStore--
+	e.finish(l, err)
+	if !l.reload {
+		e.activeStoreLoads--
 	}
-	delete(e.bringing, l.adapter)
+	delete(e.activeLoads, l.adapter)
 	if err == nil {
-		e.renew(l)
+		e.queueNewest(l)
 	}
-	e.begin()
+	e.startLoads()
 }
 
-// renew queues the newest version of an adapter that has come, if it was announced
-// while an older one was on its way. The lock is held.
-func (e *engine) renew(l *load) {
-	newest := e.desk.Newest(l.adapter)
+// queueNewest queues the newest version of an adapter that was loaded, if that version was
+// announced while an older one was loading. The lock is held.
+func (e *engine) queueNewest(l *load) {
+	newest := e.controller.Newest(l.adapter)
 	if newest > l.version && e.loads[l.adapter] == nil {
 		e.enqueue(l.adapter, newest, loadTimeout)
 	}
 }
 
-// waiting returns how many wait for a load.
-func (e *engine) waiting(l *load) int {
+// waiterCount returns how many callers wait for a load.
+func (e *engine) waiterCount(l *load) int {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	return l.waiting
+	return l.waiters
 }
 
-// arrived notes an adapter or a model that the engine now holds. The lock is held.
-func (e *engine) arrived(l *load) {
+// recordLoaded records an adapter or a model that the engine now holds. The lock is held.
+func (e *engine) recordLoaded(l *load) {
 	if l.adapter.Name == "" {
 		e.models[l.adapter.Model] = true
 		return
 	}
-	h := &holding{version: l.version}
-	h.inherit(e.held[l.adapter])
-	h.note(time.Now(), max(l.waiting, 1))
+	h := &heldAdapter{version: l.version}
+	h.inheritUse(e.held[l.adapter])
+	h.recordUses(time.Now(), max(l.waiters, 1))
 	e.held[l.adapter] = h
-	e.desk.evicted.drop(e.id, l.adapter)
+	e.controller.evicted.drop(e.id, l.adapter)
 }
 
-// bring orders the load and waits until it is complete.
-func (e *engine) bring(ctx context.Context, l *load) error {
-	begun := time.Now()
+// performLoad orders the load and polls until it is complete.
+func (e *engine) performLoad(ctx context.Context, l *load) error {
+	started := time.Now()
 	o := Order{Action: Load, Adapter: l.adapter, Version: l.version}
-	reply, err := e.order(ctx, &o)
-	crowded := errors.Is(err, errInUse)
-	for errors.Is(err, errInUse) && e.waiting(l) > 0 && snipetime.Sleep(ctx, calmPause) {
-		reply, err = e.order(ctx, &o)
+	reply, err := e.executeOrder(ctx, &o)
+	waitedForSlot := errors.Is(err, errInUse)
+	for errors.Is(err, errInUse) && e.waiterCount(l) > 0 && snipetime.Sleep(ctx, evictionRetryInterval) {
+		reply, err = e.executeOrder(ctx, &o)
 	}
-	ordered := time.Since(begun)
-	if crowded {
-		e.notePlaceWait(ordered)
+	orderTime := time.Since(started)
+	if waitedForSlot {
+		e.recordSlotWait(orderTime)
 	}
 	if err != nil {
 		return err
 	}
 	if reply == Taken {
-		if err := e.await(ctx, o); err != nil {
-			// Whether it takes a place on the engine is not known.
-			e.read.Store(false)
+		if err := e.awaitLoad(ctx, o); err != nil {
+			// It is not known whether the adapter takes a slot on the engine.
+			e.stateKnown.Store(false)
 			return err
 		}
 	}
-	e.desk.Log.Log(snipelog.AdapterPresent, e.fields(snipelog.Fields{
+	e.controller.Log.Log(snipelog.AdapterPresent, e.logFields(snipelog.Fields{
 		"Adapter": l.adapter.Name, "Version": l.version,
-		"Milliseconds": time.Since(begun).Milliseconds(), "Queued": begun.Sub(l.since).Milliseconds(),
-		"Ordered": ordered.Milliseconds(),
+		"Milliseconds": time.Since(started).Milliseconds(), "Queued": started.Sub(l.queuedAt).Milliseconds(),
+		"Ordered": orderTime.Milliseconds(),
 	}))
 	return nil
 }
--- a/snipeadapter/order.go
+++ b/snipeadapter/order.go
@@ -12,24 +12,24 @@
 	"snipepitch.example/snipepitch/snipetime"
 )
 
-// order gives one order, with room made before a load, until the engine has taken
-// it, holds what it orders, or will not take it.
-func (e *engine) order(ctx context.Context, o *Order) (Reply, error) {
-	if err := e.ordering.take(ctx); err != nil {
+// executeOrder sends an order until the engine accepts it, replies that it is already in the
+// ordered state, or refuses it. Before each attempt to load an adapter a slot is freed.
+func (e *engine) executeOrder(ctx context.Context, o *Order) (Reply, error) {
+	if err := e.orderLock.acquire(ctx); err != nil {
 		return Unanswered, err
 	}
-	defer e.ordering.leave()
+	defer e.orderLock.release()
 	for {
-		u, err := e.known(ctx)
+		u, err := e.ensureState(ctx)
 		if err != nil {
 			return Refused, err
 		}
 		if o.Action == Load && o.Adapter.Name != "" {
-			if err := e.makeRoom(ctx, u); err != nil {
+			if err := e.freeSlot(ctx, u); err != nil {
 				return Refused, err
 			}
 		}
-		reply, err := e.give(ctx, u, o)
+		reply, err := e.sendUntilAnswered(ctx, u, o)
 		switch reply {
 		case Taken, Holds:
 			return reply, nil
@@ -42,70 +42,70 @@
 	}
 }
 
-// known returns the engine once its state under the present right to order it is
-// known. The caller holds ordering.
-func (e *engine) known(ctx context.Context) (*snipedirectory.Upstream, error) {
-	u := e.desk.Upstream(e.id)
+// ensureState returns the engine's directory entry once the engine's state is known under the
+// current fencing number. The caller holds orderLock.
+func (e *engine) ensureState(ctx context.Context) (*snipedirectory.Upstream, error) {
+	u := e.controller.Upstream(e.id)
 	if u == nil {
 		return nil, errors.Wrap(ErrUnknownEngine, e.id)
 	}
-	fence, ok := e.desk.Fence(u.Address)
+	fence, ok := e.controller.Fence(u.Address)
 	if !ok {
 		return nil, errors.Wrap(ErrNotOwner, e.id)
 	}
-	if e.read.Load() && e.fence == fence {
+	if e.stateKnown.Load() && e.fence == fence {
 		return u, nil
 	}
 	return u, e.readState(ctx, u, fence)
 }
 
-// give sends one order until the engine has said what became of it. After a conflict
-// the engine's state has to be read again.
-func (e *engine) give(ctx context.Context, u *snipedirectory.Upstream, o *Order) (Reply, error) {
+// sendUntilAnswered sends one order until the engine answers or maxRepeats is reached, and records
+// the reply. After a conflict the engine's state has to be read again.
+func (e *engine) sendUntilAnswered(ctx context.Context, u *snipedirectory.Upstream, o *Order) (Reply, error) {
 	reply, err := e.send(ctx, u, o)
 	unanswered := false
-	for range mostRepeats {
+	for range maxRepeats {
 		if reply != Unanswered || ctx.Err() != nil {
 			break
 		}
 		unanswered = true
 		reply, err = e.send(ctx, u, o)
 	}
-	if reply == Conflict && unanswered && e.sure {
-		// One of the repeats was taken: nobody else's order can be under way.
-		e.orders++
+	if reply == Conflict && unanswered && e.lastAnswered {
+		// One of the repeats was accepted: no other instance's order can be in progress.
+		e.accepted++
 		reply, err = e.send(ctx, u, o)
 		if reply == Taken || reply == Holds && o.Action == Unload {
-			e.orders-- // the order is counted below
+			e.accepted-- // recordReply counts this order
 		}
 	}
-	e.note(ctx, o, reply, err)
+	e.recordReply(ctx, o, reply, err)
 	return reply, err
 }
 
-// mostRepeats bounds how often an order is repeated that gets no answer. Repeats
-// state the same number of orders, so that the engine takes one of them.
-const mostRepeats = 4
+// maxRepeats bounds how often an unanswered order is repeated. Repeats state the same order count,
+// so the engine accepts only one of them.
+const maxRepeats = 4
 
-// send sends one order.
+// send sends an order once, with the current order count and fencing number.
 func (e *engine) send(ctx context.Context, u *snipedirectory.Upstream, o *Order) (Reply, error) {
-	fence, ok := e.desk.Fence(u.Address)
+	fence, ok := e.controller.Fence(u.Address)
 	if !ok {
 		return Refused, errors.Wrap(ErrNotOwner, e.id)
 	}
-	o.Expect, o.Holder, o.Fence = e.orders, e.desk.Holder, fence
+	o.Expect, o.Holder, o.Fence = e.accepted, e.controller.Holder, fence
 	bounded, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	reply, err := e.desk.Engine.Order(bounded, u, *o)
+	reply, err := e.controller.Engine.Order(bounded, u, *o)
 	if reply == Unanswered && o.Action == Load {
-		e.desk.late.add(e.name, o.Expect)
+		e.controller.unanswered.add(e.name, o.Expect)
 	}
 	return reply, err
 }
 
-// note takes what became of an order.
-func (e *engine) note(ctx context.Context, o *Order, reply Reply, err error) {
-	fields := e.fields(snipelog.Fields{
+// recordReply updates the engine's state from the reply to an order, and logs the reply.
+func (e *engine) recordReply(ctx context.Context, o *Order, reply Reply, err error) {
+	fields := e.logFields(snipelog.Fields{
 		"Action": o.Action.String(), "Adapter": o.Adapter.Name, "Version": o.Version,
 		"Expect": o.Expect, "Fence": o.Fence, "Reply": reply.String(),
 	})
@@ -114,72 +114,72 @@
 	}
 	switch reply {
 	case Taken:
-		e.orders++
-		e.sure = true
-		e.taken(o)
-		e.desk.Log.Log(snipelog.OrderGiven, fields)
+		e.accepted++
+		e.lastAnswered = true
+		e.recordAccepted(o)
+		e.controller.Log.Log(snipelog.OrderGiven, fields)
 	case Holds:
 		if o.Action == Unload {
-			// The engine held it, and has unloaded it at once.
-			e.orders++
-			e.sure = true
+			// The engine held the adapter and has unloaded it at once.
+			e.accepted++
+			e.lastAnswered = true
 		} else {
-			e.present(o)
+			e.recordHeld(o)
 		}
-		e.desk.Log.Log(snipelog.OrderGiven, fields)
+		e.controller.Log.Log(snipelog.OrderGiven, fields)
 	case Conflict, Unanswered:
-		e.desk.Log.Log(snipelog.OrderUnknown, fields)
-		e.read.Store(false)
-		// Not answered in time: the caller looks at the context itself.
-		snipetime.Sleep(ctx, reportAge)
+		e.controller.Log.Log(snipelog.OrderUnknown, fields)
+		e.stateKnown.Store(false)
+		// The result is ignored: the caller checks the context itself.
+		snipetime.Sleep(ctx, maxReportAge)
 	default:
-		e.desk.Log.Log(snipelog.OrderRefused, fields)
+		e.controller.Log.Log(snipelog.OrderRefused, fields)
 	}
 }
 
-// taken notes the place of an adapter that is on its way.
-func (e *engine) taken(o *Order) {
+// recordAccepted records the slot of an adapter that is loading.
+func (e *engine) recordAccepted(o *Order) {
 	if o.Action != Load || o.Adapter.Name == "" {
 		return
 	}
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	if h := e.held[o.Adapter]; h != nil && !h.coming {
-		h.replaced = true
+	if h := e.held[o.Adapter]; h != nil && !h.loading {
+		h.replacing = true
 		return
 	}
-	e.held[o.Adapter] = &holding{version: o.Version, coming: true}
+	e.held[o.Adapter] = &heldAdapter{version: o.Version, loading: true}
 }
 
-// present notes an adapter that the engine says it holds, before another order
-// counts the places.
-func (e *engine) present(o *Order) {
+// recordHeld records an adapter that the engine already holds, before another order counts the
+// slots.
+func (e *engine) recordHeld(o *Order) {
 	if o.Adapter.Name == "" {
 		return
 	}
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	if e.held[o.Adapter] == nil {
-		e.held[o.Adapter] = &holding{version: o.Version, used: time.Now()}
+		e.held[o.Adapter] = &heldAdapter{version: o.Version, lastUsed: time.Now()}
 	}
 }
 
-// readState reads what the engine holds. The caller holds ordering.
+// readState reads what the engine holds. The caller holds orderLock.
 func (e *engine) readState(ctx context.Context, u *snipedirectory.Upstream, fence uint64) error {
 	bounded, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	r, err := e.desk.Engine.Report(bounded, u)
+	r, err := e.controller.Engine.Report(bounded, u)
 	if err != nil {
 		return errors.Wrap(err, "read engine")
 	}
 	if r.Start != u.Start && r.Start != 0 && u.Start != 0 {
-		e.desk.Log.Log(snipelog.EngineStartedAgain, e.fields(snipelog.Fields{"Start": u.Start, "Reported": r.Start}))
-		e.desk.StartedAgain(u.ID)
-		return errors.Wrap(ErrStartedAgain, e.id)
+		e.controller.Log.Log(snipelog.EngineStartedAgain, e.logFields(snipelog.Fields{"Start": u.Start, "Reported": r.Start}))
+		e.controller.StartedAgain(u.ID)
+		return errors.Wrap(ErrRestarted, e.id)
 	}
-	e.orders, e.fence, e.sure = r.Orders, fence, false
-	e.read.Store(true)
-	e.desk.Log.Log(snipelog.EngineRead, e.fields(snipelog.Fields{
+	e.accepted, e.fence, e.lastAnswered = r.Orders, fence, false
+	e.stateKnown.Store(true)
+	e.controller.Log.Log(snipelog.EngineRead, e.logFields(snipelog.Fields{
 		"Orders": r.Orders, "Resident": len(r.Resident), "Coming": len(r.Coming), "Fence": fence,
 	}))
 	e.lock.Lock()
@@ -190,65 +190,65 @@
 		e.models[m] = true
 	}
 	old := e.held
-	e.held = make(map[snipecatalog.Adapter]*holding, len(r.Resident))
+	e.held = make(map[snipecatalog.Adapter]*heldAdapter, len(r.Resident))
 	for _, held := range r.Resident {
-		e.hold(held, old, false)
+		e.addHeld(held, old, false)
 	}
 	for _, held := range r.Coming {
 		if h := e.held[held.Adapter]; h != nil {
-			h.replaced = true
+			h.replacing = true
 			continue
 		}
-		e.hold(held, old, true)
+		e.addHeld(held, old, true)
 	}
 	return nil
 }
 
-// hold notes an adapter of a report. The lock is held.
-func (e *engine) hold(held snipedirectory.Resident, old map[snipecatalog.Adapter]*holding, coming bool) {
-	h := &holding{version: held.Version, coming: coming}
-	h.inherit(old[held.Adapter])
+// addHeld adds an adapter of a report to the state. The lock is held.
+func (e *engine) addHeld(held snipedirectory.Resident, old map[snipecatalog.Adapter]*heldAdapter, loading bool) {
+	h := &heldAdapter{version: held.Version, loading: loading}
+	h.inheritUse(old[held.Adapter])
 	e.held[held.Adapter] = h
 }
 
-// await asks until the load that was taken is complete. The question is the order
-// itself: an engine that holds what is ordered says so and does nothing.
-func (e *engine) await(ctx context.Context, o Order) error {
-	begun := time.Now()
+// awaitLoad polls until an accepted load is complete. The poll is the order itself: an engine that
+// holds the ordered adapter replies with Holds and does nothing.
+func (e *engine) awaitLoad(ctx context.Context, o Order) error {
+	started := time.Now()
 	if !snipetime.Sleep(ctx, reloadTime) {
 		return ctx.Err()
 	}
 	for {
-		reply, err := e.ask(ctx, o)
+		reply, err := e.poll(ctx, o)
 		if reply == Holds {
 			return nil
 		}
 		if err != nil && !errors.Is(err, ErrNoAnswer) {
 			return err
 		}
-		if !snipetime.Sleep(ctx, untilAsked(o, time.Since(begun))) {
+		if !snipetime.Sleep(ctx, nextPoll(o, time.Since(started))) {
 			return ctx.Err()
 		}
 	}
 }
 
-// untilAsked is the time to the next question about a load. An adapter that was
-// not there after the time of a reload comes from the weight store.
-func untilAsked(o Order, since time.Duration) time.Duration {
+// nextPoll returns the time to the next poll of a load. An adapter that is not loaded after twice
+// reloadTime comes from the weight store.
+func nextPoll(o Order, since time.Duration) time.Duration {
 	if o.Adapter.Name != "" && since >= 2*reloadTime {
-		return max(loadTime-since, askEvery)
+		return max(storeLoadTime-since, pollInterval)
 	}
-	return askEvery
+	return pollInterval
 }
 
-// ask repeats an order as a question: an engine that holds the adapter says so, one
-// that is about to takes note of nothing new.
-func (e *engine) ask(ctx context.Context, o Order) (Reply, error) {
-	if err := e.ordering.take(ctx); err != nil {
+// poll repeats an order to query its progress: an engine that holds the adapter replies with Holds,
+// and an engine that is loading it does not count the repeat as a new order.
+func (e *engine) poll(ctx context.Context, o Order) (Reply, error) {
+	if err := e.orderLock.acquire(ctx); err != nil {
 		return Unanswered, err
 	}
-	defer e.ordering.leave()
-	u, err := e.known(ctx)
+	defer e.orderLock.release()
+	u, err := e.ensureState(ctx)
 	if errors.Is(err, ErrNotOwner) || errors.Is(err, ErrUnknownEngine) {
 		return Refused, err
 	}
@@ -258,7 +258,7 @@
 	reply, err := e.send(ctx, u, &o)
 	switch {
 	case reply == Conflict:
-		e.read.Store(false)
+		e.stateKnown.Store(false)
 	case reply == Elsewhere, reply == Outdated, reply == Refused:
 		return reply, errors.Wrap(ErrRefused, reply.String())
 	case err != nil:
--- a/snipeadapter/previous.go
+++ b/snipeadapter/previous.go
@@ -6,38 +6,38 @@
 	"snipepitch.example/snipepitch/snipecatalog"
 )
 
-// mostFormer bounds the adapters that are remembered of one engine: a few times as many as it
-// holds. A wrong memory costs nothing but the order in which engines are asked.
-const mostFormer = 100
+// maxPrevious bounds the adapters recorded as previously held by one engine: a few times as many as
+// an engine holds. A wrong entry affects only the order in which engines are asked.
+const maxPrevious = 100
 
-// former are the adapters that an engine has held lately, with the time at which they were
-// last seen there. The zero value is ready.
-type former struct {
-	seen map[snipecatalog.Adapter]time.Time
+// previousAdapters are the adapters that an engine has held recently, with the time until which it
+// held them. The zero value is ready to use.
+type previousAdapters struct {
+	lastHeld map[snipecatalog.Adapter]time.Time
 }
 
-// add notes that an adapter was there until now, and returns the one that is forgotten for
-// it, if there are too many.
-func (f *former) add(a snipecatalog.Adapter) (forgotten snipecatalog.Adapter, full bool) {
-	if f.seen == nil {
-		f.seen = make(map[snipecatalog.Adapter]time.Time)
+// add records that the engine held an adapter until now. If there are too many records, it drops
+// the oldest and returns its adapter.
+func (p *previousAdapters) add(a snipecatalog.Adapter) (dropped snipecatalog.Adapter, full bool) {
+	if p.lastHeld == nil {
+		p.lastHeld = make(map[snipecatalog.Adapter]time.Time)
 	}
-	f.seen[a] = time.Now()
-	if len(f.seen) <= mostFormer {
+	p.lastHeld[a] = time.Now()
+	if len(p.lastHeld) <= maxPrevious {
 		return snipecatalog.Adapter{}, false
 	}
 	oldest := a
-	for other, at := range f.seen {
-		if at.Before(f.seen[oldest]) {
+	for other, at := range p.lastHeld {
+		if at.Before(p.lastHeld[oldest]) {
 			oldest = other
 		}
 	}
-	delete(f.seen, oldest)
+	delete(p.lastHeld, oldest)
 	return oldest, true
 }
 
-// has reports whether an adapter was there lately.
-func (f *former) has(a snipecatalog.Adapter) bool {
-	_, ok := f.seen[a]
+// contains reports whether the engine held an adapter recently.
+func (p *previousAdapters) contains(a snipecatalog.Adapter) bool {
+	_, ok := p.lastHeld[a]
 	return ok
 }
--- a/snipeadapter/residency.go
+++ b/snipeadapter/residency.go
@@ -9,171 +9,172 @@
 	"snipepitch.example/snipepitch/snipedirectory"
 )
 
-// word is what an owner or the engine itself said of one adapter on one engine.
-type word struct {
+// observation is what an owner or the engine itself reported about one adapter on one engine.
+type observation struct {
 	version int64
 	present bool
 	at      time.Time
 }
 
-// memory is what is believed of one engine.
-type memory struct {
-	// listed are the versions of the adapters in its directory entry.
+// engineView is one instance's view of an engine.
+type engineView struct {
+	// listed are the versions of the adapters in the engine's directory entry.
 	listed map[snipecatalog.Adapter]int64
-	// told is what was said since, which stands against the entry for a while.
-	told   map[snipecatalog.Adapter]word
-	former former
+	// observed are later reports, which override the directory entry for overrideTTL.
+	observed map[snipecatalog.Adapter]observation
+	previous previousAdapters
 }
 
-// holds returns the version of an adapter that the engine is believed to hold, where the
-// directory was last read at a time.
-func (m *memory) holds(a snipecatalog.Adapter, read time.Time) (int64, bool) {
-	if w, ok := m.told[a]; ok && read.Sub(w.at) < trust {
-		return w.version, w.present
+// holds returns the version of an adapter that the engine is believed to hold, if the directory was
+// last read at the given time.
+func (v *engineView) holds(a snipecatalog.Adapter, read time.Time) (int64, bool) {
+	if o, ok := v.observed[a]; ok && read.Sub(o.at) < overrideTTL {
+		return o.version, o.present
 	}
-	version, ok := m.listed[a]
+	version, ok := v.listed[a]
 	return version, ok
 }
 
-// Residency is what an instance believes that engines hold, and what they held a while
-// ago and bring back soon. It is safe for concurrent use; the zero value is ready.
+// Residency is an instance's view of the adapters that engines hold, and of those that they held
+// recently and can reload quickly. It is safe for concurrent use; the zero value is ready to use.
 type Residency struct {
 	lock    sync.RWMutex // guards the fields below
-	engines map[string]*memory
-	// read is when the directory was last read: what was said stands until the directory
-	// must know of it, however long it cannot be read.
+	engines map[string]*engineView
+	// read is when the directory was last read. The age of an observation is measured against it,
+	// so an observation stays in force until the directory must include it, however long the
+	// directory cannot be read.
 	read time.Time
-	// holders are the engines that may be believed to hold an adapter, formers those that
-	// are remembered to have held it.
-	holders index
-	formers index
+	// holders are the engines that may hold an adapter, previousHolders those recorded to have held
+	// it.
+	holders         engineIndex
+	previousHolders engineIndex
 }
 
-// index names engines by adapter.
-type index map[snipecatalog.Adapter][]string
+// engineIndex lists engine IDs by adapter.
+type engineIndex map[snipecatalog.Adapter][]string
 
-func (x index) add(a snipecatalog.Adapter, engine string) {
+func (x engineIndex) add(a snipecatalog.Adapter, engine string) {
 	if !slices.Contains(x[a], engine) {
 		x[a] = append(x[a], engine)
 	}
 }
 
-func (x index) remove(a snipecatalog.Adapter, engine string) {
-	left := slices.DeleteFunc(x[a], func(other string) bool { return other == engine })
-	if len(left) == 0 {
+func (x engineIndex) remove(a snipecatalog.Adapter, engine string) {
+	remaining := slices.DeleteFunc(x[a], func(other string) bool { return other == engine })
+	if len(remaining) == 0 {
 		delete(x, a)
 		return
 	}
-	x[a] = left
+	x[a] = remaining
 }
 
-// Read notes that the directory was read: entries that were not observed since are as they
-// were.
+// Read records that the directory was read: entries that were not passed to Observe since then are
+// unchanged.
 func (r *Residency) Read() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.read = time.Now()
 }
 
-// Observe takes an engine's directory entry, which was read now.
+// Observe records an engine's directory entry, which was read just now.
 func (r *Residency) Observe(u *snipedirectory.Upstream) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.read = time.Now()
-	m := r.memory(u.ID)
-	before := m.listed
-	m.listed = make(map[snipecatalog.Adapter]int64, len(u.Resident))
+	v := r.view(u.ID)
+	old := v.listed
+	v.listed = make(map[snipecatalog.Adapter]int64, len(u.Resident))
 	for _, held := range u.Resident {
-		m.listed[held.Adapter] = held.Version
+		v.listed[held.Adapter] = held.Version
 		r.holders.add(held.Adapter, u.ID)
 	}
-	r.expire(u.ID, m)
-	for a := range before {
-		if _, listed := m.listed[a]; !listed {
-			r.settle(u.ID, m, a, true)
+	r.expire(u.ID, v)
+	for a := range old {
+		if _, listed := v.listed[a]; !listed {
+			r.removeIfAbsent(u.ID, v, a, true)
 		}
 	}
 }
 
-// expire forgets what was said too long ago. The lock is held.
-func (r *Residency) expire(engine string, m *memory) {
-	for a, w := range m.told {
-		if r.read.Sub(w.at) >= trust {
-			delete(m.told, a)
-			r.settle(engine, m, a, w.present)
+// expire drops observations that no longer override the directory. The lock is held.
+func (r *Residency) expire(engine string, v *engineView) {
+	for a, o := range v.observed {
+		if r.read.Sub(o.at) >= overrideTTL {
+			delete(v.observed, a)
+			r.removeIfAbsent(engine, v, a, o.present)
 		}
 	}
 }
 
-// settle notes that an adapter is no longer listed or told to be on an engine that may have
-// held it. The lock is held.
-func (r *Residency) settle(engine string, m *memory, a snipecatalog.Adapter, held bool) {
-	if _, holds := m.holds(a, r.read); holds {
+// removeIfAbsent removes an engine from an adapter's holders unless a directory entry or an
+// observation still shows the adapter there. If the engine did hold it, it becomes a previous
+// holder. The lock is held.
+func (r *Residency) removeIfAbsent(engine string, v *engineView, a snipecatalog.Adapter, held bool) {
+	if _, holds := v.holds(a, r.read); holds {
 		return
 	}
 	r.holders.remove(a, engine)
 	if held {
-		r.remember(engine, m, a)
+		r.recordPrevious(engine, v, a)
 	}
 }
 
-// remember notes that an engine held an adapter until now. The lock is held.
-func (r *Residency) remember(engine string, m *memory, a snipecatalog.Adapter) {
-	forgotten, full := m.former.add(a)
-	r.formers.add(a, engine)
+// recordPrevious records that an engine held an adapter until now. The lock is held.
+func (r *Residency) recordPrevious(engine string, v *engineView, a snipecatalog.Adapter) {
+	dropped, full := v.previous.add(a)
+	r.previousHolders.add(a, engine)
 	if full {
-		r.formers.remove(forgotten, engine)
+		r.previousHolders.remove(dropped, engine)
 	}
 }
 
-// memory returns what is believed of an engine, to be changed. The lock is held.
-func (r *Residency) memory(engine string) *memory {
-	m := r.engines[engine]
-	if m != nil {
-		return m
+// view returns the view of an engine for modification, creating it if necessary. The lock is held.
+func (r *Residency) view(engine string) *engineView {
+	v := r.engines[engine]
+	if v != nil {
+		return v
 	}
 	if r.engines == nil {
-		r.engines, r.holders, r.formers = make(map[string]*memory), make(index), make(index)
+		r.engines, r.holders, r.previousHolders = make(map[string]*engineView), make(engineIndex), make(engineIndex)
 	}
-	m = &memory{told: make(map[snipecatalog.Adapter]word)}
-	r.engines[engine] = m
-	return m
+	v = &engineView{observed: make(map[snipecatalog.Adapter]observation)}
+	r.engines[engine] = v
+	return v
 }
 
-// Tell notes that an engine holds an adapter.
+// Tell records a report that an engine holds an adapter.
 func (r *Residency) Tell(engine string, a snipecatalog.Adapter, version int64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.memory(engine).told[a] = word{version: version, present: true, at: time.Now()}
+	r.view(engine).observed[a] = observation{version: version, present: true, at: time.Now()}
 	r.holders.add(a, engine)
 }
 
-// Deny notes that an engine does not hold an adapter in the version it was thought
-// to.
+// Deny records a report that an engine does not hold an adapter in the expected version.
 func (r *Residency) Deny(engine string, a snipecatalog.Adapter) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	m := r.memory(engine)
-	if _, held := m.holds(a, r.read); held {
-		r.remember(engine, m, a)
+	v := r.view(engine)
+	if _, held := v.holds(a, r.read); held {
+		r.recordPrevious(engine, v, a)
 	}
-	m.told[a] = word{at: time.Now()}
+	v.observed[a] = observation{at: time.Now()}
 }
 
-// Formerly reports whether an engine held an adapter lately and does not now: it brings
-// it back in a tenth of the time, without the weight store.
+// Formerly reports whether an engine held an adapter recently and does not hold it now: the engine
+// reloads it in a tenth of the time of a load, without the weight store.
 func (r *Residency) Formerly(engine string, a snipecatalog.Adapter) bool {
 	r.lock.RLock()
 	defer r.lock.RUnlock()
-	m := r.engines[engine]
-	if m == nil || !m.former.has(a) {
+	v := r.engines[engine]
+	if v == nil || !v.previous.contains(a) {
 		return false
 	}
-	_, held := m.holds(a, r.read)
+	_, held := v.holds(a, r.read)
 	return !held
 }
 
-// Forget drops an engine that is gone.
+// Forget drops an engine that no longer exists.
 func (r *Residency) Forget(engine string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -182,62 +183,62 @@
 
 // forget drops an engine. The lock is held.
 func (r *Residency) forget(engine string) {
-	m := r.engines[engine]
-	if m == nil {
+	v := r.engines[engine]
+	if v == nil {
 		return
 	}
-	for a := range m.listed {
+	for a := range v.listed {
 		r.holders.remove(a, engine)
 	}
-	for a := range m.told {
+	for a := range v.observed {
 		r.holders.remove(a, engine)
 	}
-	for a := range m.former.seen {
-		r.formers.remove(a, engine)
+	for a := range v.previous.lastHeld {
+		r.previousHolders.remove(a, engine)
 	}
 	delete(r.engines, engine)
 }
 
-// Keep forgets all engines but some, and what was said too long ago of these.
+// Keep drops all engines for which known is false, and the expired observations of the others.
 func (r *Residency) Keep(known func(engine string) bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	for id, m := range r.engines {
+	for id, v := range r.engines {
 		if known(id) {
-			r.expire(id, m)
+			r.expire(id, v)
 			continue
 		}
 		r.forget(id)
 	}
 }
 
-// Holds returns the version of an adapter that an engine is believed to hold. The
-// base model itself is held by every engine that lists it.
+// Holds returns the version of an adapter that an engine is believed to hold. Every engine that
+// lists a base model holds the model itself, with version 0.
 func (r *Residency) Holds(u *snipedirectory.Upstream, a snipecatalog.Adapter) (int64, bool) {
 	if a.Name == "" {
 		return 0, slices.Contains(u.Models, a.Model)
 	}
 	r.lock.RLock()
 	defer r.lock.RUnlock()
-	m := r.engines[u.ID]
-	if m == nil {
+	v := r.engines[u.ID]
+	if v == nil {
 		return 0, false
 	}
-	return m.holds(a, r.read)
+	return v.holds(a, r.read)
 }
 
-// Holders appends the engines that may be believed to hold an adapter; Holds tells whether
-// one is. Of some thousand engines few do, so that whoever looks for one need not ask all.
+// Holders appends the engines that may hold an adapter; Holds reports whether one does. Few of some
+// thousand engines hold an adapter, so a caller need not check them all.
 func (r *Residency) Holders(a snipecatalog.Adapter, engines []string) []string {
 	r.lock.RLock()
 	defer r.lock.RUnlock()
 	return append(engines, r.holders[a]...)
 }
 
-// Formers appends the engines that are remembered to have held an adapter; Formerly tells
-// whether one has and does not now.
+// Formers appends the engines that are recorded to have held an adapter; Formerly reports whether
+// one has held it and does not hold it now.
 func (r *Residency) Formers(a snipecatalog.Adapter, engines []string) []string {
 	r.lock.RLock()
 	defer r.lock.RUnlock()
-	return append(engines, r.formers[a]...)
+	return append(engines, r.previousHolders[a]...)
 }
--- a/snipeadapter/restart_test.go
+++ b/snipeadapter/restart_test.go
@@ -147,7 +147,7 @@
 					must.NoError(t, err)
 					return
 				}
-				must.ErrorIs(t, err, snipeadapter.ErrStartedAgain)
+				must.ErrorIs(t, err, snipeadapter.ErrRestarted)
 				must.Eq(t, 0, e.begun())
 				must.Eq(t, "", r.id())
 				r.show(d, tt.reported)
--- a/snipeadapter/slotwait.go
+++ b/snipeadapter/slotwait.go
@@ -3,50 +3,49 @@
 import "time"
 
 const (
-	// firstPlaceWait stands for the wait for a place until one was waited for.
-	firstPlaceWait = 300 * time.Millisecond
-	// placeWaitShare is the part of one wait that the expected wait takes over.
-	placeWaitShare = 0.2
+	// initialSlotWait is the expected wait for a slot until a wait was observed.
+	initialSlotWait = 300 * time.Millisecond
+	// slotWaitWeight is the weight of a new observation in the moving average.
+	slotWaitWeight = 0.2
 )
 
-// placeWait is how long one more load is expected to wait for a place: not at all where one is
-// free or held by what nobody uses, beyond those that the loads ahead of it take. The lock is
-// held.
-func (e *engine) placeWait() time.Duration {
-	u := e.desk.Upstream(e.id)
-	if u == nil || !e.read.Load() {
+// expectedSlotWait returns how long one more load is expected to wait for a slot. The wait is zero
+// if more slots are free or evictable than the loads ahead of it need. The lock is held.
+func (e *engine) expectedSlotWait() time.Duration {
+	u := e.controller.Upstream(e.id)
+	if u == nil || !e.stateKnown.Load() {
 		return 0
 	}
-	slots := e.desk.Slots(u)
-	places := slots - e.reserved(slots) - e.placesTaken()
+	slots := e.controller.Slots(u)
+	free := slots - e.reservedSlots(slots) - e.slotsTaken()
 	now := time.Now()
 	inFlight := e.inFlight(now)
 	for a, h := range e.held {
 		if e.evictable(a, h, inFlight, now) {
-			places++
+			free++
 		}
 	}
 	ahead := len(e.queue)
-	for a := range e.bringing {
-		if h := e.held[a]; h == nil || !h.coming && !h.replaced {
+	for a := range e.activeLoads {
+		if h := e.held[a]; h == nil || !h.loading && !h.replacing {
 			ahead++
 		}
 	}
-	if places > ahead {
+	if free > ahead {
 		return 0
 	}
-	if e.forPlace == 0 {
-		return firstPlaceWait
+	if e.slotWait == 0 {
+		return initialSlotWait
 	}
-	return e.forPlace
+	return e.slotWait
 }
 
-// notePlaceWait notes how long a load has waited for a place.
-func (e *engine) notePlaceWait(d time.Duration) {
+// recordSlotWait adds an observed wait for a slot to the moving average.
+func (e *engine) recordSlotWait(d time.Duration) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
-	if e.forPlace == 0 {
-		e.forPlace = firstPlaceWait
+	if e.slotWait == 0 {
+		e.slotWait = initialSlotWait
 	}
-	e.forPlace += time.Duration(placeWaitShare * float64(d-e.forPlace))
+	e.slotWait += time.Duration(slotWaitWeight * float64(d-e.slotWait))
 }
--- a/snipeadapter/snipeadapter.go
+++ b/snipeadapter/snipeadapter.go
@@ -1,26 +1,26 @@
-// Package snipeadapter gets adapters onto engines and knows where they are.
+// Package snipeadapter loads adapters onto engines and tracks which engine holds which adapter.
 //
-// Two parts. A Residency is what one instance believes that the engines hold, from
-// the directory, from owners' replies and from refusals. A Desk gives the orders
-// for the engines that this instance owns (package snipeowner); other instances
-// ask it by Twirp.
+// It has two parts. A Residency is one instance's view of the adapters that engines hold. It is
+// built from the directory, from replies of engine owners and from refusals. A Desk is the
+// controller that gives the orders for the engines that this instance owns (package snipeowner);
+// other instances call it over Twirp.
 //
-// Engines guard their adapters themselves: they refuse a request for one that they
-// do not hold, without running it, and unload one only when no request uses it. So
-// calls go to engines directly, and a belief that is wrong costs a refusal, never a
+// Engines protect their adapters themselves: an engine refuses a request for an adapter that it
+// does not hold, without running the request, and unloads an adapter only when no request uses it.
+// Calls therefore go to engines directly, and a wrong entry in a Residency costs a refusal, never a
 // wrong answer.
 //
-// Invariants of the Desk:
+// Invariants of the controller:
 //
-//   - Each order states the number of orders that the engine has taken so far, so
-//     that one that comes late, after others, does nothing.
-//   - Loads that may have been taken count as adapters that the engine holds.
-//   - A load states the adapter's version, so that repeating it asks whether it is
-//     complete and never begins another load.
-//   - No order leaves without the right to order at that moment.
-//   - What was known of an engine is known of one start of it. An order of before a
-//     restart that the engine takes afterwards, because its count is met again, finds
-//     a place.
+//   - Each order states the number of orders that the engine has accepted so far, so an order that
+//     arrives late, after others, has no effect.
+//   - Loads that may have been accepted count as adapters that the engine holds.
+//   - A load states the adapter's version, so repeating it only queries whether the load is
+//     complete and never starts another load.
+//   - No order is sent without the right to order the engine at that moment.
+//   - The recorded state of an engine belongs to one start of that engine. After a restart the
+//     order count begins again, so the engine may accept a late order from before the restart whose
+//     count matches; a slot is kept free for such an order.
 package snipeadapter
 
 import (
@@ -34,34 +34,35 @@
 	"snipepitch.example/snipepitch/snipedirectory"
 )
 
-// Errors of the Desk.
+// Errors that the controller returns.
 var (
-	// ErrNotOwner: this instance may not order the engine now.
+	// ErrNotOwner reports that this instance has no right to order the engine now.
 	ErrNotOwner = errors.New("no right to order the engine")
-	// ErrUnknownEngine: the engine is not in this instance's directory.
+	// ErrUnknownEngine reports that the engine is not in this instance's directory.
 	ErrUnknownEngine = errors.New("unknown engine")
-	// ErrNoModel: the engine does not hold the adapter's base model.
+	// ErrNoModel reports that the engine does not hold the adapter's base model.
 	ErrNoModel = errors.New("the engine does not hold the model")
-	// ErrRefused: the engine refused the order.
+	// ErrRefused reports that the engine refused the order.
 	ErrRefused = errors.New("order refused")
-	// ErrUnreached: nothing was sent to the engine, which takes no connection.
+	// ErrUnreached reports that the engine accepts no connection, so nothing was sent to it.
 	ErrUnreached = errors.New("engine unreached")
-	// ErrStartedAgain: the engine has started again and is not what it was.
-	ErrStartedAgain = errors.New("engine started again")
-	// ErrNoAnswer: the order may have been taken.
+	// ErrRestarted reports that the engine has restarted, so that its directory entry is out of
+	// date.
+	ErrRestarted = errors.New("engine started again")
+	// ErrNoAnswer reports that the order got no answer and may have been accepted.
 	ErrNoAnswer = errors.New("no answer to the order")
 )
 
-// Action is what an order does.
+// Action is the kind of an order.
 type Action uint8
 
-// The actions.
+// The kinds of orders.
 const (
 	Load Action = iota
 	Unload
 )
 
-// String returns the action's name.
+// String returns the action's name in logs.
 func (a Action) String() string {
 	if a == Unload {
 		return "Unload"
@@ -73,66 +74,67 @@
 type Order struct {
 	Action  Action
 	Adapter snipecatalog.Adapter
-	// Version is the adapter's version, which the engine loads whichever one it
-	// holds; 0 for a base model.
+	// Version is the version to load, whichever version the engine holds; 0 for a base model.
 	Version int64
-	// Expect is the number of orders that the engine must have taken so far.
+	// Expect is the number of orders that the engine must have accepted so far; otherwise the
+	// engine rejects the order with Conflict.
 	Expect uint64
-	// Holder and Fence name who gives it.
+	// Holder and Fence are the name and the fencing number of the instance that gives the order.
 	Holder string
 	Fence  uint64
 }
 
-// Reply is what an engine said to an order.
+// Reply is an engine's reply to an order.
 type Reply uint8
 
 // The replies.
 const (
-	// Unanswered: the order may have been taken, or may be taken later.
+	// Unanswered: the order may have been accepted, or may be accepted later.
 	Unanswered Reply = iota
-	// Taken: the engine carries the order out.
+	// Taken: the engine has accepted the order and carries it out.
 	Taken
-	// Holds: what was ordered is so already.
+	// Holds: the engine already is in the state that the order asks for.
 	Holds
-	// Conflict: another order is under way, or their number differs.
+	// Conflict: another order is in progress, or the order count differs from Expect.
 	Conflict
-	// Outdated: the engine has seen a higher fencing number.
+	// Outdated: the engine has received a higher fencing number.
 	Outdated
-	// Refused: the engine will not carry it out.
+	// Refused: the engine does not carry out the order.
 	Refused
-	// Elsewhere: another upstream has the address.
+	// Elsewhere: the address belongs to another upstream.
 	Elsewhere
 )
 
-// String returns the reply's name.
+// String returns the reply's name in logs.
 func (r Reply) String() string {
 	return [...]string{"Unanswered", "Taken", "Holds", "Conflict", "Outdated", "Refused", "Elsewhere"}[r]
 }
 
-// Report is what an engine says of itself. It is a fraction of a second old.
+// Report is an engine's report of its own state. It is a fraction of a second old.
 type Report struct {
-	// Start is when the engine started, in milliseconds; 0 when it does not say.
+	// Start is when the engine started, in milliseconds; 0 if the engine does not report it.
 	Start int64
-	// Orders is the number of orders taken since then.
+	// Orders is the number of orders accepted since the start.
 	Orders uint64
-	// Models are the base models that it holds, Resident their adapters.
+	// Models are the base models that the engine holds, Resident the adapters that it holds.
 	Models   []string
 	Resident []snipedirectory.Resident
-	// Coming are adapters on their way.
+	// Coming are the adapters that are loading.
 	Coming []snipedirectory.Resident
 }
 
-// Engine is how the Desk speaks to engines.
+// Engine holds the functions through which the controller calls engines.
 type Engine struct {
 	Order  func(ctx context.Context, u *snipedirectory.Upstream, o Order) (Reply, error)
 	Report func(ctx context.Context, u *snipedirectory.Upstream) (Report, error)
 }
 
-// Fence returns the fencing number for an order to the engine at an address now.
+// Fence returns the fencing number for an order to the engine at an address, and whether this
+// instance may order that engine now.
 type Fence = func(engine netip.AddrPort) (uint64, bool)
 
 const (
-	// trust is how long a reply of an owner stands against a directory entry that
-	// does not show it: entries are written about every 1.2 s, and read later.
-	trust = 4 * time.Second
+	// overrideTTL is how long an owner's reply or a refusal overrides a directory entry that
+	// contradicts it: entries are written about every 1.2 s, and read later.
+	overrideTTL = 4 * time.Second
 )
--- a/snipeadapter/unanswered.go
+++ b/snipeadapter/unanswered.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// lateLife is for how long an order that got no answer may still be carried out.
-const lateLife = 15 * time.Second
+// maxOrderDelay is how long an order that got no answer may still be carried out.
+const maxOrderDelay = 15 * time.Second
 
-// lateOrders are the loads that got no answer, by the name of the engine, whichever start
-// of it they were for. The number of orders that a load states protects against taking it
-// late as long as the engine counts on; after a restart the count begins anew and meets
-// each number again. The zero value is ready.
-type lateOrders struct {
+// unansweredLoads records the loads that got no answer, by engine name, for all starts of the
+// engine. The order count in a load prevents late execution as long as the engine keeps counting;
+// after a restart the count begins again and reaches every number once more. The zero value is
+// ready to use.
+type unansweredLoads struct {
 	lock sync.Mutex // guards sent
-	// sent tells when a load that states a number was last sent: repeats of one order
-	// state the same, and the engine takes one of them.
+	// sent is when a load was last sent, by engine name and by the order count that the load
+	// states. Repeats of an order state the same count, and the engine accepts only one of them.
 	sent map[string]map[uint64]time.Time
 }
 
-// add notes a load that got no answer.
-func (l *lateOrders) add(name string, expect uint64) {
+// add records a load that got no answer.
+func (l *unansweredLoads) add(name string, expect uint64) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	if l.sent == nil {
@@ -35,16 +35,16 @@
 }
 
 // count returns how many loads of an engine may still be carried out.
-func (l *lateOrders) count(name string) int {
+func (l *unansweredLoads) count(name string) int {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	l.prune()
 	return len(l.sent[name])
 }
 
-// prune forgets what is too old. The lock is held.
-func (l *lateOrders) prune() {
-	old := func(_ uint64, at time.Time) bool { return time.Since(at) > lateLife }
+// prune drops loads that can no longer be carried out. The lock is held.
+func (l *unansweredLoads) prune() {
+	old := func(_ uint64, at time.Time) bool { return time.Since(at) > maxOrderDelay }
 	for name, all := range l.sent {
 		if maps.DeleteFunc(all, old); len(all) == 0 {
 			delete(l.sent, name)
@@ -52,12 +52,12 @@
 	}
 }
 
-// reserved returns how many places are kept free for loads of before a restart: those
-// that this instance knows of, or one when somebody else may have sent it. One place is
-// left to work with.
-func (e *engine) reserved(slots int) int {
-	if !e.again || time.Since(e.learned) > lateLife {
+// reservedSlots returns how many slots are kept free for loads that were ordered before a restart:
+// as many as this instance knows of, but at least one, because another instance may have sent one.
+// At least one slot stays usable.
+func (e *engine) reservedSlots(slots int) int {
+	if !e.restarted || time.Since(e.discovered) > maxOrderDelay {
 		return 0
 	}
-	return max(min(max(e.desk.late.count(e.name), 1), slots-1), 0)
+	return max(min(max(e.controller.unanswered.count(e.name), 1), slots-1), 0)
 }
--- a/snipeadapter/use.go
+++ b/snipeadapter/use.go
@@ -6,38 +6,38 @@
 	"snipepitch.example/snipepitch/snipecatalog"
 )
 
-// UseLife is for how long a report of requests in flight counts. An instance repeats it while
-// they last, so that one that is lost does no harm, and tells their end at once; what an
-// instance used that was killed is free after this.
+// UseLife is how long a report of requests in flight is valid. An instance repeats the report while
+// the requests last, so a lost report does no harm, and reports their end at once. The adapters
+// that a killed instance was using can be evicted after this time.
 const UseLife = 1500 * time.Millisecond
 
-// Use is what one instance reports of an adapter on an engine.
+// Use is what one instance reports about an adapter on an engine.
 type Use struct {
-	// Begun is how many requests have begun since its last report.
+	// Begun is how many requests have begun since the instance's last report.
 	Begun int
-	// Running tells that some are in flight.
+	// Running reports whether requests are in flight.
 	Running bool
 }
 
-// flights are the adapters of an engine that one instance has in flight.
-type flights struct {
+// inFlightReport lists the adapters of an engine for which one instance has requests in flight.
+type inFlightReport struct {
 	adapters []snipecatalog.Adapter
-	until    time.Time
+	expires  time.Time
 }
 
-// Used notes how an instance uses the adapters of an engine, and returns those that the
-// engine does not hold.
-func (d *Desk) Used(id, instance string, uses map[snipecatalog.Adapter]Use) (gone []snipecatalog.Adapter) {
-	d.lock.Lock()
-	e := d.engines[id]
-	d.lock.Unlock()
-	if e == nil || !e.read.Load() {
+// Used records an instance's use of the adapters of an engine, and returns the adapters that the
+// engine neither holds nor is about to load.
+func (c *Desk) Used(id, instance string, uses map[snipecatalog.Adapter]Use) (gone []snipecatalog.Adapter) {
+	c.lock.Lock()
+	e := c.engines[id]
+	c.lock.Unlock()
+	if e == nil || !e.stateKnown.Load() {
 		return nil
 	}
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	now := time.Now()
-	e.land(instance, now)
+	e.endInFlight(instance, now)
 	var running []snipecatalog.Adapter
 	for a, u := range uses {
 		if u.Running {
@@ -45,34 +45,35 @@
 		}
 		switch h := e.held[a]; {
 		case h != nil:
-			h.note(now, u.Begun)
+			h.recordUses(now, u.Begun)
 		case e.loads[a] == nil:
 			gone = append(gone, a)
 		}
 	}
 	if len(running) > 0 {
-		e.flights[instance] = flights{running, now.Add(UseLife)}
+		e.inFlightReports[instance] = inFlightReport{running, now.Add(UseLife)}
 	}
 	return gone
 }
 
-// land ends what an instance had in flight, which was used until now. The lock is held.
-func (e *engine) land(instance string, now time.Time) {
-	for _, a := range e.flights[instance].adapters {
+// endInFlight drops what an instance reported as in flight, and records these adapters as used
+// until now. The lock is held.
+func (e *engine) endInFlight(instance string, now time.Time) {
+	for _, a := range e.inFlightReports[instance].adapters {
 		if h := e.held[a]; h != nil {
-			h.used = now
+			h.lastUsed = now
 		}
 	}
-	delete(e.flights, instance)
+	delete(e.inFlightReports, instance)
 }
 
-// inFlight returns the adapters that instances have in flight on the engine. The lock is
-// held.
+// inFlight returns the adapters of the engine for which instances have requests in flight. The lock
+// is held.
 func (e *engine) inFlight(now time.Time) map[snipecatalog.Adapter]bool {
 	all := make(map[snipecatalog.Adapter]bool)
-	for instance, f := range e.flights {
-		if now.After(f.until) {
-			delete(e.flights, instance)
+	for instance, f := range e.inFlightReports {
+		if now.After(f.expires) {
+			delete(e.inFlightReports, instance)
 			continue
 		}
 		for _, a := range f.adapters {
