--- a/snipeadapter/controller.go
+++ b/snipeadapter/controller.go
@@ -129,16 +129,16 @@
 // ctxLock is a mutual exclusion lock whose acquisition honors a context.
 type ctxLock chan struct{}
 
-func (t ctxLock) acquire(ctx context.Context) error {
+func (l ctxLock) acquire(ctx context.Context) error {
 	select {
-	case t <- struct{}{}:
+	case l <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (t ctxLock) release() { <-t }
+func (l ctxLock) release() { <-l }
 
 // heldAdapter is an adapter that takes a slot on an engine.
 type heldAdapter struct {
@@ -200,15 +200,15 @@
 	return l.version, nil
 }
 
-// target returns the version to load of an adapter that is requested in at least version least. It
-// is never 0: a repeat of an order without a version would start the load of a version announced in
+// target returns the version to load of an adapter that is requested in at least minVersion. It is
+// never 0: a repeat of an order without a version would start the load of a version announced in
 // the meantime, for which no slot is free.
-func (c *Desk) target(a snipecatalog.Adapter, least int64) int64 {
-	return max(least, c.Newest(a), firstVersion)
+func (c *Desk) target(a snipecatalog.Adapter, minVersion int64) int64 {
+	return max(minVersion, c.Newest(a), firstVersion)
 }
 
-// Rates returns the uses per second of an engine's adapters, without those below least.
-func (c *Desk) Rates(id string, least float64) map[snipecatalog.Adapter]float64 {
+// Rates returns the uses per second of an engine's adapters, without those below minRate.
+func (c *Desk) Rates(id string, minRate float64) map[snipecatalog.Adapter]float64 {
 	c.lock.Lock()
 	e := c.engines[id]
 	c.lock.Unlock()
@@ -221,7 +221,7 @@
 	var rates map[snipecatalog.Adapter]float64
 	for a, h := range e.held {
 		perSecond := h.useRate.PerSecond(now)
-		if perSecond < least {
+		if perSecond < minRate {
 			continue
 		}
 		if rates == nil {
--- a/snipeadapter/load.go
+++ b/snipeadapter/load.go
@@ -46,19 +46,19 @@
 }
 
 // findOrQueue returns the load of an adapter, queueing one if none is pending, or the version that
-// the engine already holds if it is at least least. The caller waits for the load or calls
+// the engine already holds if it is at least minVersion. The caller waits for the load or calls
 // removeWaiter. If the load is not expected to complete within maxWait, the error is a BusyError.
-func (e *engine) findOrQueue(a snipecatalog.Adapter, target, least int64, maxWait time.Duration) (*load, int64, error) {
+func (e *engine) findOrQueue(a snipecatalog.Adapter, target, minVersion int64, maxWait time.Duration) (*load, int64, error) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	h := e.held[a]
 	if h != nil {
 		h.lastUsed = time.Now()
 	}
-	if h != nil && !h.loading && h.version >= least {
+	if h != nil && !h.loading && h.version >= minVersion {
 		return nil, h.version, nil
 	}
-	if l := e.loads[a]; l != nil && l.version >= least {
+	if l := e.loads[a]; l != nil && l.version >= minVersion {
 		l.addWaiter(maxWait)
 		return l, 0, nil
 	}
--- a/snipeadapter/residency_test.go
+++ b/snipeadapter/residency_test.go
@@ -12,16 +12,16 @@
 	"snipepitch.example/snipepitch/snipedirectory"
 )
 
-// TestResidency: what an owner or the engine itself said a moment ago stands against
-// an entry of the directory that was written before; later the entry does.
+// TestResidency checks that a recent report of an owner or of the engine itself overrides a
+// directory entry that was written before it, and that later the entry is in force again.
 func TestResidency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &snipeadapter.Residency{}
-		listed, told, denied := adapter(1), adapter(2), adapter(3)
+		listed, reported, denied := adapter(1), adapter(2), adapter(3)
 		u := &snipedirectory.Upstream{ID: "e1", Models: []string{model}, Resident: []snipedirectory.Resident{
 			{Adapter: listed, Version: 1}, {Adapter: denied, Version: 1},
 		}}
-		r.Tell("e1", told, 2)
+		r.Tell("e1", reported, 2)
 		r.Deny("e1", denied)
 		r.Observe(u)
 		holds := func(a snipecatalog.Adapter, version int64, ok bool) {
@@ -31,21 +31,21 @@
 			must.Eq(t, version, v)
 		}
 		holds(listed, 1, true)
-		holds(told, 2, true)
+		holds(reported, 2, true)
 		holds(denied, 0, false)
 		holds(snipecatalog.Adapter{Model: model}, 0, true)
 		holds(snipecatalog.Adapter{Model: "other"}, 0, false)
 		time.Sleep(5 * time.Second)
 		r.Observe(u)
-		holds(told, 0, false)
+		holds(reported, 0, false)
 		holds(denied, 1, true)
 		r.Forget("e1")
 		holds(listed, 0, false)
 	})
 }
 
-// TestFormerly: an engine is remembered to have held what it held lately, by whatever way that
-// was learned, until it holds it again, is another start, or has held many others since.
+// TestFormerly checks that an engine counts as a previous holder of an adapter however its removal
+// was learned, until it holds the adapter again, restarts, or has held many others since.
 func TestFormerly(t *testing.T) {
 	const most = 100
 	synctest.Test(t, func(t *testing.T) {
--- a/snipeadapter/restart_test.go
+++ b/snipeadapter/restart_test.go
@@ -17,102 +17,103 @@
 	"snipepitch.example/snipepitch/snipedirectory"
 )
 
-// startAgain makes the engine start again: it holds nothing and counts anew.
-func (f *fakeEngine) startAgain() {
+// restart makes the engine start again: it holds nothing and its order count begins at 0.
+func (f *fakeEngine) restart() {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.start++
 	f.orders = 0
 	clear(f.held)
-	clear(f.coming)
+	clear(f.loading)
 }
 
-// setStart makes the engine's start another one, as of its beginning.
+// setStart sets the engine's start, as if it had been so from the beginning.
 func (f *fakeEngine) setStart(start int64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.start = start
 }
 
-// lose makes a share of the orders get no answer, a share of which come late.
-func (f *fakeEngine) lose(lost, late float64) {
+// setLoss makes a share of the orders get no answer, and a share of these execute late.
+func (f *fakeEngine) setLoss(lost, late float64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.lost, f.late = lost, late
 }
 
-// registry is a directory that shows an engine's starts a while later.
+// registry is a directory that shows an engine's restarts after a delay.
 type registry struct {
-	now atomic.Pointer[snipedirectory.Upstream]
+	current atomic.Pointer[snipedirectory.Upstream]
 }
 
-func newRegistry(d *snipeadapter.Desk) *registry {
+func newRegistry(c *snipeadapter.Desk) *registry {
 	r := &registry{}
-	d.Upstream = func(id string) *snipedirectory.Upstream {
-		if u := r.now.Load(); u != nil && u.ID == id {
+	c.Upstream = func(id string) *snipedirectory.Upstream {
+		if u := r.current.Load(); u != nil && u.ID == id {
 			return u
 		}
 		return nil
 	}
-	d.StartedAgain = func(id string) {
-		if u := r.now.Load(); u != nil && u.ID == id {
-			r.now.CompareAndSwap(u, nil)
+	c.StartedAgain = func(id string) {
+		if u := r.current.Load(); u != nil && u.ID == id {
+			r.current.CompareAndSwap(u, nil)
 		}
 	}
-	r.show(d, 1)
+	r.show(c, 1)
 	return r
 }
 
-// show puts a start of the engine into the directory.
-func (r *registry) show(d *snipeadapter.Desk, start int64) {
-	old := r.now.Load()
-	r.now.Store(&snipedirectory.Upstream{
+// show replaces the engine's entry in the directory by one for a new start.
+func (r *registry) show(c *snipeadapter.Desk, start int64) {
+	old := r.current.Load()
+	r.current.Store(&snipedirectory.Upstream{
 		ID: snipedirectory.StartID("e1", start), Name: "e1", Start: start, Again: start > 1,
 		Address: netip.MustParseAddrPort("10.9.0.1:80"), Models: []string{model},
 	})
 	if old != nil {
-		d.Forget(old.ID)
+		c.Forget(old.ID)
 	}
 }
 
-// id returns the start that the directory shows.
+// id returns the ID of the start that the directory shows.
 func (r *registry) id() string {
-	if u := r.now.Load(); u != nil {
+	if u := r.current.Load(); u != nil {
 		return u.ID
 	}
 	return ""
 }
 
-// TestStartsAgain plays an engine that starts again under its name, again and again, while
-// orders get lost and come up to twelve seconds late: they may be taken by the next start,
-// whose count meets theirs. It never holds more than it can, nothing is thought to be
-// resident that was so before, and all that is asked for arrives.
+// TestStartsAgain guards against orders from before a restart that take effect after it. An engine
+// restarts repeatedly under its name while orders are lost or arrive up to twelve seconds late; the
+// next start accepts such an order if its own order count matches. The engine must never hold more
+// than fits, adapters held before a restart must not count as held after it, and requested adapters
+// must arrive.
 func TestStartsAgain(t *testing.T) {
-	const noticed, starts = 700 * time.Millisecond, 8
+	const detectionDelay, starts = 700 * time.Millisecond, 8
 	for name, late := range map[string]float64{"Lost": 0, "Late": 1, "LostOrLate": 0.5} {
 		for seed := range uint64(16) {
 			t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
-				play(t, seed, func(t *testing.T, e *fakeEngine, d *snipeadapter.Desk, _ *bool) {
+				runSimulation(t, seed, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
 					e.setStart(1)
-					e.lose(0.35, late)
-					r := newRegistry(d)
+					e.setLoss(0.35, late)
+					r := newRegistry(c)
 					random := rand.New(rand.NewPCG(seed, 5))
 					var all sync.WaitGroup
 					for n := range 50 * starts {
 						if n%50 == 49 {
-							e.startAgain()
+							e.restart()
 							start := int64(2 + n/50)
-							time.AfterFunc(noticed, func() { r.show(d, start) })
+							time.AfterFunc(detectionDelay, func() { r.show(c, start) })
 						}
 						a := adapter(random.IntN(20))
-						all.Go(func() { _, _ = d.Ensure(t.Context(), r.id(), a, 0, time.Minute) })
+						all.Go(func() { _, _ = c.Ensure(t.Context(), r.id(), a, 0, time.Minute) })
 						time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
 					}
 					all.Wait()
-					must.False(t, e.overfull())
-					e.lose(0, 0)
+					must.False(t, e.exceededSlots())
+					e.setLoss(0, 0)
 					time.Sleep(time.Second)
-					_, err := d.Ensure(t.Context(), r.id(), adapter(1), 0, time.Minute)
+					_, err := c.Ensure(t.Context(), r.id(), adapter(1), 0, time.Minute)
 					must.NoError(t, err)
 					must.True(t, e.holds(adapter(1)))
 				})
@@ -121,13 +122,13 @@
 	}
 }
 
-// TestReportOfAnotherStart: an engine whose report tells of another start than the
-// directory is not ordered, and the directory is told, until it shows that start too.
+// TestReportOfAnotherStart checks that an engine whose report shows another start than the
+// directory gets no order, and that the directory is notified, until it shows that start too.
 func TestReportOfAnotherStart(t *testing.T) {
 	tests := map[string]struct {
-		reported int64
-		shown    int64
-		again    bool
+		reported  int64
+		shown     int64
+		restarted bool
 	}{
 		"Same":          {4, 4, false},
 		"Later":         {5, 4, true},
@@ -137,47 +138,47 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			play(t, 1, func(t *testing.T, e *fakeEngine, d *snipeadapter.Desk, _ *bool) {
+			runSimulation(t, 1, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
 				e.setStart(tt.reported)
 				time.Sleep(2 * reportLag)
-				r := newRegistry(d)
-				r.show(d, tt.shown)
-				_, err := d.Ensure(t.Context(), r.id(), adapter(1), 0, patient)
-				if !tt.again {
+				r := newRegistry(c)
+				r.show(c, tt.shown)
+				_, err := c.Ensure(t.Context(), r.id(), adapter(1), 0, longWait)
+				if !tt.restarted {
 					must.NoError(t, err)
 					return
 				}
 				must.ErrorIs(t, err, snipeadapter.ErrRestarted)
 				must.Eq(t, 0, e.begun())
 				must.Eq(t, "", r.id())
-				r.show(d, tt.reported)
-				_, err = d.Ensure(t.Context(), r.id(), adapter(1), 0, patient)
+				r.show(c, tt.reported)
+				_, err = c.Ensure(t.Context(), r.id(), adapter(1), 0, longWait)
 				must.NoError(t, err)
 			})
 		})
 	}
 }
 
-// TestPlacesAfterStart: a place stays free for a load of before the restart as long as it
-// may come.
+// TestPlacesAfterStart checks that a slot stays free for a load from before the restart as long as
+// that load may still be executed.
 func TestPlacesAfterStart(t *testing.T) {
-	play(t, 3, func(t *testing.T, e *fakeEngine, d *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 3, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
 		e.setStart(2)
 		time.Sleep(2 * reportLag)
-		r := newRegistry(d)
-		r.show(d, 2)
+		r := newRegistry(c)
+		r.show(c, 2)
 		ensure := func(n int) {
-			_, err := d.Ensure(t.Context(), r.id(), adapter(n), 0, patient)
+			_, err := c.Ensure(t.Context(), r.id(), adapter(n), 0, longWait)
 			must.NoError(t, err)
 			time.Sleep(400 * time.Millisecond)
 		}
-		for n := range places {
+		for n := range slots {
 			ensure(n)
 		}
-		must.Eq(t, places-1, e.count())
+		must.Eq(t, slots-1, e.count())
 		time.Sleep(15 * time.Second)
-		ensure(places)
-		must.Eq(t, places, e.count())
+		ensure(slots)
+		must.Eq(t, slots, e.count())
 	})
 }
 
@@ -188,8 +189,8 @@
 	return len(f.held)
 }
 
-// TestResidencyOfStarts: what was said of a start that is over says nothing of the next
-// one, and does not stay.
+// TestResidencyOfStarts checks that reports about an ended start do not apply to the next one, and
+// that they are dropped.
 func TestResidencyOfStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &snipeadapter.Residency{}
@@ -211,17 +212,18 @@
 	})
 }
 
-// TestComingFromBefore: adapters that were on their way when an engine was read, by orders of
-// the owner before, can be evicted once they have come.
+// TestComingFromBefore guards against slots that stay blocked after a change of owner. Adapters
+// that were loading by orders of the previous owner when the engine was read must become evictable
+// once they are loaded.
 func TestComingFromBefore(t *testing.T) {
-	play(t, 4, func(t *testing.T, e *fakeEngine, d *snipeadapter.Desk, _ *bool) {
-		for n := range places {
-			e.carryOut(snipeadapter.Order{Action: snipeadapter.Load, Adapter: adapter(n), Expect: uint64(n)})
+	runSimulation(t, 4, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+		for n := range slots {
+			e.execute(snipeadapter.Order{Action: snipeadapter.Load, Adapter: adapter(n), Expect: uint64(n)})
 		}
 		time.Sleep(reportLag)
-		d.Take(t.Context(), d.Upstream("e1"))
-		_, err := d.Ensure(t.Context(), "e1", adapter(places), 0, patient)
+		c.Take(t.Context(), c.Upstream("e1"))
+		_, err := c.Ensure(t.Context(), "e1", adapter(slots), 0, longWait)
 		must.NoError(t, err)
-		must.Eq(t, places, e.count())
+		must.Eq(t, slots, e.count())
 	})
 }
--- a/snipeadapter/slotwait_test.go
+++ b/snipeadapter/slotwait_test.go
@@ -11,49 +11,49 @@
 	"snipepitch.example/snipepitch/snipecatalog"
 )
 
-// TestFullEngine answers the pattern of engines with few places, all of which are in use: whoever
-// asks such an engine for one more adapter is told so at once, while others may have a place,
-// and not after having waited for one. Where one place is not in use it gets the adapter.
+// TestFullEngine guards against callers waiting for a slot on an engine with few slots, all in use,
+// while other engines may have a free slot. Such a request must be refused at once. If one slot is
+// not in use, the request gets it.
 func TestFullEngine(t *testing.T) {
-	const patience = 400 * time.Millisecond
+	const maxWait = 400 * time.Millisecond
 	tests := map[string]struct {
 		inFlight int
-		queued   int // loads that are ahead
+		queued   int // loads queued before the request
 		busy     bool
 	}{
-		"OneIsIdle":      {places - 1, 0, false},
-		"AllAreInFlight": {places, 0, true},
-		"IdleIsTaken":    {places - 1, 1, true},
-		"TwoAreIdle":     {places - 2, 1, false},
+		"OneIsIdle":      {slots - 1, 0, false},
+		"AllAreInFlight": {slots, 0, true},
+		"IdleIsTaken":    {slots - 1, 1, true},
+		"TwoAreIdle":     {slots - 2, 1, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			play(t, 21, func(t *testing.T, _ *fakeEngine, d *snipeadapter.Desk, _ *bool) {
+			runSimulation(t, 21, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Desk, _ *bool) {
 				uses := map[snipecatalog.Adapter]snipeadapter.Use{}
-				for n := range places {
-					_, err := d.Ensure(t.Context(), "e1", adapter(n), 0, patient)
+				for n := range slots {
+					_, err := c.Ensure(t.Context(), "e1", adapter(n), 0, longWait)
 					must.NoError(t, err)
 					if n < tt.inFlight {
 						uses[adapter(n)] = snipeadapter.Use{Begun: 1, Running: true}
 					}
 				}
 				time.Sleep(500 * time.Millisecond)
-				d.Used("e1", "i1", uses)
+				c.Used("e1", "i1", uses)
 				for n := range tt.queued {
-					go func() { _, _ = d.Ensure(t.Context(), "e1", adapter(places+1+n), 0, patient) }()
+					go func() { _, _ = c.Ensure(t.Context(), "e1", adapter(slots+1+n), 0, longWait) }()
 					time.Sleep(time.Millisecond)
 				}
 				begun := time.Now()
-				_, err := d.Ensure(t.Context(), "e1", adapter(places), 0, patience)
+				_, err := c.Ensure(t.Context(), "e1", adapter(slots), 0, maxWait)
 				var busy *snipeadapter.BusyError
 				must.Eq(t, tt.busy, errors.As(err, &busy))
 				if tt.busy {
 					must.Eq(t, 0, time.Since(begun))
-					must.Greater(t, patience, busy.Wait)
+					must.Greater(t, maxWait, busy.Wait)
 					return
 				}
 				must.NoError(t, err)
-				must.Less(t, patience, time.Since(begun))
+				must.Less(t, maxWait, time.Since(begun))
 			})
 		})
 	}
--- a/snipeadapter/use.go
+++ b/snipeadapter/use.go
@@ -27,7 +27,7 @@
 
 // Used records an instance's use of the adapters of an engine, and returns the adapters that the
 // engine neither holds nor is about to load.
-func (c *Desk) Used(id, instance string, uses map[snipecatalog.Adapter]Use) (gone []snipecatalog.Adapter) {
+func (c *Desk) Used(id, instance string, uses map[snipecatalog.Adapter]Use) (absent []snipecatalog.Adapter) {
 	c.lock.Lock()
 	e := c.engines[id]
 	c.lock.Unlock()
@@ -47,13 +47,13 @@
 		case h != nil:
 			h.recordUses(now, u.Begun)
 		case e.loads[a] == nil:
-			gone = append(gone, a)
+			absent = append(absent, a)
 		}
 	}
 	if len(running) > 0 {
 		e.inFlightReports[instance] = inFlightReport{running, now.Add(UseLife)}
 	}
-	return gone
+	return absent
 }
 
 // endInFlight drops what an instance reported as in flight, and records these adapters as used
