--- /dev/null
+++ b/snipeadapter/evict.go
@@ -0,0 +1,160 @@
+package snipeadapter
+
+import (
+	"context"
+	"math"
+	"time"
+
+	"github.com/go-faster/errors"
+
+	"snipepitch.example/snipepitch/snipecatalog"
+	"snipepitch.example/snipepitch/snipedirectory"
+	"snipepitch.example/snipepitch/snipetime"
+)
+
+// freeSlot unloads adapters, those of least value first, until a slot is free. The caller holds
+// orderLock.
+func (e *engine) freeSlot(ctx context.Context, u *snipedirectory.Upstream) error {
+	for {
+		victim, full := e.victim(u)
+		if !full {
+			return nil
+		}
+		if e.foreignLoadsDue() {
+			e.stateKnown.Store(false)
+			if _, err := e.ensureState(ctx); err != nil {
+				return err
+			}
+			continue
+		}
+		if victim.Name == "" {
+			return errors.Wrap(errInUse, e.id)
+		}
+		if err := e.unload(ctx, u, victim); err != nil {
+			return err
+		}
+	}
+}
+
+// foreignLoadsDue reports whether the engine must be read again, because loads that were in
+// progress when it was last read should be complete by now and this controller does not wait for
+// them: loads of the previous owner, or loads that this controller has abandoned. Until the engine
+// is read again their adapters take slots and cannot be evicted.
+func (e *engine) foreignLoadsDue() bool {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	if time.Since(e.readAt) < foreignLoadAge {
+		return false
+	}
+	for a, h := range e.held {
+		if (h.loading || h.replacing) && !e.activeLoads[a] {
+			return true
+		}
+	}
+	return false
+}
+
+// foreignLoadAge is the age from which a read that showed an adapter as loading is repeated: two
+// loads are complete by then, and reading an engine costs as much as an order.
+const foreignLoadAge = 500 * time.Millisecond
+
+// unload unloads an adapter and waits until its slot is free. The caller holds orderLock: the
+// engine accepts no other order meanwhile.
+func (e *engine) unload(ctx context.Context, u *snipedirectory.Upstream, victim snipecatalog.Adapter) error {
+	order := Order{Action: Unload, Adapter: victim}
+	reply, err := e.sendUntilAnswered(ctx, u, &order)
+	for reply == Taken {
+		if !snipetime.Sleep(ctx, pollInterval) {
+			return ctx.Err()
+		}
+		if reply, err = e.send(ctx, u, &order); reply == Unanswered {
+			reply = Taken // poll again
+		}
+	}
+	switch reply {
+	case Holds:
+		e.lock.Lock()
+		delete(e.held, victim)
+		e.lock.Unlock()
+		e.controller.evicted.add(e.id, victim)
+		return nil
+	case Conflict, Unanswered:
+		_, err := e.ensureState(ctx)
+		return err
+	default:
+		return errors.Wrapf(ErrRefused, "unload: %s: %v", reply, err)
+	}
+}
+
+// victim returns the adapter to unload so that a slot becomes free, and whether the engine is full.
+// The adapter is the zero value if none can be evicted. A new version takes a slot beside the
+// version that it replaces.
+func (e *engine) victim(u *snipedirectory.Upstream) (snipecatalog.Adapter, bool) {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	slots := e.controller.Slots(u)
+	if e.slotsTaken() < slots-e.reservedSlots(slots) {
+		return snipecatalog.Adapter{}, false
+	}
+	a, _ := e.leastValuable(u)
+	return a, true
+}
+
+// slotsTaken returns how many slots are taken. The lock is held.
+func (e *engine) slotsTaken() int {
+	taken := len(e.held)
+	for _, h := range e.held {
+		if h.replacing {
+			taken++
+		}
+	}
+	return taken
+}
+
+// evictable reports whether an adapter can be evicted: it was not used for minIdle, and no request
+// for it is in flight. An adapter whose newer version is still queued can be evicted: otherwise, if
+// all adapters had a newer version queued, none of these loads would get a slot. The lock is held.
+func (e *engine) evictable(a snipecatalog.Adapter, h *heldAdapter, inFlight map[snipecatalog.Adapter]bool, now time.Time) bool {
+	return !h.loading && !h.replacing && !e.activeLoads[a] && !inFlight[a] && now.Sub(h.lastUsed) >= minIdle
+}
+
+// leastValuable returns the evictable adapter whose loss costs least. The lock is held.
+func (e *engine) leastValuable(u *snipedirectory.Upstream) (snipecatalog.Adapter, bool) {
+	var least snipecatalog.Adapter
+	var lowest float64
+	found := false
+	now := time.Now()
+	inFlight := e.inFlight(now)
+	for a, h := range e.held {
+		if !e.evictable(a, h, inFlight, now) {
+			continue
+		}
+		if score := e.value(u, a, h, now); !found || score < lowest {
+			least, lowest, found = a, score, true
+		}
+	}
+	return least, found
+}
+
+const (
+	// missedUses limits the rate assumed for an adapter that is idle for time t to missedUses/t:
+	// the end of demand shows after three times the interval between its requests.
+	missedUses = 3
+	// replicatedFactor scales the value of an adapter that other engines hold too: its loss costs a
+	// few refusals until callers know of it, but no load.
+	replicatedFactor = 0.05
+)
+
+// value returns the cost of evicting an adapter: its decaying use count, limited by the time since
+// its last use, and scaled by replicatedFactor if other engines can serve it instead.
+func (e *engine) value(u *snipedirectory.Upstream, a snipecatalog.Adapter, h *heldAdapter, now time.Time) float64 {
+	uses := h.useCount.At(now)
+	if idle := now.Sub(h.lastUsed); idle > 0 {
+		uses = min(uses, missedUses*float64(halfLife)/math.Ln2/float64(idle))
+	}
+	perSecond := uses * math.Ln2 / halfLife.Seconds()
+	if e.controller.Spare != nil && e.controller.Spare(u, a, perSecond) {
+		return replicatedFactor * uses
+	}
+	return uses
+}
--- /dev/null
+++ b/snipeadapter/slotwait.go
@@ -0,0 +1,51 @@
+package snipeadapter
+
+import "time"
+
+const (
+	// initialSlotWait is the expected wait for a slot until a wait was observed.
+	initialSlotWait = 300 * time.Millisecond
+	// slotWaitWeight is the weight of a new observation in the moving average.
+	slotWaitWeight = 0.2
+)
+
+// expectedSlotWait returns how long one more load is expected to wait for a slot. The wait is zero
+// if more slots are free or evictable than the loads ahead of it need. The lock is held.
+func (e *engine) expectedSlotWait() time.Duration {
+	u := e.controller.Upstream(e.id)
+	if u == nil || !e.stateKnown.Load() {
+		return 0
+	}
+	slots := e.controller.Slots(u)
+	free := slots - e.reservedSlots(slots) - e.slotsTaken()
+	now := time.Now()
+	inFlight := e.inFlight(now)
+	for a, h := range e.held {
+		if e.evictable(a, h, inFlight, now) {
+			free++
+		}
+	}
+	ahead := len(e.queue)
+	for a := range e.activeLoads {
+		if h := e.held[a]; h == nil || !h.loading && !h.replacing {
+			ahead++
+		}
+	}
+	if free > ahead {
+		return 0
+	}
+	if e.slotWait == 0 {
+		return initialSlotWait
+	}
+	return e.slotWait
+}
+
+// recordSlotWait adds an observed wait for a slot to the moving average.
+func (e *engine) recordSlotWait(d time.Duration) {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	if e.slotWait == 0 {
+		e.slotWait = initialSlotWait
+	}
+	e.slotWait += time.Duration(slotWaitWeight * float64(d-e.slotWait))
+}
