--- a/snipegateway/attempt.go
+++ b/snipegateway/attempt.go
@@ -18,14 +18,15 @@
 )
 
 const (
-	// maxWhole bounds an answer that is kept until it is complete, so that a
-	// broken one can be asked for again; a longer one is passed on as it comes.
-	maxWhole    = 1 << 20
+	// maxBuffered bounds, in bytes, an answer that is buffered until it is complete, so that the
+	// request can be sent again if the answer breaks off. A longer answer is forwarded as it
+	// arrives.
+	maxBuffered = 1 << 20
 	eventStream = "text/event-stream"
 )
 
-// whole is a complete answer.
-type whole struct {
+// bufferedAnswer is a complete answer in memory.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -37,86 +38,88 @@
 	g := c.gateway
 	c.tried = append(c.tried, u.ID)
 	if now := g.Chooser.Directory.Snapshot().ByID(u.ID); now == nil || now.Leaving {
-		// It was chosen before the request waited for its adapter.
+		// The upstream was chosen before the request waited for its adapter.
 		return snipeerror.New(snipeerror.ErrNoUpstream, c.outcome(), "the upstream is leaving")
 	}
 	left := time.Until(c.deadline)
-	if left < leastLeft && len(c.tried) > 1 {
+	if left < minTimeLeft && len(c.tried) > 1 {
 		return snipeerror.New(snipeerror.ErrDeadline, c.outcome(), "no time left")
 	}
-	if err := c.authorizeAgain(); err != nil {
+	if err := c.recheckKey(); err != nil {
 		return err
 	}
-	giveBack, ok := g.Signals.Take(u.ID)
+	returnSlot, ok := g.Signals.Take(u.ID)
 	if !ok {
 		return snipeerror.New(snipeerror.ErrOverloaded, c.outcome(), "the upstream takes no more requests now")
 	}
-	c.countAgain()
+	c.takeQuotaAgain()
 	d := Dispatch{
 		Upstream: u, Left: left, Version: choice.Version, Priority: c.priority(), LastEvent: c.lastEvent,
 		Workspace: c.workspaceName(),
 	}
-	// The use is noted last at both ends: its report tells the load.
-	end := g.Balancer.Begin(u.ID, snipebalance.Weight(c.PromptTokens))
-	used := g.Chooser.Use(u.ID, c.Adapter)
+	// The use is recorded after the load, at the start and at the end: a recorded use triggers a
+	// report, and the report carries the load.
+	endLoad := g.Balancer.Begin(u.ID, snipebalance.Weight(c.PromptTokens))
+	endUse := g.Chooser.Use(u.ID, c.Adapter)
 	defer func() {
-		end()
-		used()
+		endLoad()
+		endUse()
 	}()
 	c.sentAt = time.Now()
-	answer, _, err := g.Links.Send(ctx, u.Address, c.outgoing(d), c.body, false)
+	answer, _, err := g.Links.Send(ctx, u.Address, c.upstreamRequest(d), c.body, false)
 	if errors.Is(err, snipelink.ErrNotSent) {
-		giveBack()
+		returnSlot()
 	} else {
 		c.reached++
 	}
 	if err != nil {
-		return c.unanswered(ctx, u.ID, err)
+		return c.handleNoAnswer(ctx, u.ID, err)
 	}
 	defer answer.Close()
-	return c.judge(ctx, d, answer)
+	return c.handleAnswer(ctx, d, answer)
 }
 
-// judge takes what an answer says beside its content, and delivers it if it is one to the request.
-func (c *call) judge(ctx context.Context, d Dispatch, answer *snipelink.Answer) error {
+// handleAnswer records what an answer states about its upstream, and delivers the answer if the
+// upstream ran the request and signed the answer.
+func (c *call) handleAnswer(ctx context.Context, d Dispatch, answer *snipelink.Answer) error {
 	g, u := c.gateway, d.Upstream
 	v := g.Protocol.Judge(answer.Response, d)
 	if v.Load != nil {
 		g.Balancer.Told(u.ID, float64(v.Load.Running+v.Load.Waiting))
 	}
-	c.tellHeaders(u.ID, answer.Response)
-	if v.says() {
+	c.logNewHeaders(u.ID, answer.Response)
+	if v.signalApplies() {
 		g.Signals.Hear(u.ID, c.sentAt, v.Signal)
 	}
 	if v.NotRun {
-		return c.notRun(answer, d, v)
+		return c.handleNotRun(answer, d, v)
 	}
-	c.ran++
+	c.mayHaveRun++
 	if !v.Genuine {
 		g.Balancer.Broken(u.ID)
-		g.Log.Log(snipelog.AnswerDiscarded, snipelog.Fields{requestName: c.ID, "Upstream": u.ID, "Status": answer.StatusCode})
+		g.Log.Log(snipelog.AnswerDiscarded, snipelog.Fields{requestField: c.ID, "Upstream": u.ID, "Status": answer.StatusCode})
 		return snipeerror.New(snipeerror.ErrMismatch, snipeerror.MayHaveRun, "the upstream's answer has no receipt")
 	}
-	return c.take(ctx, u.ID, answer)
+	return c.deliver(ctx, u.ID, answer)
 }
 
-// tellHeaders logs the names of an answer's headers that no answer had before.
-func (c *call) tellHeaders(id string, answer *http.Response) {
+// logNewHeaders logs the names of headers that no earlier answer had.
+func (c *call) logNewHeaders(id string, answer *http.Response) {
 	for name := range answer.Header {
 		if c.gateway.headers.add(name) {
 			c.gateway.Log.Log(snipelog.HeaderAppeared, snipelog.Fields{
-				requestName: c.ID, "Upstream": id, "Header": name, "Status": answer.StatusCode,
+				requestField: c.ID, "Upstream": id, "Header": name, "Status": answer.StatusCode,
 			})
 		}
 	}
 }
 
-// outgoing makes the request for an upstream.
-func (c *call) outgoing(d Dispatch) *http.Request {
+// upstreamRequest returns the request to send to an upstream.
+func (c *call) upstreamRequest(d Dispatch) *http.Request {
 	h := c.header.Clone()
 	c.gateway.Protocol.Prepare(h, d)
 	if len(h.Values("User-Agent")) == 0 {
-		h.Set("User-Agent", "") // otherwise net/http names itself
+		h.Set("User-Agent", "") // otherwise net/http sends its own name
 	}
 	return &http.Request{
 		Method: c.request.Method,
@@ -127,16 +130,16 @@
 	}
 }
 
-// outcome tells whether any upstream may have run the request.
+// outcome returns whether an upstream may have run the request.
 func (c *call) outcome() snipeerror.Outcome {
-	if c.ran > 0 {
+	if c.mayHaveRun > 0 {
 		return snipeerror.MayHaveRun
 	}
 	return snipeerror.NotRun
 }
 
-// unanswered returns the failure of a request that got no answer.
-func (c *call) unanswered(ctx context.Context, id string, err error) error {
+// handleNoAnswer records an attempt that got no answer and returns its error.
+func (c *call) handleNoAnswer(ctx context.Context, id string, err error) error {
 	b := c.gateway.Balancer
 	if errors.Is(err, snipelink.ErrNotSent) {
 		if ctx.Err() == nil {
@@ -144,7 +147,7 @@
 		}
 		return snipeerror.New(snipeerror.ErrNoUpstream, c.outcome(), err.Error())
 	}
-	c.ran++
+	c.mayHaveRun++
 	if ctx.Err() != nil {
 		return snipeerror.New(snipeerror.ErrDeadline, snipeerror.MayHaveRun, err.Error())
 	}
@@ -152,56 +155,57 @@
 	return snipeerror.New(snipeerror.ErrUpstreamFailed, snipeerror.MayHaveRun, err.Error())
 }
 
-// notRun returns the failure of a request that the upstream did not run.
-func (c *call) notRun(answer *snipelink.Answer, d Dispatch, v Verdict) error {
-	// Read to the end, so that the connection can be kept.
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxWhole))
+// handleNotRun records an answer by which the upstream did not run the request, and returns the
+// attempt's error.
+func (c *call) handleNotRun(answer *snipelink.Answer, d Dispatch, v Verdict) error {
+	// The answer is read to its end so that the connection can be reused.
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxBuffered))
 	id := d.Upstream.ID
 	switch {
 	case v.Elsewhere:
 		c.gateway.Balancer.Replaced(id)
 	case v.Signal.Rest > 0:
-		// It has no room, and will hold what it holds after its rest.
+		// The engine has no free slot, but keeps its adapters during its backoff.
 	case c.Adapter.Name != "":
 		c.gateway.Chooser.Residency.Deny(id, c.Adapter)
 	default:
-		c.full++
+		c.fullUpstreams++
 	}
 	reason := "the upstream did not run it: status " + strconv.Itoa(answer.StatusCode)
 	return snipeerror.New(snipeerror.ErrOverloaded, c.outcome(), reason)
 }
 
-// take delivers a genuine answer.
-func (c *call) take(ctx context.Context, id string, answer *snipelink.Answer) error {
+// deliver writes a signed answer to the caller.
+func (c *call) deliver(ctx context.Context, id string, answer *snipelink.Answer) error {
 	kind, _, _ := mime.ParseMediaType(answer.Header.Get("Content-Type"))
 	if kind == eventStream && answer.StatusCode == http.StatusOK {
 		return c.stream(ctx, id, answer)
 	}
-	if c.begun {
+	if c.answerStarted {
 		return snipeerror.New(snipeerror.ErrUpstreamFailed, snipeerror.MayHaveRun,
 			"the stream did not go on: status "+strconv.Itoa(answer.StatusCode))
 	}
-	body, err := io.ReadAll(io.LimitReader(answer, maxWhole))
+	body, err := io.ReadAll(io.LimitReader(answer, maxBuffered))
 	if err != nil {
 		c.gateway.Balancer.Broken(id)
 		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, err.Error())
 	}
 	failed := answer.StatusCode >= http.StatusInternalServerError
 	c.gateway.Balancer.Answered(id, failed)
-	w := &whole{status: answer.StatusCode, header: forwarded(answer.Header), body: body}
-	if len(body) == maxWhole {
-		return c.pass(w, answer)
+	w := &bufferedAnswer{status: answer.StatusCode, header: endToEnd(answer.Header), body: body}
+	if len(body) == maxBuffered {
+		return c.writeUnbuffered(w, answer)
 	}
 	if failed && c.route.MayRepeat() {
-		c.spare = w
+		c.fallback = w
 		return snipeerror.New(snipeerror.ErrUpstreamFailed, snipeerror.MayHaveRun, "the upstream's status is "+strconv.Itoa(w.status))
 	}
-	return c.deliver(w)
+	return c.writeBuffered(w)
 }
 
-// deliver writes a complete answer.
-func (c *call) deliver(w *whole) error {
-	c.head(w.status, w.header)
+// writeBuffered writes a complete answer.
+func (c *call) writeBuffered(w *bufferedAnswer) error {
+	c.setHeader(w.status, w.header)
 	c.writer.Header().Set("Content-Length", strconv.Itoa(len(w.body)))
 	c.writer.WriteHeader(w.status)
 	if _, err := c.writer.Write(w.body); err != nil {
@@ -210,9 +214,9 @@
 	return nil
 }
 
-// pass writes an answer that is too long to be kept.
-func (c *call) pass(w *whole, answer *snipelink.Answer) error {
-	c.head(w.status, w.header)
+// writeUnbuffered writes an answer that is too long to be buffered.
+func (c *call) writeUnbuffered(w *bufferedAnswer, answer *snipelink.Answer) error {
+	c.setHeader(w.status, w.header)
 	c.writer.WriteHeader(w.status)
 	if _, err := c.writer.Write(w.body); err != nil {
 		return snipeerror.New(snipeerror.ErrCanceled, snipeerror.MayHaveRun, err.Error())
@@ -223,11 +227,11 @@
 	return nil
 }
 
-// head sets the header of the answer that now begins.
-func (c *call) head(status int, h http.Header) {
+// setHeader sets the header of the answer to the caller and records the answer's start.
+func (c *call) setHeader(status int, h http.Header) {
 	out := c.writer.Header()
 	for name, values := range h {
 		out[name] = values
 	}
-	c.begun, c.status, c.firstAt = true, status, time.Now()
+	c.answerStarted, c.status, c.firstAt = true, status, time.Now()
 }
--- a/snipegateway/call.go
+++ b/snipegateway/call.go
@@ -17,29 +17,29 @@
 )
 
 const (
-	// defaultTimeout bounds a request whose route and caller name no time.
+	// defaultTimeout bounds a request if neither its route nor its caller sets a timeout.
 	defaultTimeout = 30 * time.Second
-	// answerSlack is how much longer than the time left an answer is waited for:
-	// an upstream ends its work at the deadline that it was given, and its word
-	// of that takes a few milliseconds.
+	// answerSlack is how long past the deadline an answer is awaited: an upstream stops at the
+	// deadline that it was given, and its answer about that takes a few milliseconds to arrive.
 	answerSlack = 100 * time.Millisecond
-	// leastLeft is the time below which another attempt cannot be answered.
-	leastLeft = 30 * time.Millisecond
-	// maxSends bounds the upstreams that a request reaches, those that refuse it
-	// without running it included.
+	// minTimeLeft is the remaining time below which another attempt cannot be answered.
+	minTimeLeft = 30 * time.Millisecond
+	// maxSends bounds the upstreams that receive a request, including those that refuse it without
+	// running it.
 	maxSends = 4
-	// maxTries bounds the upstreams that are tried, those that cannot be connected to
-	// included: a quarter of all may have died a moment ago.
+	// maxTries bounds the upstreams that are tried, including those that cannot be connected to: a
+	// quarter of all upstreams may have just failed.
 	maxTries = 12
-	// loadShare is how many times its objective a request may wait for an adapter:
-	// longer ones hold up loads that could still be in time.
-	loadShare = 1
-	// coldRetry is when an instance that has just started is worth asking again.
-	coldRetry = 300 * time.Millisecond
+	// loadWaitShare bounds the wait of a request for an adapter, in multiples of its latency
+	// target. Requests that wait longer would delay loads that can still finish in time.
+	loadWaitShare = 1
+	// startRetryAfter is the retry time for callers of an instance that does not know its routes
+	// yet, or whose catalog may be outdated.
+	startRetryAfter = 300 * time.Millisecond
 )
 
-// requestName names a request in log lines.
-const requestName = "Request"
+// requestField is the log field with a request's identifier.
+const requestField = "Request"
 
 // call is the state of one request.
 type call struct {
@@ -55,90 +55,91 @@
 	route    *snipecatalog.Route
 	service  string
 	deadline time.Time
-	// key and workspace are whose the request is, asked what it counts against its quota, and
-	// units what of that was taken.
+	// key and workspace identify the request's workspace. cost is what the request counts against
+	// the workspace's quota, and units is how much of that was taken from the quota.
 	key       snipecatalog.KeyDigest
 	workspace *snipecatalog.Workspace
-	asked     float64
+	cost      float64
 	units     float64
 
-	// tried are the upstreams that were tried, reached how many of them the request
-	// reached, ran how many may have run it.
-	tried   []string
-	reached int
-	ran     int
-	// full counts the upstreams that had no room.
-	full int
-	// paid tells that the attempt under way is a repeat that was paid for.
-	paid    bool
-	version int64
-	waited  time.Duration
-	// busy is the share of the last upstream's slots that were thought to be taken when
-	// it was chosen, holders how many upstreams could have been.
+	// tried lists the upstreams that were tried. reached counts the upstreams that the request was
+	// sent to, and mayHaveRun counts those that may have run it.
+	tried      []string
+	reached    int
+	mayHaveRun int
+	// fullUpstreams counts the upstreams that refused the request for lack of a free slot.
+	fullUpstreams int
+	// budgetSpent is set while the current attempt is a retry that was charged to the retry budget.
+	budgetSpent bool
+	version     int64
+	waited      time.Duration
+	// busy is the estimated share of occupied slots at the last upstream when it was chosen, and
+	// holders the number of upstreams that could be chosen.
 	busy    float64
 	holders int
 	// sentAt is when the request was last sent.
 	sentAt time.Time
-	// begun tells that the answer has begun, lastEvent what the caller has of it.
-	begun     bool
-	lastEvent string
-	firstAt   time.Time
-	// wroteAt is when something was last passed on, longestPause the longest time
-	// between two such moments.
-	wroteAt      time.Time
+	// answerStarted is set when the answer to the caller has begun; lastEvent is the identifier of
+	// the last event that the caller has.
+	answerStarted bool
+	lastEvent     string
+	firstAt       time.Time
+	// lastWriteAt is when data was last written to the caller, and longestPause the longest time
+	// between two writes.
+	lastWriteAt  time.Time
 	longestPause time.Duration
 	status       int
-	// spare is a failure of an upstream, to be passed on if nothing better comes.
-	spare *whole
+	// fallback is an error answer of an upstream, delivered if no later attempt succeeds.
+	fallback *bufferedAnswer
 }
 
-// run serves the request and tells its end.
+// run serves the request and records its end.
 func (c *call) run() {
 	err := c.admit()
 	if err == nil {
 		ctx, cancel := context.WithDeadline(c.request.Context(), c.deadline.Add(answerSlack))
 		defer cancel()
 		err = c.serve(ctx)
-		c.uncount()
+		c.returnQuota()
 	}
-	if err != nil && c.request.Context().Err() == nil && !c.begun {
-		c.refuse(snipeerror.From(err))
+	if err != nil && c.request.Context().Err() == nil && !c.answerStarted {
+		c.writeError(snipeerror.From(err))
 	}
-	c.tell(err)
-	if err != nil && (c.begun || c.request.Context().Err() != nil) {
-		// Ends the connection without an end of the answer, so that what was
-		// broken off looks broken off.
+	c.recordEnd(err)
+	if err != nil && (c.answerStarted || c.request.Context().Err() != nil) {
+		// Aborts the connection without completing the answer, so that the caller can detect that
+		// the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// admit reads the request, finds its route and counts it.
+// admit reads the request, finds its route and charges its workspace's quota.
 func (c *call) admit() error {
 	g := c.gateway
 	if g.Stopping() {
 		c.writer.Header().Set("Connection", "close")
 	}
-	if err := c.resolve(); err != nil {
+	if err := c.resolveRoute(); err != nil {
 		return err
 	}
-	if err := c.identify(); err != nil {
+	if err := c.identifyWorkspace(); err != nil {
 		return err
 	}
 	c.service = c.route.Backend(sniperoute.Hash(c.ID))
 	if s := c.catalog.Services[c.service]; s == nil || s.Engine == nil {
-		// A plain service holds no models, whatever the caller names.
+		// A plain service holds no models, so the model named by the caller is ignored.
 		c.Adapter = snipecatalog.Adapter{}
 	}
-	c.deadline = c.arrived.Add(c.patience())
+	c.deadline = c.arrived.Add(c.timeout())
 	c.lastEvent = c.LastEvent
-	if err := c.count(c.request.Context()); err != nil {
+	if err := c.takeQuota(c.request.Context()); err != nil {
 		return err
 	}
 	if err := c.readBody(); err != nil {
-		c.uncount()
+		c.returnQuota()
 		return err
 	}
-	c.header = forwarded(c.request.Header)
+	c.header = endToEnd(c.request.Header)
 	if c.catalog.Keyed() {
 		c.header.Del(keyHeader)
 	}
@@ -146,15 +147,15 @@
 	return nil
 }
 
-// resolve reads the caller's header and finds the route by the catalog in force.
-func (c *call) resolve() error {
+// resolveRoute decodes the caller's header and finds the route in the current catalog.
+func (c *call) resolveRoute() error {
 	g := c.gateway
 	if g.Catalog.Catalog() == nil || g.Chooser.Directory.Snapshot() == nil {
 		g.Begin(c.request.Context())
 	}
 	c.catalog = g.Catalog.Catalog()
 	if c.catalog == nil {
-		return snipeerror.New(snipeerror.ErrUnavailable, snipeerror.NotRun, "no routes are known yet").After(coldRetry)
+		return snipeerror.New(snipeerror.ErrUnavailable, snipeerror.NotRun, "no routes are known yet").After(startRetryAfter)
 	}
 	var err error
 	if c.Request, err = g.Protocol.Decode(c.request); err != nil {
@@ -164,14 +165,14 @@
 		return snipeerror.New(snipeerror.ErrBadRequest, snipeerror.NotRun, "the target is no path")
 	}
 	path, _, _ := strings.Cut(c.request.RequestURI, "?")
-	if c.route = c.lookup(path); c.route == nil {
-		return c.outdated(snipeerror.New(snipeerror.ErrUnknownService, snipeerror.NotRun, "no route for this host and path"))
+	if c.route = c.findRoute(path); c.route == nil {
+		return c.orOutdated(snipeerror.New(snipeerror.ErrUnknownService, snipeerror.NotRun, "no route for this host and path"))
 	}
 	return nil
 }
 
-// lookup finds the route; a host may carry a port.
-func (c *call) lookup(path string) *snipecatalog.Route {
+// findRoute returns the route for the request's host, with or without its port, and path.
+func (c *call) findRoute(path string) *snipecatalog.Route {
 	if r := c.catalog.Lookup(c.request.Host, path); r != nil {
 		return r
 	}
@@ -182,9 +183,9 @@
 	return c.catalog.Lookup(host, path)
 }
 
-// patience is how long the request may take: what the caller waits and what the
-// route allows.
-func (c *call) patience() time.Duration {
+// timeout returns the longest time that the request may take: the smaller of the caller's and the
+// route's timeout.
+func (c *call) timeout() time.Duration {
 	d := defaultTimeout
 	if c.route.Timeout > 0 {
 		d = c.route.Timeout
@@ -195,7 +196,7 @@
 	return d
 }
 
-// readBody reads the whole body: it may have to be sent more than once.
+// readBody reads the whole body, because it may have to be sent more than once.
 func (c *call) readBody() error {
 	limit := c.catalog.Limits.BodyBytes
 	tooLarge := snipeerror.New(snipeerror.ErrTooLarge, snipeerror.NotRun, "the body is too large")
@@ -225,55 +226,55 @@
 	return nil
 }
 
-// single are the headers that concern one connection only.
-var single = []string{
+// hopByHop lists the headers that apply to a single connection.
+var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// forwarded returns a copy of a header without what concerns one connection only.
-func forwarded(h http.Header) http.Header {
+// endToEnd returns a copy of a header without the fields that apply to a single connection.
+func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, list := range h.Values("Connection") {
 		for _, name := range strings.Split(list, ",") {
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range single {
+	for _, name := range hopByHop {
 		out.Del(name)
 	}
 	return out
 }
 
-// serve tries upstreams until one has answered, or nothing more may be tried.
+// serve tries upstreams until one has answered or no further attempt is allowed.
 func (c *call) serve(ctx context.Context) error {
 	for {
 		reached := c.reached
 		choice, err := c.choose(ctx)
 		if err != nil {
-			c.settle(reached)
-			return c.giveUp(err)
+			c.refundUnsent(reached)
+			return c.finalError(err)
 		}
 		err = c.attempt(ctx, choice)
-		c.settle(reached)
+		c.refundUnsent(reached)
 		if err == nil {
 			return nil
 		}
-		if again := c.next(ctx, err); !again {
-			return c.giveUp(err)
+		if retry := c.shouldRetry(ctx, err); !retry {
+			return c.finalError(err)
 		}
 		c.gateway.Log.Log(snipelog.RequestSentAgain, snipelog.Fields{
-			requestName: c.ID, "Route": c.route.Name, "After": err.Error(), "Tried": c.tried, "Ran": c.ran,
+			requestField: c.ID, "Route": c.route.Name, "After": err.Error(), "Tried": c.tried, "Ran": c.mayHaveRun,
 			"LeftMilliseconds": time.Until(c.deadline).Milliseconds(),
 		})
 	}
 }
 
-// choose returns the upstream of the next attempt.
+// choose returns the upstream for the next attempt.
 func (c *call) choose(ctx context.Context) (Choice, error) {
 	bounded, cancel := context.WithDeadline(ctx, c.deadline)
 	defer cancel()
-	choice, err := c.gateway.Chooser.Choose(bounded, c.service, &c.Request, c.tried, c.loadPatience())
+	choice, err := c.gateway.Chooser.Choose(bounded, c.service, &c.Request, c.tried, c.maxLoadWait())
 	c.waited += choice.Waited
 	c.version = choice.Version
 	if choice.Upstream != nil {
@@ -282,44 +283,43 @@
 	return choice, err
 }
 
-// spread returns a number from 0 to 1 that differs from request to request.
-func (c *call) spread() float64 { return float64(sniperoute.Hash(c.ID)) / math.MaxUint64 }
+// jitter returns a number from 0 to 1, derived from the request's identifier.
+func (c *call) jitter() float64 { return float64(sniperoute.Hash(c.ID)) / math.MaxUint64 }
 
-// loadPatience is how long the request may wait for an adapter. Beyond it the caller
-// is told at once when there will be room.
-func (c *call) loadPatience() time.Duration {
-	return min(time.Until(c.deadline), loadShare*c.route.Target)
+// maxLoadWait returns how long the request may wait for an adapter. If the load would take longer,
+// the request is refused at once with the time when capacity is expected.
+func (c *call) maxLoadWait() time.Duration {
+	return min(time.Until(c.deadline), loadWaitShare*c.route.Target)
 }
 
-// next decides whether a request is sent once more after an attempt that did not
-// answer it.
-func (c *call) next(ctx context.Context, err error) bool {
+// shouldRetry reports whether the request is sent again after an attempt that ended with err.
+func (c *call) shouldRetry(ctx context.Context, err error) bool {
 	f := snipeerror.From(err)
 	switch {
 	case errors.Is(f, snipeerror.ErrUnauthenticated):
 		return false
-	case ctx.Err() != nil, time.Until(c.deadline) < leastLeft:
+	case ctx.Err() != nil, time.Until(c.deadline) < minTimeLeft:
 		return false
 	case c.reached >= maxSends, len(c.tried) >= maxTries:
 		return false
 	case f.Outcome == snipeerror.MayHaveRun && !c.route.MayRepeat():
 		return false
-	case c.ran >= c.route.MaxAttempts:
+	case c.mayHaveRun >= c.route.MaxAttempts:
 		return false
-	case c.begun && !c.route.Resumable:
+	case c.answerStarted && !c.route.Resumable:
 		return false
 	case c.reached == 0:
-		// What reached no upstream is no repeat for any.
+		// A request that no upstream has received puts no retry load on any, so it needs no budget.
 		return true
 	}
-	c.paid = c.gateway.Budget(c.service).Spend()
-	return c.paid
+	c.budgetSpent = c.gateway.Budget(c.service).Spend()
+	return c.budgetSpent
 }
 
-// settle takes back what was paid for an attempt that reached no upstream.
-func (c *call) settle(reached int) {
-	if c.paid && c.reached == reached {
+// refundUnsent refunds the retry budget for an attempt that reached no upstream.
+func (c *call) refundUnsent(reached int) {
+	if c.budgetSpent && c.reached == reached {
 		c.gateway.Budget(c.service).Refund()
 	}
-	c.paid = false
+	c.budgetSpent = false
 }
--- a/snipegateway/choose.go
+++ b/snipegateway/choose.go
@@ -16,119 +16,120 @@
 )
 
 const (
-	// versionGrace is how long after an adapter's new version was learned a request
-	// may still be sent to an engine that holds the one before. Operators allow five
-	// seconds until none begins on it, of which some are for learning of the announcement
-	// and for the wait in an engine's queue. Others have the new version within a second.
+	// versionGrace is how long after this instance learned of an adapter's new version a request
+	// may still be sent to an engine that holds the previous one. Operators allow five seconds
+	// until no request begins on the previous version, and part of these pass before the
+	// announcement arrives and while the request waits in the engine's queue. Other engines hold
+	// the new version within a second.
 	versionGrace = 1500 * time.Millisecond
 )
 
-// Choice is where a request goes.
+// Choice is the upstream chosen for a request.
 type Choice struct {
 	Upstream *snipedirectory.Upstream
-	// Version is the adapter's version there; zero when any will do.
+	// Version is the adapter version to expect at the upstream; zero for any version.
 	Version int64
-	// Waited is the time for which the adapter was waited for.
+	// Waited is the time that the request waited for the adapter to load.
 	Waited time.Duration
-	// Holders is how many usable upstreams could have been chosen: for an adapter those
-	// that were believed to hold it.
+	// Holders is the number of usable upstreams to choose from: for an adapter, those believed to
+	// hold it.
 	Holders int
 }
 
-// Chooser chooses upstreams for requests and has adapters loaded where they are
-// wanted. Exported fields are set before the first call; it is safe for
-// concurrent use.
+// Chooser chooses upstreams for requests and has adapters loaded where they are needed. Exported
+// fields are set before the first call. It is safe for concurrent use.
 type Chooser struct {
 	Directory *snipedirectory.Keeper
 	Balancer  *snipebalance.Balancer
 	Residency *snipeadapter.Residency
 	Signals   *snipesignal.Book
 	Versions  *snipecatalog.Keeper
-	// Ensure has an engine's owner load an adapter and waits for it.
-	// It is refused at once, with a snipeadapter.BusyError, if it would take longer than
-	// patience.
-	Ensure func(ctx context.Context, u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, patience time.Duration) (int64, error)
-	// Owned reports whether an engine has an owner that can order it.
+	// Ensure asks an engine's owner to load an adapter, waits for the load and returns the loaded
+	// version. It returns a snipeadapter.BusyError at once if the load would take longer than
+	// maxWait.
+	Ensure func(ctx context.Context, u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, maxWait time.Duration) (int64, error)
+	// Owned reports whether an engine has an owner that can order loads on it.
 	Owned func(u *snipedirectory.Upstream) bool
 
-	paces paces
+	estimators estimators
 
 	lock     sync.Mutex // guards the fields below
-	flights  map[flightKey]*flight
-	replicas map[snipecatalog.Adapter]map[string]news
-	// settling tells until when a decision about an adapter's replicas settles.
-	settling map[snipecatalog.Adapter]time.Time
-	uses     map[string]*engineUse
+	loads    map[loadKey]*sharedLoad
+	replicas map[snipecatalog.Adapter]map[string]recentReplica
+	// nextReplicaDecision is the time from which on the replicas of an adapter may change again.
+	nextReplicaDecision map[snipecatalog.Adapter]time.Time
+	uses                map[string]*engineUse
 }
 
-// Choose returns an upstream of a service for a request; tried are those that
-// failed it, patience is how long an adapter may be waited for.
-func (c *Chooser) Choose(ctx context.Context, service string, q *Request, tried []string, patience time.Duration) (Choice, error) {
+// Choose returns an upstream of a service for a request. It excludes the upstreams in tried, where
+// earlier attempts failed, and waits at most maxWait for an adapter to load.
+func (c *Chooser) Choose(ctx context.Context, service string, q *Request, tried []string, maxWait time.Duration) (Choice, error) {
 	directory := c.Directory.Snapshot()
 	all := directory.Service(service)
 	if len(all) == 0 {
-		return Choice{}, none("the service has no upstream")
+		return Choice{}, noUpstreamError("the service has no upstream")
 	}
 	if q.Adapter.Model == "" {
-		return c.plain(all, untried(tried))
+		return c.choosePlain(all, notTried(tried))
 	}
-	return c.engine(ctx, directory, service, q, patience, tried)
+	return c.chooseEngine(ctx, directory, service, q, maxWait, tried)
 }
 
-// untried passes the upstreams that are not among those tried.
-func untried(tried []string) snipebalance.Filter {
+// notTried returns a filter that accepts the upstreams that are not in tried.
+func notTried(tried []string) snipebalance.Filter {
 	return func(u *snipedirectory.Upstream) bool { return !slices.Contains(tried, u.ID) }
 }
 
-func (c *Chooser) plain(all []*snipedirectory.Upstream, fresh snipebalance.Filter) (Choice, error) {
-	u := c.Balancer.Pick(all, fresh, nil)
+func (c *Chooser) choosePlain(all []*snipedirectory.Upstream, untried snipebalance.Filter) (Choice, error) {
+	u := c.Balancer.Pick(all, untried, nil)
 	if u == nil {
-		return Choice{}, c.nowhere(all, none("no upstream is left to try"))
+		return Choice{}, c.refusalError(all, noUpstreamError("no upstream is left to try"))
 	}
-	return Choice{Upstream: u, Holders: c.held(all, fresh)}, nil
+	return Choice{Upstream: u, Holders: c.countUsable(all, untried)}, nil
 }
 
-// nowhere returns the refusal of a request that can go to none of some upstreams: another one than
-// usual where some of them have said that they take none now.
-func (c *Chooser) nowhere(all []*snipedirectory.Upstream, usual *snipeerror.CallError) *snipeerror.CallError {
+// refusalError returns the error for a request that none of the upstreams in all can take:
+// defaultErr, or ErrOverloaded with a retry time if some of them asked for backoff or announced a
+// limit.
+func (c *Chooser) refusalError(all []*snipedirectory.Upstream, defaultErr *snipeerror.CallError) *snipeerror.CallError {
 	ids := make([]string, 0, len(all))
 	for _, u := range all {
 		if !u.Leaving {
 			ids = append(ids, u.ID)
 		}
 	}
-	if promised, closed := c.Signals.Promise(ids); closed {
-		reason := usual.Reason + ": limits are reached, or rest is wanted"
-		return snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, reason).After(promised)
+	if retryAfter, limited := c.Signals.Promise(ids); limited {
+		reason := defaultErr.Reason + ": limits are reached, or rest is wanted"
+		return snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, reason).After(retryAfter)
 	}
-	return usual
+	return defaultErr
 }
 
-// none returns the usual refusal of a request that can go to no upstream.
-func none(reason string) *snipeerror.CallError {
+// noUpstreamError returns the error for a request that no upstream can take.
+func noUpstreamError(reason string) *snipeerror.CallError {
 	return snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, reason).After(time.Second)
 }
 
-// engine returns an engine that holds the request's adapter, or has one load it.
-func (c *Chooser) engine(ctx context.Context, directory *snipedirectory.Snapshot, service string, q *Request, patience time.Duration, tried []string) (Choice, error) {
-	a, fresh := q.Adapter, untried(tried)
+// chooseEngine returns an engine that holds the request's adapter, or has an engine load it.
+func (c *Chooser) chooseEngine(ctx context.Context, directory *snipedirectory.Snapshot, service string, q *Request, maxWait time.Duration, tried []string) (Choice, error) {
+	a, untried := q.Adapter, notTried(tried)
 	all := directory.Service(service)
-	holders := c.mayHold(directory, service, a)
-	if few := sample(holders, q.ID); a.Name == "" && c.held(few, fresh) > 0 {
-		holders = few
+	holders := c.possibleHolders(directory, service, a)
+	if sampled := sample(holders, q.ID); a.Name == "" && c.countUsable(sampled, untried) > 0 {
+		holders = sampled
 	}
 	required := c.Versions.Required(a, versionGrace)
 	holds := func(u *snipedirectory.Upstream) bool {
 		version, ok := c.Residency.Holds(u, a)
 		return ok && version >= required
 	}
-	held := c.held(holders, holds)
-	may := func(u *snipedirectory.Upstream) bool { return holds(u) && fresh(u) }
-	u := c.Balancer.Pick(holders, may, c.memoryCost(holders, may, q))
+	held := c.countUsable(holders, holds)
+	eligible := func(u *snipedirectory.Upstream) bool { return holds(u) && untried(u) }
+	u := c.Balancer.Pick(holders, eligible, c.prefixCost(holders, eligible, q))
 	if u != nil && (c.Balancer.Usable(u) || held > 0) {
-		choice := c.choice(u, a)
-		if a.Name != "" && c.crowded(u) {
-			if other, ok := c.relieve(ctx, all, a, required, tried, u); ok {
+		choice := c.newChoice(u, a)
+		if a.Name != "" && c.overloaded(u) {
+			if other, ok := c.offload(ctx, all, a, required, tried, u); ok {
 				choice = other
 			}
 		}
@@ -136,43 +137,45 @@
 		return choice, nil
 	}
 	if a.Name == "" {
-		return Choice{}, c.nowhere(all, none("no engine holds the model"))
+		return Choice{}, c.refusalError(all, noUpstreamError("no engine holds the model"))
 	}
-	return c.load(ctx, all, a, required, patience, fresh)
+	return c.load(ctx, all, a, required, maxWait, untried)
 }
 
-// mayHold returns the engines of a service that may hold an adapter; all of them for a base
-// model.
-func (c *Chooser) mayHold(directory *snipedirectory.Snapshot, service string, a snipecatalog.Adapter) []*snipedirectory.Upstream {
+// possibleHolders returns the engines of a service that may hold an adapter, or all of its engines
+// for a base model.
+func (c *Chooser) possibleHolders(directory *snipedirectory.Snapshot, service string, a snipecatalog.Adapter) []*snipedirectory.Upstream {
 	if a.Name == "" {
 		return directory.Service(service)
 	}
-	return resolve(directory, service, c.Residency.Holders(a, make([]string, 0, usualHolders)))
+	return enginesByID(directory, service, c.Residency.Holders(a, make([]string, 0, typicalHolders)))
 }
 
-// sampled is how many engines are looked at for a request that all of them could serve: many
-// instances know the same loads, and would all choose the same idle engine.
-const sampled = 4
+// sampleSize is the number of engines compared for a request that any engine could serve. Many
+// instances observe the same loads, and without sampling all of them would choose the same idle
+// engine.
+const sampleSize = 4
 
-// sample returns a few engines, others for each request.
+// sample returns up to sampleSize engines, selected by the hash of the request's identifier.
 func sample(all []*snipedirectory.Upstream, id string) []*snipedirectory.Upstream {
-	if len(all) <= sampled {
+	if len(all) <= sampleSize {
 		return all
 	}
 	key := sniperoute.Hash(id)
-	few := make([]*snipedirectory.Upstream, 0, sampled)
-	for n := range uint64(sampled) {
-		few = append(few, all[sniperoute.Score(key, n)%uint64(len(all))])
+	sampled := make([]*snipedirectory.Upstream, 0, sampleSize)
+	for n := range uint64(sampleSize) {
+		sampled = append(sampled, all[sniperoute.Score(key, n)%uint64(len(all))])
 	}
-	return few
+	return sampled
 }
 
-// usualHolders is the number of engines for whose names room is made at once: few adapters
-// are on more.
-const usualHolders = 8
+// typicalHolders is the initial capacity for the list of an adapter's holders; few adapters are
+// held by more engines.
+const typicalHolders = 8
 
-// resolve returns the engines of a service by their identifiers, without those that are gone.
-func resolve(directory *snipedirectory.Snapshot, service string, ids []string) []*snipedirectory.Upstream {
+// enginesByID returns the engines of a service with the given identifiers, and omits those no
+// longer in the directory.
+func enginesByID(directory *snipedirectory.Snapshot, service string, ids []string) []*snipedirectory.Upstream {
 	engines := make([]*snipedirectory.Upstream, 0, len(ids))
 	for _, id := range ids {
 		if u := directory.ByID(id); u != nil && u.Service == service {
@@ -182,20 +185,20 @@
 	return engines
 }
 
-// held returns how many usable engines hold an adapter.
-func (c *Chooser) held(all []*snipedirectory.Upstream, holds snipebalance.Filter) int {
+// countUsable returns the number of usable upstreams that pass the filter.
+func (c *Chooser) countUsable(all []*snipedirectory.Upstream, filter snipebalance.Filter) int {
 	n := 0
 	for _, u := range all {
-		if holds(u) && c.Balancer.Usable(u) {
+		if filter(u) && c.Balancer.Usable(u) {
 			n++
 		}
 	}
 	return n
 }
 
-// choice returns an engine with the version to expect of it. Where no version was
-// ever announced all engines hold the same one.
-func (c *Chooser) choice(u *snipedirectory.Upstream, a snipecatalog.Adapter) Choice {
+// newChoice returns a choice of an engine with the adapter version to expect there. If no version
+// of the adapter was ever announced, all engines hold the same one and any is accepted.
+func (c *Chooser) newChoice(u *snipedirectory.Upstream, a snipecatalog.Adapter) Choice {
 	choice := Choice{Upstream: u}
 	if _, announced := c.Versions.Newest(a); announced {
 		choice.Version, _ = c.Residency.Holds(u, a)
--- a/snipegateway/choose_bench_test.go
+++ b/snipegateway/choose_bench_test.go
@@ -8,16 +8,16 @@
 	"snipepitch.example/snipepitch/snipegateway"
 )
 
-// BenchmarkChoose measures the choice for a request whose adapter is resident on two engines, at
-// today's sizes and at those to build towards.
+// BenchmarkChoose measures the choice for a request whose adapter is resident on two engines, with
+// 9, 140 and 600 engines.
 func BenchmarkChoose(b *testing.B) {
-	const places = 20
+	const slots = 20
 	for _, engines := range []int{9, 140, 600} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			c := newChooser(&owners{}, engines)
+			c := newChooser(&fakeOwners{}, engines)
 			for n := range engines {
-				for place := range places {
-					a := snipecatalog.Adapter{Model: "base", Name: fmt.Sprint("a", n*places/2+place)}
+				for slot := range slots {
+					a := snipecatalog.Adapter{Model: "base", Name: fmt.Sprint("a", n*slots/2+slot)}
 					c.Residency.Tell(fmt.Sprint("e", n), a, 1)
 				}
 			}
@@ -32,15 +32,15 @@
 	}
 }
 
-// BenchmarkLoadOrder measures the choice of the first engines to ask for an adapter that none
+// BenchmarkLoadOrder measures the selection of the first engines to ask for an adapter that none
 // holds.
 func BenchmarkLoadOrder(b *testing.B) {
 	for _, engines := range []int{9, 600, 3000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
-			c := newChooser(&owners{}, engines)
+			c := newChooser(&fakeOwners{}, engines)
 			b.ReportAllocs()
 			for b.Loop() {
-				c.BestFirstForTest(service, request.Adapter, 3)
+				c.LoadCandidatesForTest(service, request.Adapter, 3)
 			}
 		})
 	}
--- a/snipegateway/choose_test.go
+++ b/snipegateway/choose_test.go
@@ -22,35 +22,35 @@
 
 const service = "engines"
 
-// owners stands for the engines' owners: each load takes its time, engines that are
-// busy refuse.
-type owners struct {
-	lock     sync.Mutex
-	asked    []string
-	busy     map[string]time.Duration
-	canceled int
-	// failing are the engines that fail, and how.
-	failing map[string]error
-	// slow is how much longer than expected each load takes.
-	slow time.Duration
+// fakeOwners simulates the engines' owners: each load takes some time, and busy engines refuse
+// loads that would take too long.
+type fakeOwners struct {
+	lock      sync.Mutex
+	requested []string
+	busy      map[string]time.Duration
+	canceled  int
+	// failures maps engines to the errors of their load requests.
+	failures map[string]error
+	// extraTime is added to the expected time of each load.
+	extraTime time.Duration
 }
 
-// loadTakes is the time of a load at an engine that has nothing else to do.
-const loadTakes = 250 * time.Millisecond
+// loadTime is the time of a load on an otherwise idle engine.
+const loadTime = 250 * time.Millisecond
 
-func (o *owners) ensure(ctx context.Context, u *snipedirectory.Upstream, _ snipecatalog.Adapter, version int64, patience time.Duration) (int64, error) {
+func (o *fakeOwners) ensure(ctx context.Context, u *snipedirectory.Upstream, _ snipecatalog.Adapter, version int64, maxWait time.Duration) (int64, error) {
 	o.lock.Lock()
-	o.asked = append(o.asked, u.ID)
-	wait, failure := o.busy[u.ID], o.failing[u.ID]
+	o.requested = append(o.requested, u.ID)
+	wait, failure := o.busy[u.ID], o.failures[u.ID]
 	o.lock.Unlock()
 	if failure != nil {
 		return 0, failure
 	}
-	if wait > patience {
+	if wait > maxWait {
 		return 0, &snipeadapter.BusyError{Wait: wait}
 	}
 	select {
-	case <-time.After(wait + loadTakes + o.slow):
+	case <-time.After(wait + loadTime + o.extraTime):
 		return max(version, 1), nil
 	case <-ctx.Done():
 		o.lock.Lock()
@@ -60,14 +60,14 @@
 	}
 }
 
-// questions returns how often owners were asked.
-func (o *owners) questions() int {
+// requestCount returns the number of load requests.
+func (o *fakeOwners) requestCount() int {
 	o.lock.Lock()
 	defer o.lock.Unlock()
-	return len(o.asked)
+	return len(o.requested)
 }
 
-func newChooser(o *owners, engines int) *snipegateway.Chooser {
+func newChooser(o *fakeOwners, engines int) *snipegateway.Chooser {
 	c := &snipegateway.Chooser{
 		Directory: &snipedirectory.Keeper{}, Balancer: &snipebalance.Balancer{},
 		Residency: &snipeadapter.Residency{}, Signals: &snipesignal.Book{}, Versions: &snipecatalog.Keeper{},
@@ -88,11 +88,11 @@
 
 const objective = 600 * time.Millisecond
 
-// TestOneLoadForAll answers the pattern of a cold start: many callers ask for one
-// adapter at once. One load serves them all, and the next ones find it.
+// TestOneLoadForAll guards against one load for each of many concurrent requests for an adapter
+// that no engine holds: one load must serve all of them, and later requests must find it.
 func TestOneLoadForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &owners{}
+		o := &fakeOwners{}
 		c := newChooser(o, 12)
 		var all sync.WaitGroup
 		for range 10 {
@@ -103,41 +103,41 @@
 			})
 		}
 		all.Wait()
-		must.Len(t, 1, o.asked)
+		must.Len(t, 1, o.requested)
 		choice, err := c.Choose(t.Context(), service, request, nil, objective)
 		must.NoError(t, err)
-		must.Eq(t, o.asked[0], choice.Upstream.ID)
+		must.Eq(t, o.requested[0], choice.Upstream.ID)
 		must.Eq(t, 0, choice.Waited)
 	})
 }
 
-// TestSecondInRank answers the pattern of uneven load: the adapter's first engine has
-// more loads queued than it does at once, another one has not.
+// TestSecondInRank guards against waiting for the home engine when it has more loads queued than it
+// runs at once and another engine has not: the load must go to the next engine in rank.
 func TestSecondInRank(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &owners{}
+		o := &fakeOwners{}
 		c := newChooser(o, 12)
 		first, err := c.Choose(t.Context(), service, request, nil, objective)
 		must.NoError(t, err)
 		home := first.Upstream.ID
 		c = newChooser(o, 12)
-		o.asked, o.busy = nil, map[string]time.Duration{home: 500 * time.Millisecond}
+		o.requested, o.busy = nil, map[string]time.Duration{home: 500 * time.Millisecond}
 		choice, err := c.Choose(t.Context(), service, request, nil, objective)
 		must.NoError(t, err)
 		must.NotEq(t, home, choice.Upstream.ID)
-		must.Eq(t, []string{home, choice.Upstream.ID}, o.asked)
+		must.Eq(t, []string{home, choice.Upstream.ID}, o.requested)
 	})
 }
 
-// TestDeadEngines answers the pattern of a crash that takes a quarter of the engines:
-// those in rank that do not answer are passed over, and one that takes no connection is
-// not asked again for a while.
+// TestDeadEngines guards against requests that fail after a crash of a quarter of the engines:
+// engines that do not answer are skipped, and one that accepts no connection is not asked again for
+// a while.
 func TestDeadEngines(t *testing.T) {
 	const count = 12
 	tests := map[string]struct {
-		dead      int
-		failure   error
-		questions int // of a second request for another adapter
+		dead     int
+		failure  error
+		requests int // of a second request for another adapter
 	}{
 		"NoConnection": {5, snipeadapter.ErrUnreached, 1},
 		"NoOwner":      {5, snipeadapter.ErrNotOwner, 6},
@@ -145,30 +145,30 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := &owners{failing: map[string]error{}}
+				o := &fakeOwners{failures: map[string]error{}}
 				c := newChooser(o, count)
 				for _, u := range c.RankedForTest(service, request.Adapter)[:tt.dead] {
-					o.failing[u] = tt.failure
+					o.failures[u] = tt.failure
 				}
 				_, err := c.Choose(t.Context(), service, request, nil, objective)
 				must.NoError(t, err)
-				must.Eq(t, tt.dead+1, o.questions())
-				c.Residency.Forget(o.asked[tt.dead])
+				must.Eq(t, tt.dead+1, o.requestCount())
+				c.Residency.Forget(o.requested[tt.dead])
 				_, err = c.Choose(t.Context(), service, request, nil, objective)
 				must.NoError(t, err)
-				must.Eq(t, tt.questions, o.questions()-tt.dead-1)
+				must.Eq(t, tt.requests, o.requestCount()-tt.dead-1)
 			})
 		})
 	}
 }
 
-// TestOldVersionEnds: a request may wait for seconds in an engine's queue before it
-// begins, so one is sent to an engine with the former version only for a short while
-// after the announcement.
+// TestOldVersionEnds guards against requests that begin on an adapter's previous version long after
+// the announcement of the new one. A request may wait for seconds in an engine's queue before it
+// begins, so the previous version may be chosen only for a short time.
 func TestOldVersionEnds(t *testing.T) {
 	const begunBy, queued, learned = 5 * time.Second, 1800 * time.Millisecond, 1500 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		o := &owners{}
+		o := &fakeOwners{}
 		c := newChooser(o, 12)
 		_, err := c.Choose(t.Context(), service, request, nil, objective)
 		must.NoError(t, err)
@@ -183,11 +183,11 @@
 	})
 }
 
-// TestRefusedAtOnce answers the pattern of a storm: no engine can load the adapter
-// within the objective. The caller hears at once when there is room.
+// TestRefusedAtOnce guards against requests that wait although no engine can load their adapter
+// within the latency target: they are refused at once, with the time when an engine has capacity.
 func TestRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &owners{busy: map[string]time.Duration{}}
+		o := &fakeOwners{busy: map[string]time.Duration{}}
 		for n := range 12 {
 			o.busy[fmt.Sprint("e", n)] = 2 * time.Second
 		}
@@ -200,10 +200,11 @@
 	})
 }
 
-// TestQuestionTakenBack: when all callers have left, the owner is told.
+// TestQuestionTakenBack guards against loads that go on although all requests waiting for them have
+// ended: the load request must be canceled.
 func TestQuestionTakenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &owners{}
+		o := &fakeOwners{}
 		c := newChooser(o, 3)
 		var all sync.WaitGroup
 		for n := range 3 {
@@ -220,8 +221,9 @@
 	})
 }
 
-// TestReplicas: an adapter that all instances together use often comes onto more
-// engines, a rare one does not. Those that report its use learn where else it is.
+// TestReplicas guards against too few replicas of an adapter that all instances together use often,
+// and against replicas of a rarely used one. The new replicas are reported to other instances for a
+// short time.
 func TestReplicas(t *testing.T) {
 	tests := map[string]struct {
 		perSecond float64
@@ -230,17 +232,17 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := &owners{}
+				o := &fakeOwners{}
 				c := newChooser(o, 12)
 				choice, err := c.Choose(t.Context(), service, request, nil, objective)
 				must.NoError(t, err)
 				home := choice.Upstream
 				for range 10 {
-					share := tt.perSecond / float64(o.questions())
+					share := tt.perSecond / float64(o.requestCount())
 					c.Spread(home, map[snipecatalog.Adapter]float64{request.Adapter: share})
 					time.Sleep(300 * time.Millisecond)
 				}
-				must.Eq(t, tt.want, o.questions())
+				must.Eq(t, tt.want, o.requestCount())
 				must.Len(t, tt.want-1, c.Replicas(request.Adapter, home.ID))
 				time.Sleep(4 * time.Second)
 				must.SliceEmpty(t, c.Replicas(request.Adapter, home.ID))
--- a/snipegateway/crowd.go
+++ b/snipegateway/crowd.go
@@ -14,46 +14,46 @@
 )
 
 const (
-	// reliefShare is the share of a crowded engine's load that another one may have to
-	// relieve it.
-	reliefShare = 0.5
-	// reliefPatience is how long the load at another engine may be expected to take,
-	// reliefLimit how long it is waited for.
-	reliefPatience = 300 * time.Millisecond
-	reliefLimit    = 450 * time.Millisecond
+	// maxOffloadShare bounds the load of an engine that takes requests from an overloaded engine,
+	// as a share of the overloaded engine's load.
+	maxOffloadShare = 0.5
+	// offloadMaxWait is the longest expected time for the load on another engine; offloadTimeout is
+	// how long a request waits for that load.
+	offloadMaxWait = 300 * time.Millisecond
+	offloadTimeout = 450 * time.Millisecond
 )
 
-// crowded reports whether an engine has so much to do, or takes so few requests, that one more is
-// better served by another one, even if that has to load the adapter first.
-func (c *Chooser) crowded(u *snipedirectory.Upstream) bool {
-	return c.Signals.Limited(u.ID) || c.Balancer.Busy(u) >= c.paces.of(u.Service).crowding()
+// overloaded reports whether an engine has so many requests, or announced a limit on them, that
+// another engine serves one more request better, even if that engine has to load the adapter first.
+func (c *Chooser) overloaded(u *snipedirectory.Upstream) bool {
+	return c.Signals.Limited(u.ID) || c.Balancer.Busy(u) >= c.estimators.forService(u.Service).overloadThreshold()
 }
 
-// bestFirst passes the engines in the order in which they should be asked to load an
-// adapter: those that are crowded last, and of the others first those that held it lately.
-// These bring it back at once and leave the weight store, which all engines share, to what no
-// engine has. Of many engines mostly the first few are asked, so that the others are not put
-// in order.
-func (c *Chooser) bestFirst(all []*snipedirectory.Upstream, a snipecatalog.Adapter) iter.Seq[*snipedirectory.Upstream] {
+// loadCandidates yields engines in the order in which they should be asked to load an adapter:
+// first the engines that held it recently, then the others, and the overloaded engines last. An
+// engine that held the adapter reloads it at once, which leaves the weight store, shared by all
+// engines, to adapters that no engine has. Usually only the first few of many engines are asked, so
+// the others are not sorted.
+func (c *Chooser) loadCandidates(all []*snipedirectory.Upstream, a snipecatalog.Adapter) iter.Seq[*snipedirectory.Upstream] {
 	return func(yield func(*snipedirectory.Upstream) bool) {
-		formers := c.formers(all, a)
-		for _, u := range formers {
+		previous := c.previousHolders(all, a)
+		for _, u := range previous {
 			if !yield(u) {
 				return
 			}
 		}
-		var crowded []*snipedirectory.Upstream
+		var overloaded []*snipedirectory.Upstream
 		for r := newRanking(all, a); r.Len() > 0; {
 			u := r.next()
 			switch {
-			case slices.Contains(formers, u):
-			case c.crowded(u):
-				crowded = append(crowded, u)
+			case slices.Contains(previous, u):
+			case c.overloaded(u):
+				overloaded = append(overloaded, u)
 			case !yield(u):
 				return
 			}
 		}
-		for _, u := range crowded {
+		for _, u := range overloaded {
 			if !yield(u) {
 				return
 			}
@@ -61,15 +61,15 @@
 	}
 }
 
-// formers returns the engines that held an adapter lately and are not crowded, the first in
-// rank first.
-func (c *Chooser) formers(all []*snipedirectory.Upstream, a snipecatalog.Adapter) []*snipedirectory.Upstream {
+// previousHolders returns the engines that held an adapter recently and are not overloaded, ordered
+// by rank.
+func (c *Chooser) previousHolders(all []*snipedirectory.Upstream, a snipecatalog.Adapter) []*snipedirectory.Upstream {
 	var engines []*snipedirectory.Upstream
 	for _, id := range c.Residency.Formers(a, nil) {
 		n, found := slices.BinarySearchFunc(all, id, func(u *snipedirectory.Upstream, id string) int {
 			return strings.Compare(u.ID, id)
 		})
-		if found && c.Residency.Formerly(id, a) && !c.crowded(all[n]) {
+		if found && c.Residency.Formerly(id, a) && !c.overloaded(all[n]) {
 			engines = append(engines, all[n])
 		}
 	}
@@ -80,28 +80,29 @@
 	return engines
 }
 
-// relieve has another engine load an adapter of which the least loaded holder is crowded,
-// one that has much less to do. It is false where none can do it soon.
-func (c *Chooser) relieve(ctx context.Context, all []*snipedirectory.Upstream, a snipecatalog.Adapter, required int64, tried []string, holder *snipedirectory.Upstream) (Choice, bool) {
-	begun := time.Now()
-	most := reliefShare * c.Balancer.Load(holder)
-	ctx, cancel := context.WithTimeout(ctx, reliefLimit)
+// offload has another engine load an adapter whose least loaded holder is overloaded. Only engines
+// with at most maxOffloadShare of the holder's load are asked. It returns false if none of them
+// loads the adapter in time.
+func (c *Chooser) offload(ctx context.Context, all []*snipedirectory.Upstream, a snipecatalog.Adapter, required int64, tried []string, holder *snipedirectory.Upstream) (Choice, bool) {
+	start := time.Now()
+	maxLoad := maxOffloadShare * c.Balancer.Load(holder)
+	ctx, cancel := context.WithTimeout(ctx, offloadTimeout)
 	defer cancel()
 	tries := 0
-	for u := range c.bestFirst(all, a) {
+	for u := range c.loadCandidates(all, a) {
 		version, held := c.Residency.Holds(u, a)
 		switch {
 		case held && version >= required, slices.Contains(tried, u.ID), !c.loadable(u, a):
 			continue
-		case c.crowded(u), c.Balancer.Load(u) > most:
+		case c.overloaded(u), c.Balancer.Load(u) > maxLoad:
 			continue
 		}
-		if tries++; tries > loadTries {
+		if tries++; tries > maxLoadTries {
 			return Choice{}, false
 		}
-		if err := c.ask(ctx, u, a, required, reliefPatience); err == nil {
-			choice := c.choice(u, a)
-			choice.Waited = time.Since(begun)
+		if err := c.requestLoad(ctx, u, a, required, offloadMaxWait); err == nil {
+			choice := c.newChoice(u, a)
+			choice.Waited = time.Since(start)
 			return choice, true
 		}
 		if ctx.Err() != nil {
--- a/snipegateway/crowd_test.go
+++ b/snipegateway/crowd_test.go
@@ -9,46 +9,46 @@
 	"github.com/shoenig/test/must"
 )
 
-// crowd is the weight of the requests at an engine that has more of them than slots, as long as
-// nothing was observed.
-const crowd = 66
+// overloadWeight is the weight of requests that overloads an engine, which has 64 slots, before
+// anything is observed.
+const overloadWeight = 66
 
-// TestCrowded answers the pattern of an adapter that many ask for at once while one engine
-// holds it, or of one whose first engine in rank is slow: a request goes to an engine that
-// is not crowded, after a load, and to the crowded one only where nothing else helps.
+// TestCrowded guards against requests that queue at an overloaded engine while others are idle,
+// because many requests for an adapter arrive at once or its home engine is slow. A request goes to
+// an engine that is not overloaded, after a load, and to an overloaded one only if no other helps.
 func TestCrowded(t *testing.T) {
 	const count = 6
 	home := firstInRank(t, count)
 	tests := map[string]struct {
-		held    bool // by home
-		crowded []string
-		load    float64 // of all others
-		busy    map[string]time.Duration
-		moved   bool
-		waited  time.Duration
+		homeHolds  bool // by the home engine
+		overloaded []string
+		otherLoad  float64 // of every other engine
+		busy       map[string]time.Duration
+		moved      bool
+		waited     time.Duration
 	}{
-		"HolderIsNot":      {held: true},
-		"HolderIs":         {held: true, crowded: []string{home}, moved: true, waited: loadTakes},
-		"AllAre":           {held: true, crowded: engineNames(count)},
-		"OthersAreHalf":    {held: true, crowded: []string{home}, load: 34},
-		"OthersHaveNoTime": {held: true, crowded: []string{home}, busy: busyEngines(count)},
-		"HomeIsNot":        {waited: loadTakes},
-		"HomeIs":           {crowded: []string{home}, moved: true, waited: loadTakes},
-		"AllHomesAre":      {crowded: engineNames(count), waited: loadTakes},
+		"HolderIsNot":      {homeHolds: true},
+		"HolderIs":         {homeHolds: true, overloaded: []string{home}, moved: true, waited: loadTime},
+		"AllAre":           {homeHolds: true, overloaded: engineNames(count)},
+		"OthersAreHalf":    {homeHolds: true, overloaded: []string{home}, otherLoad: 34},
+		"OthersHaveNoTime": {homeHolds: true, overloaded: []string{home}, busy: busyEngines(count)},
+		"HomeIsNot":        {waited: loadTime},
+		"HomeIs":           {overloaded: []string{home}, moved: true, waited: loadTime},
+		"AllHomesAre":      {overloaded: engineNames(count), waited: loadTime},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := &owners{busy: tt.busy}
+				o := &fakeOwners{busy: tt.busy}
 				c := newChooser(o, count)
-				if tt.held {
+				if tt.homeHolds {
 					c.Residency.Tell(home, request.Adapter, 1)
 				}
 				for _, id := range engineNames(count) {
-					c.Balancer.Begin(id, tt.load)
+					c.Balancer.Begin(id, tt.otherLoad)
 				}
-				for _, id := range tt.crowded {
-					c.Balancer.Begin(id, crowd-tt.load)
+				for _, id := range tt.overloaded {
+					c.Balancer.Begin(id, overloadWeight-tt.otherLoad)
 				}
 				choice, err := c.Choose(t.Context(), service, request, nil, objective)
 				must.NoError(t, err)
@@ -59,15 +59,15 @@
 	}
 }
 
-// TestSlowRelief: a load that takes longer than expected holds a request up for less than
-// half a second.
+// TestSlowRelief guards against a load on another engine that takes longer than expected and delays
+// a request by half a second or more.
 func TestSlowRelief(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		home := "e0"
-		o := &owners{busy: map[string]time.Duration{}, slow: 3 * time.Second}
+		o := &fakeOwners{busy: map[string]time.Duration{}, extraTime: 3 * time.Second}
 		c := newChooser(o, 2)
 		c.Residency.Tell(home, request.Adapter, 1)
-		c.Balancer.Begin(home, crowd)
+		c.Balancer.Begin(home, overloadWeight)
 		begun := time.Now()
 		choice, err := c.Choose(t.Context(), service, request, nil, objective)
 		must.NoError(t, err)
@@ -76,10 +76,10 @@
 	})
 }
 
-// firstInRank returns the engine that loads the request's adapter when all are idle.
+// firstInRank returns the engine that loads the request's adapter when all engines are idle.
 func firstInRank(t *testing.T, count int) (home string) {
 	synctest.Test(t, func(t *testing.T) {
-		choice, err := newChooser(&owners{}, count).Choose(t.Context(), service, request, nil, objective)
+		choice, err := newChooser(&fakeOwners{}, count).Choose(t.Context(), service, request, nil, objective)
 		must.NoError(t, err)
 		home = choice.Upstream.ID
 	})
@@ -94,7 +94,8 @@
 	return all
 }
 
-// busyEngines are engines whose owners have loads queued for longer than anybody waits.
+// busyEngines returns a map in which the owners of all engines have loads queued for longer than
+// any request waits.
 func busyEngines(count int) map[string]time.Duration {
 	busy := make(map[string]time.Duration)
 	for _, id := range engineNames(count) {
--- a/snipegateway/end.go
+++ b/snipegateway/end.go
@@ -14,36 +14,38 @@
 	"snipepitch.example/snipepitch/snipemeter"
 )
 
-// giveUp returns the final failure. One that nothing may have run says so, with
-// the time to come back: a queue that was full has room again within the objective.
-func (c *call) giveUp(err error) error {
-	if c.spare != nil && !c.begun {
-		return c.deliver(c.spare)
+// finalError returns the error that ends the request, or delivers the fallback answer if there is
+// one. If no upstream ran the request, the error states so and carries a retry time: an upstream
+// that had no free slot has one again within the latency target.
+func (c *call) finalError(err error) error {
+	if c.fallback != nil && !c.answerStarted {
+		return c.writeBuffered(c.fallback)
 	}
 	f := snipeerror.From(err)
-	if c.ran > 0 {
+	if c.mayHaveRun > 0 {
 		f = snipeerror.New(f.Kind, snipeerror.MayHaveRun, f.Reason)
 	}
-	// What upstreams have said themselves is truer than the time in which a queue has room again.
-	said := errors.Is(f, snipeerror.ErrOverloaded) && f.RetryAfter > 0
-	if f.Outcome == snipeerror.NotRun && !said && (f.RetryAfter == 0 || c.full > 0) {
-		f = f.After(c.comeBack())
+	// A retry time from the upstreams' own signals is more accurate than one derived from the
+	// target.
+	stated := errors.Is(f, snipeerror.ErrOverloaded) && f.RetryAfter > 0
+	if f.Outcome == snipeerror.NotRun && !stated && (f.RetryAfter == 0 || c.fullUpstreams > 0) {
+		f = f.After(c.retryAfter())
 	}
 	return f
 }
 
-// comeBack is when a refused request is worth sending again: after a share of its
-// objective, spread so that those refused together do not return together.
-func (c *call) comeBack() time.Duration {
+// retryAfter returns when a caller should retry a refused request: after half to all of the latency
+// target, with jitter so that callers refused together do not return together.
+func (c *call) retryAfter() time.Duration {
 	target := max(c.route.Target, 200*time.Millisecond)
-	return target/2 + time.Duration(c.spread()*float64(target)/2)
+	return target/2 + time.Duration(c.jitter()*float64(target)/2)
 }
 
-// refuse writes a failure of this instance's own.
-func (c *call) refuse(f *snipeerror.CallError) {
+// writeError writes an error of this instance to the caller.
+func (c *call) writeError(f *snipeerror.CallError) {
 	status := f.Status()
 	if f.Outcome == snipeerror.MayHaveRun {
-		status = afterRun(status)
+		status = statusMayHaveRun(status)
 	} else if status == http.StatusGatewayTimeout || status == http.StatusBadGateway {
 		status = http.StatusServiceUnavailable
 	}
@@ -57,13 +59,13 @@
 	}
 	c.status = status
 	c.writer.WriteHeader(status)
-	// The caller may have gone away; there is nobody to tell.
+	// The write error is ignored: the caller may have disconnected.
 	_, _ = c.writer.Write(f.Encode(c.ID))
 }
 
-// afterRun returns the status for a request that may have run: never one that
-// promises that it has not.
-func afterRun(status int) int {
+// statusMayHaveRun returns the status for a request that may have run, which must not be a status
+// that implies that it has not.
+func statusMayHaveRun(status int) int {
 	switch status {
 	case http.StatusGatewayTimeout:
 		return status
@@ -72,8 +74,8 @@
 	}
 }
 
-// tell logs the end of the request and counts it.
-func (c *call) tell(err error) {
+// recordEnd logs the end of the request and counts it.
+func (c *call) recordEnd(err error) {
 	event := snipelog.RequestEnded
 	outcome := "Answered"
 	switch {
@@ -86,8 +88,8 @@
 	}
 	took := time.Since(c.arrived)
 	fields := snipelog.Fields{
-		requestName: c.ID, "Outcome": outcome, "Status": c.status, "Milliseconds": took.Milliseconds(),
-		"Tried": slices.Clone(c.tried), "Ran": c.ran,
+		requestField: c.ID, "Outcome": outcome, "Status": c.status, "Milliseconds": took.Milliseconds(),
+		"Tried": slices.Clone(c.tried), "Ran": c.mayHaveRun,
 	}
 	name := "none"
 	if c.route != nil {
@@ -99,7 +101,7 @@
 		fields["Busy"], fields["Holders"] = math.Round(100*c.busy)/100, c.holders
 	}
 	if c.workspace != nil {
-		fields["Workspace"], fields["Asked"], fields["Units"] = c.workspace.Name, c.asked, c.units
+		fields["Workspace"], fields["Asked"], fields["Units"] = c.workspace.Name, c.cost, c.units
 	}
 	if c.Adapter.Model != "" {
 		fields["Adapter"], fields["Version"] = c.Adapter.Name, c.version
@@ -124,7 +126,7 @@
 	c.gateway.Log.Log(event, fields)
 }
 
-// directoryAge is how old the knowledge of upstreams is.
+// directoryAge returns the time since the directory of upstreams was read.
 func (c *call) directoryAge() time.Duration {
 	s := c.gateway.Chooser.Directory.Snapshot()
 	if s == nil {
--- a/snipegateway/former_test.go
+++ b/snipegateway/former_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestFormerFirst answers the pattern of a long tail of adapters that do not all fit: most that
-// are asked for again were evicted a while ago, and the engine that held one brings it back in a
-// tenth of the time, without the weight store.
+// TestFormerFirst guards against avoidable loads from the weight store. When not all adapters fit
+// on the engines, most adapters requested again were evicted some time before, and the engine that
+// held one reloads it in a tenth of the time without the weight store.
 func TestFormerFirst(t *testing.T) {
 	const count = 6
 	home := firstInRank(t, count)
@@ -19,29 +19,29 @@
 		other = "e1"
 	}
 	tests := map[string]struct {
-		former  []string
-		crowded []string
-		busy    map[string]time.Duration
-		want    string
+		previous   []string
+		overloaded []string
+		busy       map[string]time.Duration
+		want       string
 	}{
 		"Nowhere":       {want: home},
-		"Elsewhere":     {former: []string{other}, want: other},
-		"AtHome":        {former: []string{home}, want: home},
-		"Both":          {former: []string{home, other}, want: home},
-		"CrowdedThere":  {former: []string{other}, crowded: []string{other}, want: home},
-		"NoTimeThere":   {former: []string{other}, busy: map[string]time.Duration{other: time.Minute}, want: home},
-		"CrowdedAtHome": {former: []string{other}, crowded: []string{home}, want: other},
+		"Elsewhere":     {previous: []string{other}, want: other},
+		"AtHome":        {previous: []string{home}, want: home},
+		"Both":          {previous: []string{home, other}, want: home},
+		"CrowdedThere":  {previous: []string{other}, overloaded: []string{other}, want: home},
+		"NoTimeThere":   {previous: []string{other}, busy: map[string]time.Duration{other: time.Minute}, want: home},
+		"CrowdedAtHome": {previous: []string{other}, overloaded: []string{home}, want: other},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newChooser(&owners{busy: tt.busy}, count)
-				for _, id := range tt.former {
+				c := newChooser(&fakeOwners{busy: tt.busy}, count)
+				for _, id := range tt.previous {
 					c.Residency.Tell(id, request.Adapter, 1)
 					c.Residency.Deny(id, request.Adapter)
 				}
-				for _, id := range tt.crowded {
-					c.Balancer.Begin(id, crowd)
+				for _, id := range tt.overloaded {
+					c.Balancer.Begin(id, overloadWeight)
 				}
 				choice, err := c.Choose(t.Context(), service, request, nil, objective)
 				must.NoError(t, err)
--- a/snipegateway/limit_test.go
+++ b/snipegateway/limit_test.go
@@ -16,24 +16,25 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// nameLimit has upstreams say that they take so many requests a second.
-func nameLimit(b *snipesignal.Book, perSecond float64, upstreams ...string) {
+// announceLimit records a limit in requests per second for each of the upstreams.
+func announceLimit(b *snipesignal.Book, perSecond float64, upstreams ...string) {
 	for _, id := range upstreams {
 		b.Hear(id, time.Now(), snipesignal.Signal{Limit: perSecond, Limited: true})
 	}
 }
 
-// TestLimitedIsNoChoice guards against an upstream whose limit is reached as the last resort, where
-// the others are suspect or do not hold the adapter: the load is ordered elsewhere.
+// TestLimitedIsNoChoice guards against choosing an upstream whose limit is reached as the last
+// resort when the others are suspect or do not hold the adapter: the adapter must be loaded on
+// another engine.
 func TestLimitedIsNoChoice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := &owners{}
+		o := &fakeOwners{}
 		c := newChooser(o, 3)
 		c.Balancer.Open = c.Signals.Open
 		first, err := c.Choose(t.Context(), service, request, nil, objective)
 		must.NoError(t, err)
 		home := first.Upstream.ID
-		nameLimit(c.Signals, 1, home)
+		announceLimit(c.Signals, 1, home)
 		for _, id := range []string{"e0", "e1", "e2"} {
 			if id != home {
 				c.Balancer.Unreached(id)
@@ -52,8 +53,8 @@
 	})
 }
 
-// ask sends a request through a gateway.
-func ask(g *snipegateway.Gateway) *httptest.ResponseRecorder {
+// sendRequest sends a request through a gateway and returns the response.
+func sendRequest(g *snipegateway.Gateway) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "/x/", http.NoBody)
 	r.Host = "calls.example"
 	w := httptest.NewRecorder()
@@ -61,30 +62,31 @@
 	return w
 }
 
-// TestAllLimited guards against requests that wait, or reach an upstream, although the limits of all
-// are reached: they are refused at once, and told to come back one after the other.
+// TestAllLimited guards against requests that wait, or reach an upstream, although the limits of
+// all upstreams are reached: they are refused at once, with different retry times.
 func TestAllLimited(t *testing.T) {
-	c := newChooser(&owners{}, 2)
+	c := newChooser(&fakeOwners{}, 2)
 	g, upstream := newGateway(t, c, nil, nil)
-	nameLimit(c.Signals, 1, "e0", "e1")
-	told := map[string]int{}
+	announceLimit(c.Signals, 1, "e0", "e1")
+	retryAfter := map[string]int{}
 	for range 6 {
-		w := ask(g)
+		w := sendRequest(g)
 		must.Eq(t, http.StatusServiceUnavailable, w.Code)
 		after := w.Header().Get("Retry-After")
 		seconds, err := strconv.ParseFloat(after, 64)
 		must.NoError(t, err)
 		must.Between(t, 0.9, seconds, 5)
-		told[strconv.FormatFloat(seconds, 'f', 1, 64)]++
+		retryAfter[strconv.FormatFloat(seconds, 'f', 1, 64)]++
 	}
-	// Two upstreams, each with one request in 1.1 s.
-	must.Eq(t, map[string]int{"1.1": 2, "2.2": 2, "3.3": 2}, told)
+	// Each of the two upstreams takes one request in 1.1 s.
+	must.Eq(t, map[string]int{"1.1": 2, "2.2": 2, "3.3": 2}, retryAfter)
 	must.Eq(t, 0, upstream.Load())
 }
 
-// TestLimitNotSent guards against a turn that is lost with a request that reached no upstream.
+// TestLimitNotSent guards against the loss of a send slot taken by a request that reached no
+// upstream.
 func TestLimitNotSent(t *testing.T) {
-	c := newChooser(&owners{}, 1)
+	c := newChooser(&fakeOwners{}, 1)
 	only := c.Directory.Snapshot().Service(service)[0]
 	dead := map[netip.AddrPort]bool{only.Address: true}
 	g, _ := newGateway(t, c, dead, nil)
@@ -92,24 +94,25 @@
 		return snipegateway.Verdict{Genuine: true, Signal: snipesignal.Signal{Limit: 1, Limited: true}}
 	}
 	c.Signals.Part = func(string, float64) snipesignal.Part { return snipesignal.Part{Interval: time.Hour} }
-	nameLimit(c.Signals, 1, only.ID)
-	must.Eq(t, http.StatusServiceUnavailable, ask(g).Code)
+	announceLimit(c.Signals, 1, only.ID)
+	must.Eq(t, http.StatusServiceUnavailable, sendRequest(g).Code)
 	must.True(t, c.Signals.Open(only.ID))
 	dead[only.Address] = false
-	must.Eq(t, http.StatusOK, ask(g).Code)
+	must.Eq(t, http.StatusOK, sendRequest(g).Code)
 	must.False(t, c.Signals.Open(only.ID))
 }
 
-// TestAllRest guards against requests that reach upstreams in the rest that these have asked for, or
-// wait for its end: where all rest callers are refused at once, and told when the first rest ends.
+// TestAllRest guards against requests that reach upstreams during the backoff that these asked for,
+// or wait for its end: if all upstreams are in backoff, callers are refused at once with the time
+// when the first backoff ends.
 func TestAllRest(t *testing.T) {
-	c := newChooser(&owners{}, 2)
+	c := newChooser(&fakeOwners{}, 2)
 	g, upstream := newGateway(t, c, nil, nil)
 	c.Signals.Hear("e0", time.Now(), snipesignal.Signal{Rest: 3 * time.Second})
-	must.Eq(t, http.StatusOK, ask(g).Code)
+	must.Eq(t, http.StatusOK, sendRequest(g).Code)
 	c.Signals.Hear("e1", time.Now(), snipesignal.Signal{Rest: 2 * time.Second})
 	begun := time.Now()
-	w := ask(g)
+	w := sendRequest(g)
 	must.Less(t, 500*time.Millisecond, time.Since(begun))
 	must.Eq(t, http.StatusServiceUnavailable, w.Code)
 	seconds, err := strconv.ParseFloat(w.Header().Get("Retry-After"), 64)
@@ -118,10 +121,10 @@
 	must.Eq(t, 1, upstream.Load())
 }
 
-// TestRestIsNotMissing guards against an adapter that counts as missing on an engine which has no room
-// and asks for rest: it would be loaded again.
+// TestRestIsNotMissing guards against loading an adapter again because an engine without a free
+// slot asked for backoff: the adapter must not count as missing there.
 func TestRestIsNotMissing(t *testing.T) {
-	c := newChooser(&owners{}, 1)
+	c := newChooser(&fakeOwners{}, 1)
 	only := c.Directory.Snapshot().Service(service)[0]
 	g, upstream := newGateway(t, c, nil, map[string]bool{only.ID: true})
 	c.Residency.Tell(only.ID, request.Adapter, 1)
@@ -132,7 +135,7 @@
 	g.Protocol.Judge = func(*http.Response, snipegateway.Dispatch) snipegateway.Verdict {
 		return snipegateway.Verdict{NotRun: true, Signal: snipesignal.Signal{Rest: time.Second}}
 	}
-	must.Eq(t, http.StatusServiceUnavailable, ask(g).Code)
+	must.Eq(t, http.StatusServiceUnavailable, sendRequest(g).Code)
 	must.Eq(t, 1, upstream.Load())
 	_, held := c.Residency.Holds(only, request.Adapter)
 	must.True(t, held)
--- a/snipegateway/loading.go
+++ b/snipegateway/loading.go
@@ -15,60 +15,60 @@
 )
 
 const (
-	// loadTries is how many engines are asked to load an adapter soon, before the
-	// first of them is asked to do it late.
-	loadTries = 3
-	// maxFailed bounds the engines that are asked in vain because they or their owners
-	// do not answer: a quarter of all engines may have died a moment ago.
-	maxFailed = 6
-	// soon is the wait for a load at an engine that has no more to do than it does
+	// maxLoadTries is how many busy engines are asked for a load within shortLoadWait before the
+	// first of them is asked for a load within the full wait.
+	maxLoadTries = 3
+	// maxFailedEngines bounds the engines whose load requests fail because they or their owners do
+	// not answer: a quarter of all engines may have just failed.
+	maxFailedEngines = 6
+	// shortLoadWait is the wait for a load on an engine that has no more loads queued than it runs
 	// at once.
-	soon = 400 * time.Millisecond
-	// askTimeout bounds one question to an engine's owner.
-	askTimeout = 5 * time.Second
-	// loadRetry is when an adapter that could not be loaded is worth asking for again:
-	// twice the time of a load.
-	loadRetry = 500 * time.Millisecond
+	shortLoadWait = 400 * time.Millisecond
+	// loadRequestTimeout bounds one load request to an engine's owner.
+	loadRequestTimeout = 5 * time.Second
+	// loadRetryAfter is the retry time for a request whose adapter could not be loaded: twice the
+	// time of a load.
+	loadRetryAfter = 500 * time.Millisecond
 )
 
-// flightKey names a load that is waited for.
-type flightKey struct {
+// loadKey identifies a load that requests wait for.
+type loadKey struct {
 	engine  string
 	adapter snipecatalog.Adapter
 	version int64
 }
 
-// flight is one question to an owner, shared by all that wait for its answer.
-type flight struct {
+// sharedLoad is one load request to an owner, shared by all requests that wait for its result.
+type sharedLoad struct {
 	done    chan struct{}
 	cancel  context.CancelFunc
-	waiting int
+	waiters int
 	version int64
 	err     error
 }
 
-// load has an engine load the adapter: the first of the best that can do it soon, or else
-// the first that can do it within patience.
-func (c *Chooser) load(ctx context.Context, all []*snipedirectory.Upstream, a snipecatalog.Adapter, required int64, patience time.Duration, fresh snipebalance.Filter) (Choice, error) {
-	begun := time.Now()
+// load has an engine load the adapter: the first of the best candidates that can do so within
+// shortLoadWait, or else the first that can do so within maxWait.
+func (c *Chooser) load(ctx context.Context, all []*snipedirectory.Upstream, a snipecatalog.Adapter, required int64, maxWait time.Duration, untried snipebalance.Filter) (Choice, error) {
+	start := time.Now()
 	var refusal *snipeerror.CallError
 	var failed []string
-	for _, step := range loadSteps(patience) {
+	for _, round := range loadRounds(maxWait) {
 		tries := 0
-		for u := range c.bestFirst(all, a) {
-			if !fresh(u) || !c.loadable(u, a) || slices.Contains(failed, u.ID) {
+		for u := range c.loadCandidates(all, a) {
+			if !untried(u) || !c.loadable(u, a) || slices.Contains(failed, u.ID) {
 				continue
 			}
-			if tries == step.tries || len(failed) == maxFailed {
+			if tries == round.tries || len(failed) == maxFailedEngines {
 				break
 			}
-			err := c.ask(ctx, u, a, required, step.patience)
+			err := c.requestLoad(ctx, u, a, required, round.maxWait)
 			if err == nil {
-				choice := c.choice(u, a)
-				choice.Waited = time.Since(begun)
+				choice := c.newChoice(u, a)
+				choice.Waited = time.Since(start)
 				return choice, nil
 			}
-			if refusal = refused(err); ctx.Err() != nil {
+			if refusal = loadRefusal(err); ctx.Err() != nil {
 				return Choice{}, refusal
 			}
 			if isBusy(err) {
@@ -79,34 +79,35 @@
 		}
 	}
 	if refusal == nil {
-		refusal = c.nowhere(all, snipeerror.New(snipeerror.ErrLoadFailed, snipeerror.NotRun, "no engine has an owner").After(loadRetry))
+		refusal = c.refusalError(all, snipeerror.New(snipeerror.ErrLoadFailed, snipeerror.NotRun, "no engine has an owner").After(loadRetryAfter))
 	}
 	return Choice{}, refusal
 }
 
-// isBusy reports whether an engine could do a load, but later than it is wanted.
+// isBusy reports whether an owner refused a load because it would take too long.
 func isBusy(err error) bool {
 	var busy *snipeadapter.BusyError
 	return errors.As(err, &busy)
 }
 
-// loadStep is a round of questions to engines' owners.
-type loadStep struct {
-	patience time.Duration
-	tries    int
+// loadRound is a round of load requests to engines' owners: the longest wait that is accepted, and
+// how many busy owners are asked.
+type loadRound struct {
+	maxWait time.Duration
+	tries   int
 }
 
-// loadSteps returns the rounds for a request that waits for patience.
-func loadSteps(patience time.Duration) []loadStep {
-	if patience <= soon {
-		return []loadStep{{patience, loadTries}}
+// loadRounds returns the rounds for a request that waits at most maxWait.
+func loadRounds(maxWait time.Duration) []loadRound {
+	if maxWait <= shortLoadWait {
+		return []loadRound{{maxWait, maxLoadTries}}
 	}
-	return []loadStep{{soon, loadTries}, {patience, 1}}
+	return []loadRound{{shortLoadWait, maxLoadTries}, {maxWait, 1}}
 }
 
-// refused returns the failure of a request whose adapter was not loaded.
-func refused(err error) *snipeerror.CallError {
-	wait := loadRetry
+// loadRefusal returns the error for a request whose adapter was not loaded, with a retry time.
+func loadRefusal(err error) *snipeerror.CallError {
+	wait := loadRetryAfter
 	var busy *snipeadapter.BusyError
 	if errors.As(err, &busy) {
 		wait = busy.Wait
@@ -114,66 +115,66 @@
 	return snipeerror.New(snipeerror.ErrLoadFailed, snipeerror.NotRun, err.Error()).After(wait)
 }
 
-// loadable reports whether an engine can be asked for an adapter.
+// loadable reports whether an engine can be asked to load an adapter.
 func (c *Chooser) loadable(u *snipedirectory.Upstream, a snipecatalog.Adapter) bool {
 	_, serves := c.Residency.Holds(u, snipecatalog.Adapter{Model: a.Model})
 	return serves && c.Balancer.Usable(u) && c.Owned(u)
 }
 
-// ask asks an engine's owner for an adapter, once for all requests that wait. When
-// nobody waits any more the question is taken back.
-func (c *Chooser) ask(ctx context.Context, u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, patience time.Duration) error {
-	f := c.join(u, a, version, patience)
+// requestLoad asks an engine's owner to load an adapter and waits for the result. Concurrent calls
+// share one load request, which is canceled when none of them waits any more.
+func (c *Chooser) requestLoad(ctx context.Context, u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, maxWait time.Duration) error {
+	l := c.joinLoad(u, a, version, maxWait)
 	select {
-	case <-f.done:
-		return f.err
+	case <-l.done:
+		return l.err
 	case <-ctx.Done():
 	}
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if f.waiting--; f.waiting == 0 {
-		f.cancel()
+	if l.waiters--; l.waiters == 0 {
+		l.cancel()
 	}
 	return ctx.Err()
 }
 
-// join returns the question that is under way, or begins it.
-func (c *Chooser) join(u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, patience time.Duration) *flight {
-	key := flightKey{u.ID, a, version}
+// joinLoad returns the load request in flight for an adapter on an engine, or starts one.
+func (c *Chooser) joinLoad(u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, maxWait time.Duration) *sharedLoad {
+	key := loadKey{u.ID, a, version}
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if f := c.flights[key]; f != nil && f.waiting > 0 {
-		f.waiting++
-		return f
+	if l := c.loads[key]; l != nil && l.waiters > 0 {
+		l.waiters++
+		return l
 	}
-	if c.flights == nil {
-		c.flights = make(map[flightKey]*flight)
+	if c.loads == nil {
+		c.loads = make(map[loadKey]*sharedLoad)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
-	f := &flight{done: make(chan struct{}), cancel: cancel, waiting: 1}
-	c.flights[key] = f
-	go c.fly(ctx, key, f, u, patience)
-	return f
+	ctx, cancel := context.WithTimeout(context.Background(), loadRequestTimeout)
+	l := &sharedLoad{done: make(chan struct{}), cancel: cancel, waiters: 1}
+	c.loads[key] = l
+	go c.runLoad(ctx, key, l, u, maxWait)
+	return l
 }
 
-func (c *Chooser) fly(ctx context.Context, key flightKey, f *flight, u *snipedirectory.Upstream, patience time.Duration) {
-	defer f.cancel()
-	begun := time.Now()
-	f.version, f.err = c.Ensure(ctx, u, key.adapter, key.version, patience)
+func (c *Chooser) runLoad(ctx context.Context, key loadKey, l *sharedLoad, u *snipedirectory.Upstream, maxWait time.Duration) {
+	defer l.cancel()
+	start := time.Now()
+	l.version, l.err = c.Ensure(ctx, u, key.adapter, key.version, maxWait)
 	switch {
-	case f.err == nil:
-		c.paces.of(u.Service).loaded(time.Since(begun))
-		c.Residency.Tell(key.engine, key.adapter, f.version)
-	case errors.Is(f.err, snipeadapter.ErrUnreached):
+	case l.err == nil:
+		c.estimators.forService(u.Service).recordLoad(time.Since(start))
+		c.Residency.Tell(key.engine, key.adapter, l.version)
+	case errors.Is(l.err, snipeadapter.ErrUnreached):
 		c.Balancer.Unreached(key.engine)
 	}
 	c.lock.Lock()
-	if c.flights[key] == f {
-		delete(c.flights, key)
+	if c.loads[key] == l {
+		delete(c.loads, key)
 	}
-	if f.err == nil {
-		c.noteReplica(key.adapter, key.engine, f.version)
+	if l.err == nil {
+		c.recordReplica(key.adapter, key.engine, l.version)
 	}
 	c.lock.Unlock()
-	close(f.done)
+	close(l.done)
 }
--- a/snipegateway/memory_test.go
+++ b/snipegateway/memory_test.go
@@ -12,44 +12,44 @@
 	"snipepitch.example/snipepitch/snipegateway"
 )
 
-// TestSharedParts answers the pattern of long prompts of which two thirds are shared:
-// 15 different beginnings, asked for by turns through many instances of an adapter that
-// eight engines hold. Each beginning is read by one engine while all are calm; an engine
-// that is busier than reading again costs is left. Short shares count for nothing.
+// TestSharedParts guards against the processing of each shared prompt prefix on every engine. Many
+// instances send long prompts, two thirds of them shared, with 15 different prefixes in turn to an
+// adapter that eight engines hold; while all engines are idle, one engine must process each prefix.
+// Short shared prefixes do not influence the choice.
 func TestSharedParts(t *testing.T) {
-	const engines, holders, beginnings, instances, perInstance = 12, 8, 15, 20, 90
+	const engines, holders, prefixes, instances, perInstance = 12, 8, 15, 20, 90
 	tests := map[string]struct {
-		shared int
-		most   int // pairs of a beginning and an engine that reads it
-	}{"Long": {6300, beginnings}, "Short": {155, beginnings * holders}}
+		shared   int
+		maxPairs int // pairs of a prefix and an engine that processes it
+	}{"Long": {6300, prefixes}, "Short": {155, prefixes * holders}}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				read := map[string]bool{}
+				readers := map[string]bool{}
 				for range instances {
-					c := newChooser(&owners{}, engines)
+					c := newChooser(&fakeOwners{}, engines)
 					for n := range holders {
 						c.Residency.Tell(fmt.Sprint("e", n), request.Adapter, 1)
 					}
 					for n := range perInstance {
-						begun := fmt.Sprint("part", n%beginnings)
-						choice, err := c.Choose(t.Context(), service, prompt(begun, tt.shared), nil, objective)
+						prefix := fmt.Sprint("part", n%prefixes)
+						choice, err := c.Choose(t.Context(), service, prompt(prefix, tt.shared), nil, objective)
 						must.NoError(t, err)
-						read[begun+choice.Upstream.ID] = true
+						readers[prefix+choice.Upstream.ID] = true
 						c.Balancer.Begin(choice.Upstream.ID, snipebalance.Weight(0))()
 					}
 				}
-				must.LessEq(t, tt.most, len(read))
+				must.LessEq(t, tt.maxPairs, len(readers))
 			})
 		})
 	}
 }
 
-// TestBusyReader: the engine that has read a prompt's beginning is left when waiting
-// there costs more than reading again.
+// TestBusyReader guards against requests that stay at the engine that has processed their prompt's
+// prefix although waiting there costs more than processing it again elsewhere.
 func TestBusyReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newChooser(&owners{}, 12)
+		c := newChooser(&fakeOwners{}, 12)
 		c.Residency.Tell("e1", request.Adapter, 1)
 		c.Residency.Tell("e2", request.Adapter, 1)
 		q := prompt("part", 6300)
--- a/snipegateway/pace.go
+++ b/snipegateway/pace.go
@@ -6,100 +6,103 @@
 )
 
 const (
-	// slowShare is the share of requests whose first piece came sooner than is counted on:
-	// what one in five waits for or longer is what a busy engine costs.
-	slowShare = 0.8
-	// paceStep is by how much one request moves the expected delay: some forty move it by half,
-	// which an instance sees in a few seconds.
-	paceStep = 0.05
-	// leastBusy is from which share of an engine's slots on requests tell of its pace: below,
-	// the way there and the prompt itself make most of the time.
-	leastBusy = 0.4
-	// firstDelay stands for the delay at an engine whose slots are all taken until enough was
-	// seen.
-	firstDelay = 300 * time.Millisecond
-	// firstWait stands for the wait for a load until one was waited for.
-	firstWait = 300 * time.Millisecond
-	// waitShare is the part of one load's wait that the expected wait takes over.
-	waitShare = 0.1
-	// reloaded is the time below which a load came from the engine's own memory.
-	reloaded = 100 * time.Millisecond
+	// delayQuantile is the quantile of the time to the first chunk that is estimated: one request
+	// in five waits that long or longer, and this delay counts as the cost of a busy engine.
+	delayQuantile = 0.8
+	// delayStep sets how far one request moves the estimated delay. Some forty requests move it by
+	// half, and an instance serves that many in a few seconds.
+	delayStep = 0.05
+	// minBusy is the share of occupied slots below which a request does not change the estimate: at
+	// less busy engines, network transfer and processing of the prompt make up most of the time to
+	// the first chunk.
+	minBusy = 0.4
+	// initialDelay is the assumed delay at an engine whose slots are all occupied, until requests
+	// to busy engines are observed.
+	initialDelay = 300 * time.Millisecond
+	// initialLoadWait is the assumed wait for a load, until one is observed.
+	initialLoadWait = 300 * time.Millisecond
+	// loadWaitWeight is the weight of the latest load in the moving average of load waits.
+	loadWaitWeight = 0.1
+	// maxReloadTime is the time below which a load is attributed to the engine's own memory and
+	// ignored.
+	maxReloadTime = 100 * time.Millisecond
 )
 
-// pace is what this instance observes of a service's engines: what their being busy costs a
-// request, and what a load costs that would spare it that. Both differ between deployments and
-// from one moment to the next. The zero value is ready.
-type pace struct {
+// estimator estimates, for the engines of one service, how long a request is delayed by a busy
+// engine, and how long it would wait instead for a load on another engine. Both differ between
+// deployments and change over time. The zero value is ready to use.
+type estimator struct {
 	lock sync.Mutex // guards the fields below
-	// delay is the time to the first piece at an engine whose slots are all taken; it is
-	// taken to grow in proportion with the share of them.
-	delay time.Duration
-	// wait is how long a load is waited for.
-	wait time.Duration
+	// firstChunkDelay is the time to the first chunk at an engine whose slots are all occupied; the
+	// delay is assumed to be proportional to the share of occupied slots.
+	firstChunkDelay time.Duration
+	// loadWait is the average wait for a load.
+	loadWait time.Duration
 }
 
-// first notes the time to a first piece at an engine of which a share of the slots was taken.
-func (p *pace) first(d time.Duration, busy float64) {
-	if busy < leastBusy {
+// recordFirstChunk records the time to the first chunk of an answer from an engine; busy is the
+// share of the engine's slots that were occupied.
+func (e *estimator) recordFirstChunk(d time.Duration, busy float64) {
+	if busy < minBusy {
 		return
 	}
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	if p.delay == 0 {
-		p.delay = firstDelay
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	if e.firstChunkDelay == 0 {
+		e.firstChunkDelay = initialDelay
 	}
-	if float64(d)/busy > float64(p.delay) {
-		p.delay += time.Duration(paceStep * slowShare * float64(p.delay))
+	if float64(d)/busy > float64(e.firstChunkDelay) {
+		e.firstChunkDelay += time.Duration(delayStep * delayQuantile * float64(e.firstChunkDelay))
 		return
 	}
-	p.delay -= time.Duration(paceStep * (1 - slowShare) * float64(p.delay))
+	e.firstChunkDelay -= time.Duration(delayStep * (1 - delayQuantile) * float64(e.firstChunkDelay))
 }
 
-// loaded notes how long a load was waited for.
-func (p *pace) loaded(d time.Duration) {
-	if d < reloaded {
+// recordLoad records the wait for a load.
+func (e *estimator) recordLoad(d time.Duration) {
+	if d < maxReloadTime {
 		return
 	}
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	if p.wait == 0 {
-		p.wait = firstWait
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	if e.loadWait == 0 {
+		e.loadWait = initialLoadWait
 	}
-	p.wait += time.Duration(waitShare * float64(d-p.wait))
+	e.loadWait += time.Duration(loadWaitWeight * float64(d-e.loadWait))
 }
 
-// crowding returns the share of an engine's slots from which on a load costs less than its
-// being busy.
-func (p *pace) crowding() float64 {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	delay, wait := p.delay, p.wait
+// overloadThreshold returns the share of occupied slots from which on a load on another engine
+// takes less time than the delay at the busy engine.
+func (e *estimator) overloadThreshold() float64 {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	delay, wait := e.firstChunkDelay, e.loadWait
 	if delay == 0 {
-		delay = firstDelay
+		delay = initialDelay
 	}
 	if wait == 0 {
-		wait = firstWait
+		wait = initialLoadWait
 	}
 	return float64(wait) / float64(delay)
 }
 
-// paces are those of all services. The zero value is ready.
-type paces struct {
+// estimators holds one estimator for each service. The zero value is ready to use.
+type estimators struct {
 	lock sync.Mutex // guards all
-	all  map[string]*pace
+	all  map[string]*estimator
 }
 
-// of returns a service's pace.
-func (p *paces) of(service string) *pace {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	if found := p.all[service]; found != nil {
+// forService returns the estimator of a service and creates it if needed.
+func (e *estimators) forService(service string) *estimator {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	if found := e.all[service]; found != nil {
 		return found
 	}
-	if p.all == nil {
-		p.all = make(map[string]*pace)
+	if e.all == nil {
+		e.all = make(map[string]*estimator)
 	}
-	made := &pace{}
-	p.all[service] = made
-	return made
+	created := &estimator{}
+	e.all[service] = created
+	return created
 }
--- a/snipegateway/pace_test.go
+++ b/snipegateway/pace_test.go
@@ -8,13 +8,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestPace answers the patterns of a weight store at its limit and of engines of different
-// speed: where loads take long, or engines read fast, a request stays at a busy engine for
-// longer. First pieces spread as they were seen to: half of them at 0.4 of what one in five
-// exceeds.
+// TestPace guards against an overload threshold that ignores the observed times: where loads take
+// long, because the weight store is at its limit, or where engines are fast, a request must stay at
+// a busy engine for longer. The simulated times to the first chunk are exponentially distributed:
+// half of them are below 0.4 of the time that one in five exceeds.
 func TestPace(t *testing.T) {
 	tests := map[string]struct {
-		// slow is the delay at a full engine that one in five exceeds, load the time of one.
+		// slow is the delay at a full engine that one request in five exceeds, load the time of one
+		// load.
 		slow, load  time.Duration
 		least, most float64
 	}{
@@ -27,46 +28,47 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(1, 2))
-			p := &pace{}
+			e := &estimator{}
 			sum := 0.0
-			const seen, looked = 600, 300
-			for n := range seen {
+			const observations, averaged = 600, 300
+			for n := range observations {
 				busy := 0.3 + 1.5*r.Float64()
-				spread := 0.4 * r.ExpFloat64() / 0.644 // one in five beyond 1
-				p.first(time.Duration(busy*spread*float64(tt.slow)), busy)
-				p.loaded(time.Duration(float64(tt.load) * (0.8 + 0.4*r.Float64())))
-				p.loaded(30 * time.Millisecond) // from an engine's own memory
-				if n >= seen-looked {
-					sum += p.crowding()
+				spread := 0.4 * r.ExpFloat64() / 0.644 // one in five exceeds 1
+				e.recordFirstChunk(time.Duration(busy*spread*float64(tt.slow)), busy)
+				e.recordLoad(time.Duration(float64(tt.load) * (0.8 + 0.4*r.Float64())))
+				e.recordLoad(30 * time.Millisecond) // a reload from the engine's own memory
+				if n >= observations-averaged {
+					sum += e.overloadThreshold()
 				}
 			}
-			must.Between(t, tt.least, sum/looked, tt.most)
+			must.Between(t, tt.least, sum/averaged, tt.most)
 		})
 	}
 }
 
-// TestPaceUnknown: until something was seen an engine is crowded when its slots are taken, and
-// idle engines tell nothing.
+// TestPaceUnknown guards against a wrong threshold before anything is observed, and against
+// estimates from idle engines: an engine then counts as overloaded when all its slots are occupied.
 func TestPaceUnknown(t *testing.T) {
-	p := &pace{}
-	must.Eq(t, 1.0, p.crowding())
-	p.first(time.Minute, leastBusy/2)
-	must.Eq(t, 1.0, p.crowding())
+	e := &estimator{}
+	must.Eq(t, 1.0, e.overloadThreshold())
+	e.recordFirstChunk(time.Minute, minBusy/2)
+	must.Eq(t, 1.0, e.overloadThreshold())
 }
 
-// TestPaceOfServices: services are observed each by itself.
+// TestPaceOfServices guards against observations of one service that change the threshold of
+// another.
 func TestPaceOfServices(t *testing.T) {
-	var p paces
-	p.of("a").loaded(time.Second)
-	must.Greater(t, 1.0, p.of("a").crowding())
-	must.Eq(t, 1.0, p.of("b").crowding())
+	var e estimators
+	e.forService("a").recordLoad(time.Second)
+	must.Greater(t, 1.0, e.forService("a").overloadThreshold())
+	must.Eq(t, 1.0, e.forService("b").overloadThreshold())
 }
 
 func BenchmarkCrowding(b *testing.B) {
-	var p paces
-	p.of("a").loaded(time.Second)
+	var e estimators
+	e.forService("a").recordLoad(time.Second)
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = p.of("a").crowding()
+		_ = e.forService("a").overloadThreshold()
 	}
 }
--- a/snipegateway/ranking.go
+++ b/snipegateway/ranking.go
@@ -8,10 +8,10 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// rankKey is the hash of an adapter by which engines rank for it.
+// rankKey returns the hash of an adapter by which engines are ranked for it.
 func rankKey(a snipecatalog.Adapter) uint64 { return sniperoute.Hash(a.Model, a.Name) }
 
-// ranking gives engines out in the order in which they should hold an adapter, the same on
+// ranking yields engines in the order in which they should hold an adapter, which is the same on
 // every instance. It implements heap.Interface.
 type ranking []rankedEngine
 
@@ -30,7 +30,7 @@
 	return &r
 }
 
-// next takes the first engine out.
+// next removes and returns the highest-ranked engine.
 func (r *ranking) next() *snipedirectory.Upstream { return heap.Pop(r).(rankedEngine).upstream }
 
 // Len implements heap.Interface.
--- a/snipegateway/ranking_test.go
+++ b/snipegateway/ranking_test.go
@@ -12,26 +12,26 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// TestBestFirst: engines that held an adapter come first, those that are crowded last, and
-// within each group the order is that of the ranks, as if all had been sorted.
+// TestBestFirst guards against a wrong order of load candidates: engines that held the adapter come
+// first, overloaded engines come last, and each group is ordered by rank, as in a full sort.
 func TestBestFirst(t *testing.T) {
 	const count = 40
-	c := newChooser(&owners{}, count)
+	c := newChooser(&fakeOwners{}, count)
 	a := request.Adapter
-	former, crowded := map[string]bool{"e3": true, "e17": true, "e20": true}, map[string]bool{"e5": true, "e20": true, "e30": true}
-	for id := range former {
+	previous, overloaded := map[string]bool{"e3": true, "e17": true, "e20": true}, map[string]bool{"e5": true, "e20": true, "e30": true}
+	for id := range previous {
 		c.Residency.Tell(id, a, 1)
 		c.Residency.Deny(id, a)
 	}
-	for id := range crowded {
+	for id := range overloaded {
 		c.Balancer.Told(id, 500)
 	}
 	key := sniperoute.Hash(a.Model, a.Name)
 	group := func(id string) int {
 		switch {
-		case crowded[id]:
+		case overloaded[id]:
 			return 2
-		case former[id]:
+		case previous[id]:
 			return 0
 		}
 		return 1
@@ -51,14 +51,14 @@
 		}
 		return 1
 	})
-	must.Eq(t, ids, c.BestFirstForTest(service, a, count))
-	must.Eq(t, ids[:5], c.BestFirstForTest(service, a, 5))
+	must.Eq(t, ids, c.LoadCandidatesForTest(service, a, count))
+	must.Eq(t, ids[:5], c.LoadCandidatesForTest(service, a, 5))
 }
 
-// TestAmongThousands: the engine that holds an adapter is found among thousands without a
-// look at the others.
+// TestAmongThousands guards against a choice whose cost grows with the number of engines: the
+// engine that holds an adapter is found among 3000 without examining the others.
 func TestAmongThousands(t *testing.T) {
-	c := newChooser(&owners{}, 3000)
+	c := newChooser(&fakeOwners{}, 3000)
 	for n := range 3000 {
 		c.Residency.Tell(fmt.Sprint("e", n), snipecatalog.Adapter{Model: "base", Name: fmt.Sprint("a", n)}, 1)
 	}
--- a/snipegateway/reach_test.go
+++ b/snipegateway/reach_test.go
@@ -23,9 +23,9 @@
 	"snipepitch.example/snipepitch/sniperetry"
 )
 
-// TestDeadUpstreams answers the pattern of a crash that takes many upstreams at once:
-// those that cannot be connected to cost no budget and no request, however many they
-// are; those that refuse a request are repeats that the budget pays for.
+// TestDeadUpstreams guards against requests that fail, or retry budget that is spent, when many
+// upstreams crash at once: attempts that cannot connect spend no budget, however many there are.
+// Attempts that an upstream refuses count as retries and need budget.
 func TestDeadUpstreams(t *testing.T) {
 	tests := map[string]struct {
 		dead, refusing int
@@ -39,7 +39,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			const count = 12
-			c := newChooser(&owners{}, count)
+			c := newChooser(&fakeOwners{}, count)
 			dead := map[netip.AddrPort]bool{}
 			refusing := map[string]bool{}
 			for n, u := range c.Directory.Snapshot().Service(service) {
@@ -60,10 +60,10 @@
 	}
 }
 
-// TestNoRoom: a request that the last upstream of a service had no room for is refused at
-// once, with a time to come back that is no longer than its objective.
+// TestNoRoom guards against a request that waits, or gets a retry time above its latency target,
+// after the only upstream of its service refused it for lack of a free slot.
 func TestNoRoom(t *testing.T) {
-	chooser := newChooser(&owners{}, 1)
+	chooser := newChooser(&fakeOwners{}, 1)
 	only := chooser.Directory.Snapshot().Service(service)[0].ID
 	g, upstream := newGateway(t, chooser, nil, map[string]bool{only: true})
 	g.Catalog.Catalog().Routes[0].Target = 400 * time.Millisecond
@@ -81,12 +81,12 @@
 	must.Between(t, 0.2, seconds, 0.4)
 }
 
-// newGateway returns a gateway whose upstreams are one server, without a budget for
-// repeats, and the count of requests that it got.
+// newGateway returns a gateway whose upstreams are all served by one server and whose retry budget
+// is empty, and the number of requests that the server received.
 func newGateway(t *testing.T, c *snipegateway.Chooser, dead map[netip.AddrPort]bool, refusing map[string]bool) (*snipegateway.Gateway, *atomic.Int32) {
-	got := &atomic.Int32{}
+	received := &atomic.Int32{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		got.Add(1)
+		received.Add(1)
 		if refusing[r.Header.Get("Expect-Upstream")] {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
@@ -128,5 +128,5 @@
 		Budget:   func(string) *sniperetry.Window { return budget },
 		Stopping: func() bool { return false },
 		Outdated: func() bool { return false }, Begin: func(context.Context) {},
-	}, got
+	}, received
 }
--- a/snipegateway/request.go
+++ b/snipegateway/request.go
@@ -9,91 +9,93 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// Part is a piece of a prompt that requests may share.
+// Part is a section of a prompt that other requests may share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Request is what a caller says of its request, beside method, path and body.
+// Request holds what a caller states about its request in addition to method, path and body.
 type Request struct {
-	// ID names this attempt of the caller.
+	// ID identifies this attempt of the caller.
 	ID string
-	// Patience is how long the caller waits; zero when it does not say.
+	// Patience is the longest time that the caller waits; zero if not stated.
 	Patience time.Duration
-	// LastEvent is the last event that the caller has of the stream.
+	// LastEvent is the identifier of the last event of the stream that the caller has.
 	LastEvent string
-	// Adapter is what the request is for; its Model is empty for plain services.
+	// Adapter is the adapter that the request is for; its Model is empty for plain services.
 	Adapter snipecatalog.Adapter
-	// PromptTokens and OutputTokens are its size.
+	// PromptTokens and OutputTokens are the sizes of the prompt and the output.
 	PromptTokens int
 	OutputTokens int
-	// Sized tells that the caller has stated these two.
+	// Sized is set if the caller stated both sizes.
 	Sized bool
-	// Parts are the parts of its prompt, in their order.
+	// Parts are the parts of the prompt in order.
 	Parts []Part
 }
 
-// shared returns how many tokens the prompt shares with others, and the last part that
-// it shares, which tells all those before it. The last part of all is the request's own.
-func (q *Request) shared() (tokens int, last string) {
+// sharedPrefix returns how many tokens the prompt shares with other requests, and the identifier of
+// the last shared part, which also identifies the parts before it. The last part of the prompt
+// belongs to this request alone and does not count.
+func (q *Request) sharedPrefix() (tokens int, lastPart string) {
 	for n := range len(q.Parts) - 1 {
 		tokens += q.Parts[n].Tokens
-		last = q.Parts[n].ID
+		lastPart = q.Parts[n].ID
 	}
-	return tokens, last
+	return tokens, lastPart
 }
 
-// Dispatch is how a request goes to an upstream.
+// Dispatch describes how a request is sent to an upstream.
 type Dispatch struct {
 	Upstream *snipedirectory.Upstream
 	// Left is the time that the upstream may take.
 	Left time.Duration
-	// Version is the adapter's version that the upstream must hold; zero for any.
+	// Version is the adapter version that the upstream must hold; zero for any.
 	Version int64
-	// Priority ranks the request among those of the upstream; 0 is first.
+	// Priority ranks the request among the upstream's requests; 0 is the most urgent.
 	Priority int
-	// LastEvent is where a stream goes on; empty for its beginning.
+	// LastEvent is the event after which a stream is resumed; empty to start at its beginning.
 	LastEvent string
-	// Workspace is whom the caller's key belongs to; empty where no key was needed.
+	// Workspace is the name of the workspace of the caller's key; empty if the request has none.
 	Workspace string
 }
 
-// Load is what an upstream says of its load in an answer.
+// Load is the load that an upstream states in an answer.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// Verdict is what an upstream's answer says beside its content.
+// Verdict is what an upstream's answer states in addition to its content.
 type Verdict struct {
-	// Genuine answers carry the upstream's receipt.
+	// Genuine is set if the answer carries the upstream's signature.
 	Genuine bool
-	// NotRun: the upstream states that it did not run the request.
+	// NotRun is set if the upstream states that it did not run the request.
 	NotRun bool
-	// Elsewhere: another upstream has the address.
+	// Elsewhere is set if another upstream answered at the address.
 	Elsewhere bool
-	// Missing: the upstream does not hold the adapter in the expected version.
+	// Missing is set if the upstream does not hold the adapter in the expected version.
 	Missing bool
-	// Load is nil when the answer does not tell.
+	// Load is nil if the answer does not state it.
 	Load *Load
-	// Signal is what the answer says of the upstream.
+	// Signal is what the upstream signals about itself in the answer.
 	Signal snipesignal.Signal
 }
 
-// says reports whether an answer tells of the upstream that was asked: what it does not say counts
-// only where the answer is the upstream's own.
-func (v *Verdict) says() bool {
+// signalApplies reports whether an answer's signal, or the lack of one, applies to the upstream
+// that the request was sent to. The lack of a signal counts only in an answer that this upstream
+// signed.
+func (v *Verdict) signalApplies() bool {
 	return !v.Elsewhere && (v.Genuine || v.Signal != (snipesignal.Signal{}))
 }
 
-// Protocol translates between the gateway and the formats around it.
+// Protocol translates between the gateway and the formats of callers and upstreams.
 type Protocol struct {
-	// Decode reads what a caller says of its request.
+	// Decode reads what a caller states about its request.
 	Decode func(r *http.Request) (Request, error)
-	// Prepare makes a caller's header that of a request to an upstream.
+	// Prepare turns a caller's header into the header of a request to an upstream.
 	Prepare func(h http.Header, d Dispatch)
-	// Judge reads what an upstream's answer says beside its content.
+	// Judge reads what an upstream's answer states in addition to its content.
 	Judge func(a *http.Response, d Dispatch) Verdict
-	// Sign puts the request's identifier on an answer of this instance.
+	// Sign adds the request's identifier to an answer of this instance.
 	Sign func(h http.Header, id string)
 }
--- a/snipegateway/snipegateway.go
+++ b/snipegateway/snipegateway.go
@@ -1,24 +1,23 @@
-// Package snipegateway passes requests on as they are: method, path, query and
-// body reach the upstream byte for byte, and its answer reaches the caller.
+// Package snipegateway forwards requests unchanged: method, path, query and body reach the upstream
+// byte for byte, and its answer reaches the caller.
 //
-// Design. One goroutine, that of net/http, carries a request from its arrival to
-// its end. A call (call.go) is the state of one request: it is admitted, an
-// upstream is chosen (choose.go), the request is sent (attempt.go) and the answer
-// is delivered, whole (attempt.go) or event by event (stream.go). After each
-// attempt that did not answer, one place decides whether another one follows
-// (call.next).
+// Design. One goroutine, that of net/http, handles a request from its arrival to its end. A call
+// (call.go) is the state of one request: the request is admitted, an upstream is chosen
+// (choose.go), the request is sent (attempt.go) and the answer is delivered, either buffered
+// (attempt.go) or event by event (stream.go). After each attempt without an answer,
+// call.shouldRetry alone decides whether another attempt follows.
 //
 // Invariants:
 //
-//   - A request that may run once at most is sent again only after an upstream
-//     stated that it did not run it, or if none of its bytes had left.
-//   - 503 is given only to requests that have not run and never will.
-//   - An answer is passed on only if it carries the upstream's receipt and the
-//     request's identifier. One that breaks off looks broken off.
-//   - Where operators declare workspaces nothing runs, but on public routes, without a key that
-//     one of them holds. The key goes to no upstream and into no log line.
-//   - The events of a stream reach the caller whole and in order, each once, also
-//     when the stream goes on at another upstream.
+//   - A request that may run at most once is sent again only if an upstream stated that it did not
+//     run the request, or if none of the request's bytes were sent.
+//   - Status 503 is returned only for requests that have not run and never will.
+//   - An answer is forwarded only if it carries the upstream's signature and the request's
+//     identifier. An answer that breaks off is not completed: the caller's connection is aborted.
+//   - Where operators declare workspaces, a request without the key of a workspace runs only on
+//     public routes. The key is sent to no upstream and written to no log line.
+//   - The events of a stream reach the caller whole, in order and once each, also when the stream
+//     is resumed at another upstream.
 package snipegateway
 
 import (
@@ -45,24 +44,26 @@
 	Signals  *snipesignal.Book
 	Protocol Protocol
 	Quotas   Quotas
-	// Begin holds a request that has come before routes and upstreams are known, for a moment
+	// Begin blocks a request that arrives before routes and upstreams are known, for a short time
 	// after the start.
 	Begin func(ctx context.Context)
-	// Outdated reports that operators may have declared something that is not known here.
+	// Outdated reports whether operators may have declared something that this instance has not
+	// read.
 	Outdated func() bool
-	// Budget returns what pays for the repeats of a service's requests.
+	// Budget returns the budget that limits retries of a service's requests.
 	Budget func(service string) *sniperetry.Window
-	// Stopping reports that a planned stop has begun: connections are not kept.
+	// Stopping reports whether a planned stop has begun; connections are then closed after their
+	// current request.
 	Stopping func() bool
 	Log      *snipelog.Logger
 	Meter    *snipemeter.Meter
 
-	inFlight atomic.Int64
-	counted  counted
-	headers  headerNames
+	inFlight        atomic.Int64
+	workspaceLabels workspaceLabels
+	headers         headerNames
 }
 
-// InFlight returns the number of requests that are served.
+// InFlight returns the number of requests being served.
 func (g *Gateway) InFlight() int { return int(g.inFlight.Load()) }
 
 // ServeHTTP implements http.Handler.
--- a/snipegateway/stream.go
+++ b/snipegateway/stream.go
@@ -15,56 +15,56 @@
 	"snipepitch.example/snipepitch/snipelink"
 )
 
-// chunkSize is the buffer of a stream: events have about sixty bytes and come one
-// by one.
+// chunkSize is the size of a stream's read buffer. Events have about sixty bytes and arrive one at
+// a time.
 const chunkSize = 8 << 10
 
-// maxEvent bounds one event.
+// maxEvent is the largest event that is accepted, in bytes.
 const maxEvent = 1 << 20
 
-var chunks = sync.Pool{New: func() any { b := make([]byte, chunkSize); return &b }}
+var chunkPool = sync.Pool{New: func() any { b := make([]byte, chunkSize); return &b }}
 
 var eventEnd = []byte("\n\n")
 
-// stream passes events on as they come. Only whole events are passed on while the
-// answer may still have to go on at another upstream.
+// stream forwards events as they arrive. Until the stream's end only whole events are forwarded,
+// because the stream may have to be resumed at another upstream.
 func (c *call) stream(ctx context.Context, id string, answer *snipelink.Answer) error {
-	chunk := chunks.Get().(*[]byte)
-	defer chunks.Put(chunk)
+	chunk := chunkPool.Get().(*[]byte)
+	defer chunkPool.Put(chunk)
 	var pending []byte
-	resumed := c.begun
+	resuming := c.answerStarted
 	for {
 		n, err := answer.Read(*chunk)
 		pending = append(pending, (*chunk)[:n]...)
 		if end := bytes.LastIndex(pending, eventEnd); end >= 0 {
 			events := pending[:end+len(eventEnd)]
-			if resumed {
-				if !c.follows(events) {
+			if resuming {
+				if !c.continuesStream(events) {
 					return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, "the stream went on at another event")
 				}
-				resumed = false
+				resuming = false
 			}
-			if werr := c.events(answer, events); werr != nil {
+			if werr := c.writeEvents(answer, events); werr != nil {
 				return werr
 			}
 			pending = append(pending[:0], pending[len(events):]...)
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			return c.finish(id, answer, pending)
+			return c.finishStream(id, answer, pending)
 		case err != nil:
-			return c.broken(ctx, id, err)
+			return c.streamError(ctx, id, err)
 		case len(pending) > maxEvent:
 			return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, "event too long")
 		}
 	}
 }
 
-// events writes whole events.
-func (c *call) events(answer *snipelink.Answer, events []byte) error {
-	if !c.begun {
-		c.gateway.Chooser.paces.of(c.service).first(time.Since(c.sentAt), c.busy)
-		c.head(http.StatusOK, forwarded(answer.Header))
+// writeEvents writes whole events to the caller.
+func (c *call) writeEvents(answer *snipelink.Answer, events []byte) error {
+	if !c.answerStarted {
+		c.gateway.Chooser.estimators.forService(c.service).recordFirstChunk(time.Since(c.sentAt), c.busy)
+		c.setHeader(http.StatusOK, endToEnd(answer.Header))
 		c.writer.WriteHeader(http.StatusOK)
 	}
 	if _, err := c.writer.Write(events); err != nil {
@@ -73,32 +73,32 @@
 	if err := http.NewResponseController(c.writer).Flush(); err != nil {
 		return snipeerror.New(snipeerror.ErrCanceled, snipeerror.MayHaveRun, err.Error())
 	}
-	c.notePause(time.Now())
+	c.recordPause(time.Now())
 	if id := lastID(events); id != "" {
 		c.lastEvent = id
 	}
 	return nil
 }
 
-// notePause keeps the longest time between two writes to the caller.
-func (c *call) notePause(now time.Time) {
-	if !c.wroteAt.IsZero() {
-		c.longestPause = max(c.longestPause, now.Sub(c.wroteAt))
+// recordPause updates the longest time between two writes to the caller.
+func (c *call) recordPause(now time.Time) {
+	if !c.lastWriteAt.IsZero() {
+		c.longestPause = max(c.longestPause, now.Sub(c.lastWriteAt))
 	}
-	c.wroteAt = now
+	c.lastWriteAt = now
 }
 
-// finish writes what is left of a stream that came to its end.
-func (c *call) finish(id string, answer *snipelink.Answer, rest []byte) error {
+// finishStream writes the remainder of a stream that has reached its end.
+func (c *call) finishStream(id string, answer *snipelink.Answer, remainder []byte) error {
 	c.gateway.Balancer.Answered(id, false)
-	if len(rest) == 0 && c.begun {
+	if len(remainder) == 0 && c.answerStarted {
 		return nil
 	}
-	return c.events(answer, rest)
+	return c.writeEvents(answer, remainder)
 }
 
-// broken returns the failure of a stream that broke off.
-func (c *call) broken(ctx context.Context, id string, err error) error {
+// streamError records a stream that broke off and returns its error.
+func (c *call) streamError(ctx context.Context, id string, err error) error {
 	if ctx.Err() == nil {
 		c.gateway.Balancer.Broken(id)
 		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, err.Error())
@@ -126,11 +126,11 @@
 // firstID returns the identifier of the first event that has one.
 func firstID(events []byte) string {
 	for len(events) > 0 {
-		line, rest, _ := bytes.Cut(events, []byte{'\n'})
+		line, remainder, _ := bytes.Cut(events, []byte{'\n'})
 		if bytes.HasPrefix(line, idField) {
 			return idAt(line)
 		}
-		events = rest
+		events = remainder
 	}
 	return ""
 }
@@ -140,8 +140,9 @@
 	return string(bytes.TrimSpace(bytes.TrimPrefix(line, idField)))
 }
 
-// follows reports whether events go on where the caller's stream ends.
-func (c *call) follows(events []byte) bool {
+// continuesStream reports whether the first event with an identifier directly follows the last
+// event that the caller has.
+func (c *call) continuesStream(events []byte) bool {
 	last, err := strconv.ParseInt(c.lastEvent, 10, 64)
 	if err != nil {
 		return false
--- a/snipegateway/use.go
+++ b/snipegateway/use.go
@@ -7,30 +7,30 @@
 	"snipepitch.example/snipepitch/snipecatalog"
 )
 
-// useRefresh is the time between two reports of an engine where nothing has changed but
-// requests are in flight: it repeats what a lost report told.
-const useRefresh = snipeadapter.UseLife / 3
+// useReportInterval is the time between two reports of an engine that has requests in flight and no
+// changes. The repetition makes up for a lost report.
+const useReportInterval = snipeadapter.UseLife / 3
 
-// engineUse is what this instance uses of one engine.
+// engineUse is this instance's use of one engine.
 type engineUse struct {
 	// running counts the requests in flight.
 	running  int
 	adapters map[snipecatalog.Adapter]*use
-	// changed tells that a request has begun or ended since the last report, taken when
-	// that was.
-	changed bool
-	taken   time.Time
+	// changed is set when a request has begun or ended since the last report; reportedAt is the
+	// time of that report.
+	changed    bool
+	reportedAt time.Time
 }
 
 // use is the use of an adapter on one engine.
 type use struct {
-	// begun counts requests since the last report, running those in flight.
+	// begun counts the requests since the last report, running those in flight.
 	begun, running int
 }
 
-// Use notes that a request goes to an engine, for the next report to the engine's owner; its
-// adapter has no name where it asks for the base model itself. The returned function notes
-// its end.
+// Use records that a request is sent to an engine, for the next report to the engine's owner. The
+// adapter's name is empty for a request to the base model itself. The returned function records the
+// request's end.
 func (c *Chooser) Use(engine string, a snipecatalog.Adapter) (end func()) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -50,7 +50,7 @@
 	return func() { c.endUse(e, u) }
 }
 
-// engineUse returns the use of an engine, to be changed. The lock is held.
+// engineUse returns the use of an engine and creates it if needed. The lock is held.
 func (c *Chooser) engineUse(engine string) *engineUse {
 	if e := c.uses[engine]; e != nil {
 		return e
@@ -73,29 +73,29 @@
 	}
 }
 
-// TakeUses returns what has to be told to the owners of engines: the use of adapters, by
-// engine, of the engines where a request has begun or ended since the last report, and of
-// those with requests in flight of which nothing was told for a while.
+// TakeUses returns the use of adapters, by engine, that is due to be reported to the engines'
+// owners. An engine is due if a request has begun or ended there since its last report, or if
+// requests are in flight there and its last report is older than useReportInterval.
 func (c *Chooser) TakeUses() map[string]map[snipecatalog.Adapter]snipeadapter.Use {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	now := time.Now()
-	taken := make(map[string]map[snipecatalog.Adapter]snipeadapter.Use)
+	reports := make(map[string]map[snipecatalog.Adapter]snipeadapter.Use)
 	for engine, e := range c.uses {
-		if !e.changed && now.Sub(e.taken) < useRefresh {
+		if !e.changed && now.Sub(e.reportedAt) < useReportInterval {
 			continue
 		}
-		taken[engine] = e.take(now)
+		reports[engine] = e.report(now)
 		if e.running == 0 {
 			delete(c.uses, engine)
 		}
 	}
-	return taken
+	return reports
 }
 
-// take returns the use of one engine for a report.
-func (e *engineUse) take(now time.Time) map[snipecatalog.Adapter]snipeadapter.Use {
-	e.changed, e.taken = false, now
+// report returns the use of one engine for a report and resets its counts.
+func (e *engineUse) report(now time.Time) map[snipecatalog.Adapter]snipeadapter.Use {
+	e.changed, e.reportedAt = false, now
 	all := make(map[snipecatalog.Adapter]snipeadapter.Use, len(e.adapters))
 	for a, u := range e.adapters {
 		all[a] = snipeadapter.Use{Begun: u.begun, Running: u.running > 0}
--- a/snipegateway/use_test.go
+++ b/snipegateway/use_test.go
@@ -12,8 +12,8 @@
 	"snipepitch.example/snipepitch/snipegateway"
 )
 
-// TestTakeUses answers the pattern of hundreds of instances that each have a few streams in
-// flight: what has not changed is told again seldom, what has is told at once.
+// TestTakeUses guards against excessive use reports from hundreds of instances that each have a few
+// streams in flight: unchanged use is reported again rarely, and a change is reported at once.
 func TestTakeUses(t *testing.T) {
 	const tick = 80 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
@@ -47,8 +47,8 @@
 	})
 }
 
-// TestLostReports: the report of a use that is lost is made good while the use lasts, before
-// the one before it has lapsed.
+// TestLostReports guards against use that expires at the owner after a lost report: while requests
+// are in flight, the next report must come before the previous one expires.
 func TestLostReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &snipegateway.Chooser{}
--- a/snipegateway/waiting_test.go
+++ b/snipegateway/waiting_test.go
@@ -14,8 +14,9 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// TestWordWhileWaiting guards against a request that is sent to the engine for whose load it has
-// waited, although that has said meanwhile that it takes none: it goes to another one.
+// TestWordWhileWaiting guards against a request that is sent to the engine for whose load it waited
+// although that engine has meanwhile signaled that it takes no requests: the request must go to
+// another engine.
 func TestWordWhileWaiting(t *testing.T) {
 	tests := map[string]func(c *snipegateway.Chooser, engine string){
 		"Leaves": func(c *snipegateway.Chooser, engine string) { c.Directory.Leave(engine) },
@@ -26,9 +27,9 @@
 			c.Signals.Hear(engine, time.Now(), snipesignal.Signal{Limit: 0.1, Limited: true})
 		},
 	}
-	for name, say := range tests {
+	for name, signal := range tests {
 		t.Run(name, func(t *testing.T) {
-			o := &owners{}
+			o := &fakeOwners{}
 			c := newChooser(o, 2)
 			g, _ := newGateway(t, c, nil, nil)
 			g.Catalog.Catalog().Services[service].Engine = &snipecatalog.Engine{}
@@ -43,14 +44,14 @@
 				prepare(h, d)
 			}
 			first := ""
-			c.Ensure = func(ctx context.Context, u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, patience time.Duration) (int64, error) {
+			c.Ensure = func(ctx context.Context, u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, maxWait time.Duration) (int64, error) {
 				if first == "" {
 					first = u.ID
-					defer say(c, u.ID)
+					defer signal(c, u.ID)
 				}
-				return o.ensure(ctx, u, a, version, patience)
+				return o.ensure(ctx, u, a, version, maxWait)
 			}
-			must.Eq(t, http.StatusOK, ask(g).Code)
+			must.Eq(t, http.StatusOK, sendRequest(g).Code)
 			must.Len(t, 1, reached)
 			must.NotEq(t, first, reached[0])
 		})
--- a/snipegateway/workspace.go
+++ b/snipegateway/workspace.go
@@ -11,21 +11,22 @@
 	"snipepitch.example/snipepitch/snipeerror"
 )
 
-// Quotas counts requests against the quotas of their workspaces.
+// Quotas charges requests to the quotas of their workspaces.
 type Quotas struct {
-	// Take counts a request, or returns when there will be room for it.
+	// Take charges a request. If the quota is used up, it returns false and the time until enough
+	// of the quota is available.
 	Take func(ctx context.Context, w *snipecatalog.Workspace, units float64) (wait time.Duration, ok bool)
-	// Again counts one that is run once more.
+	// Again charges a request that runs once more.
 	Again func(w *snipecatalog.Workspace, units float64)
-	// Return gives back what was counted for one that was not run.
+	// Return refunds the charge of a request that was not run.
 	Return func(w *snipecatalog.Workspace, units float64)
 }
 
-// keyHeader holds the caller's key. It goes to no upstream where keys are declared.
+// keyHeader holds the caller's key. Where keys are declared, it is not sent to upstreams.
 const keyHeader = "Authorization"
 
-// identify finds the workspace that the request's key belongs to.
-func (c *call) identify() error {
+// identifyWorkspace finds the workspace of the request's key.
+func (c *call) identifyWorkspace() error {
 	if !c.catalog.Keyed() {
 		return nil
 	}
@@ -40,28 +41,30 @@
 	case !ok:
 		return c.unauthenticated("no key")
 	default:
-		return c.outdated(c.unauthenticated("no workspace has this key"))
+		return c.orOutdated(c.unauthenticated("no workspace has this key"))
 	}
 }
 
-// unauthenticated refuses a request for want of a key. Its body is not read.
+// unauthenticated returns the refusal of a request without a valid key. The request's body is not
+// read.
 func (c *call) unauthenticated(reason string) error {
 	c.writer.Header().Set("WWW-Authenticate", "Bearer")
 	return snipeerror.New(snipeerror.ErrUnauthenticated, c.outcome(), reason)
 }
 
-// outdated returns a refusal for what no route or workspace is known for. While this instance may
-// have missed a newer catalog nobody can tell whether it is right, and the caller comes back.
-func (c *call) outdated(err error) error {
+// orOutdated returns err, the refusal of an unknown route or key. If this instance may have missed
+// a newer catalog, it instead returns an error that asks the caller to retry, because the newer
+// catalog may contain the route or key.
+func (c *call) orOutdated(err error) error {
 	if !c.gateway.Outdated() {
 		return err
 	}
-	return snipeerror.New(snipeerror.ErrUnavailable, c.outcome(), "what operators declare may have changed since it was read").After(coldRetry)
+	return snipeerror.New(snipeerror.ErrUnavailable, c.outcome(), "what operators declare may have changed since it was read").After(startRetryAfter)
 }
 
-// authorizeAgain looks whether the key still holds before the request goes to an upstream: it may
-// have been taken away while the request waited, or since the attempt before.
-func (c *call) authorizeAgain() error {
+// recheckKey checks before each attempt that the key is still valid: it may have been revoked while
+// the request waited or since the previous attempt.
+func (c *call) recheckKey() error {
 	now := c.gateway.Catalog.Catalog()
 	if c.workspace == nil || now == c.catalog {
 		return nil
@@ -73,45 +76,46 @@
 	return nil
 }
 
-// limited reports whether the request counts against a quota.
-func (c *call) limited() bool { return c.workspace != nil && c.workspace.Quota.Limited() }
+// hasQuota reports whether the request counts against a quota.
+func (c *call) hasQuota() bool { return c.workspace != nil && c.workspace.Quota.Limited() }
 
-// count takes what the request needs from its workspace's quota.
-func (c *call) count(ctx context.Context) error {
-	if !c.limited() {
+// takeQuota charges the request to its workspace's quota.
+func (c *call) takeQuota(ctx context.Context) error {
+	if !c.hasQuota() {
 		return nil
 	}
 	units := c.workspace.Quota.Cost(c.PromptTokens+c.OutputTokens, c.Sized)
-	c.asked = units
+	c.cost = units
 	wait, ok := c.gateway.Quotas.Take(ctx, c.workspace, units)
 	if !ok {
-		// Those refused together do not return together.
-		wait += time.Duration(c.spread() * float64(spreadReturn))
+		// The jitter prevents callers that are refused together from returning together.
+		wait += time.Duration(c.jitter() * float64(quotaRetryJitter))
 		return snipeerror.New(snipeerror.ErrLimited, snipeerror.NotRun, "the workspace's quota is used up").After(wait)
 	}
 	c.units = units
 	return nil
 }
 
-// spreadReturn is the time over which callers return that were refused for a quota.
-const spreadReturn = 200 * time.Millisecond
+// quotaRetryJitter is the time over which the retries of callers refused by a quota are spread.
+const quotaRetryJitter = 200 * time.Millisecond
 
-// countAgain counts a request that goes to another upstream after one that may have run it.
-func (c *call) countAgain() {
-	if c.units > 0 && c.ran > 0 {
+// takeQuotaAgain charges a request again that is sent to another upstream after one that may have
+// run it.
+func (c *call) takeQuotaAgain() {
+	if c.units > 0 && c.mayHaveRun > 0 {
 		c.gateway.Quotas.Again(c.workspace, c.units)
 	}
 }
 
-// uncount gives back what was counted for a request that no upstream has run.
-func (c *call) uncount() {
-	if c.units > 0 && c.ran == 0 {
+// returnQuota refunds the charge of a request that no upstream has run.
+func (c *call) returnQuota() {
+	if c.units > 0 && c.mayHaveRun == 0 {
 		c.gateway.Quotas.Return(c.workspace, c.units)
 		c.units = 0
 	}
 }
 
-// workspaceName names whom the key belongs to; empty where no key was needed.
+// workspaceName returns the name of the request's workspace; empty if the request has none.
 func (c *call) workspaceName() string {
 	if c.workspace == nil {
 		return ""
@@ -119,7 +123,7 @@
 	return c.workspace.Name
 }
 
-// priority ranks the request at upstreams.
+// priority returns the request's priority at upstreams.
 func (c *call) priority() int {
 	if c.workspace != nil && c.workspace.Priority != nil {
 		return *c.workspace.Priority
@@ -127,41 +131,42 @@
 	return c.route.Priority
 }
 
-// mostCounted bounds the workspaces that have counters of their own.
-const mostCounted = 100
+// maxWorkspaceLabels bounds the workspaces with metrics of their own.
+const maxWorkspaceLabels = 100
 
-// counted are the workspaces that have counters of their own. It is safe for concurrent use.
-type counted struct {
+// workspaceLabels holds the labels of the workspaces with metrics of their own. It is safe for
+// concurrent use.
+type workspaceLabels struct {
 	lock sync.Mutex // guards names
-	// names are the workspaces' names as labels.
-	names map[string]string
+	// labels maps names of workspaces to metric labels.
+	labels map[string]string
 }
 
-// label returns the label of a workspace's counters.
-func (c *counted) label(workspace string) string {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	if label, ok := c.names[workspace]; ok {
+// label returns the metric label of a workspace.
+func (l *workspaceLabels) label(workspace string) string {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	if label, ok := l.labels[workspace]; ok {
 		return label
 	}
-	if len(c.names) >= mostCounted {
+	if len(l.labels) >= maxWorkspaceLabels {
 		return `"other"`
 	}
-	if c.names == nil {
-		c.names = make(map[string]string)
+	if l.labels == nil {
+		l.labels = make(map[string]string)
 	}
 	label := strconv.Quote(workspace)
-	c.names[workspace] = label
+	l.labels[workspace] = label
 	return label
 }
 
-// countWorkspace counts the end of a request for its workspace.
+// countWorkspace counts the end of a request in its workspace's metrics.
 func (c *call) countWorkspace(outcome string) {
 	if c.workspace == nil {
 		return
 	}
 	g := c.gateway
-	label := g.counted.label(c.workspace.Name)
+	label := g.workspaceLabels.label(c.workspace.Name)
 	g.Meter.Count("snipepitch_workspace_requests_total{workspace=" + label + `,outcome="` + outcome + `",status="` + strconv.Itoa(c.status) + `"}`)
 	g.Meter.Add("snipepitch_workspace_units_total{workspace="+label+"}", int(c.units))
 }
