--- /dev/null
+++ b/snipegateway/estimator.go
@@ -0,0 +1,108 @@
+package snipegateway
+
+import (
+	"sync"
+	"time"
+)
+
+const (
+	// delayQuantile is the quantile of the time to the first chunk that is estimated: one request
+	// in five waits that long or longer, and this delay counts as the cost of a busy engine.
+	delayQuantile = 0.8
+	// delayStep sets how far one request moves the estimated delay. Some forty requests move it by
+	// half, and an instance serves that many in a few seconds.
+	delayStep = 0.05
+	// minBusy is the share of occupied slots below which a request does not change the estimate: at
+	// less busy engines, network transfer and processing of the prompt make up most of the time to
+	// the first chunk.
+	minBusy = 0.4
+	// initialDelay is the assumed delay at an engine whose slots are all occupied, until requests
+	// to busy engines are observed.
+	initialDelay = 300 * time.Millisecond
+	// initialLoadWait is the assumed wait for a load, until one is observed.
+	initialLoadWait = 300 * time.Millisecond
+	// loadWaitWeight is the weight of the latest load in the moving average of load waits.
+	loadWaitWeight = 0.1
+	// maxReloadTime is the time below which a load is attributed to the engine's own memory and
+	// ignored.
+	maxReloadTime = 100 * time.Millisecond
+)
+
+// estimator estimates, for the engines of one service, how long a request is delayed by a busy
+// engine, and how long it would wait instead for a load on another engine. Both differ between
+// deployments and change over time. The zero value is ready to use.
+type estimator struct {
+	lock sync.Mutex // guards the fields below
+	// firstChunkDelay is the time to the first chunk at an engine whose slots are all occupied; the
+	// delay is assumed to be proportional to the share of occupied slots.
+	firstChunkDelay time.Duration
+	// loadWait is the average wait for a load.
+	loadWait time.Duration
+}
+
+// recordFirstChunk records the time to the first chunk of an answer from an engine; busy is the
+// share of the engine's slots that were occupied.
+func (e *estimator) recordFirstChunk(d time.Duration, busy float64) {
+	if busy < minBusy {
+		return
+	}
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	if e.firstChunkDelay == 0 {
+		e.firstChunkDelay = initialDelay
+	}
+	if float64(d)/busy > float64(e.firstChunkDelay) {
+		e.firstChunkDelay += time.Duration(delayStep * delayQuantile * float64(e.firstChunkDelay))
+		return
+	}
+	e.firstChunkDelay -= time.Duration(delayStep * (1 - delayQuantile) * float64(e.firstChunkDelay))
+}
+
+// recordLoad records the wait for a load.
+func (e *estimator) recordLoad(d time.Duration) {
+	if d < maxReloadTime {
+		return
+	}
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	if e.loadWait == 0 {
+		e.loadWait = initialLoadWait
+	}
+	e.loadWait += time.Duration(loadWaitWeight * float64(d-e.loadWait))
+}
+
+// overloadThreshold returns the share of occupied slots from which on a load on another engine
+// takes less time than the delay at the busy engine.
+func (e *estimator) overloadThreshold() float64 {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	delay, wait := e.firstChunkDelay, e.loadWait
+	if delay == 0 {
+		delay = initialDelay
+	}
+	if wait == 0 {
+		wait = initialLoadWait
+	}
+	return float64(wait) / float64(delay)
+}
+
+// estimators holds one estimator for each service. The zero value is ready to use.
+type estimators struct {
+	lock sync.Mutex // guards all
+	all  map[string]*estimator
+}
+
+// forService returns the estimator of a service and creates it if needed.
+func (e *estimators) forService(service string) *estimator {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	if found := e.all[service]; found != nil {
+		return found
+	}
+	if e.all == nil {
+		e.all = make(map[string]*estimator)
+	}
+	created := &estimator{}
+	e.all[service] = created
+	return created
+}
