--- a/snipeentry/rest_test.go
+++ b/snipeentry/backoff_test.go
@@ -15,8 +15,8 @@
 // another upstream is free.
 func TestRestAskedByUpstream(t *testing.T) {
 	tests := map[string]struct {
-		resting, target string
-		header          []string
+		backingOff, target string
+		header             []string
 	}{
 		"Plain":   {"p1", "/often/x", nil},
 		"Once":    {"p1", "/once/x", nil},
@@ -26,20 +26,20 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, time.Millisecond)
+			s := newTestCluster(t, time.Millisecond)
 			s.declare(1)
 			instances := []*instance{s.start("one"), s.start("two"), s.start("three")}
 			for _, i := range instances {
-				serving(t, i)
+				waitServing(t, i)
 				// Until engines have owners adapters are refused for want of one.
 				eventually(t, func() bool {
 					a, _ := send(t, i.url, http.MethodGet, tt.target, "", tt.header...)
 					return a.status == http.StatusOK
 				})
 			}
-			s.runners[tt.resting].AskRest(3 * time.Second)
-			sent := press(t, instances, tt.target, 30*time.Millisecond, 7*time.Second, tt.header...)
-			must.SliceEmpty(t, snipestand.RestBreaches(s.runners[tt.resting].Arrivals(), sent.of, nil))
+			s.runners[tt.backingOff].AskRest(3 * time.Second)
+			sent := sendLoad(t, instances, tt.target, 30*time.Millisecond, 7*time.Second, tt.header...)
+			must.SliceEmpty(t, snipestand.RestBreaches(s.runners[tt.backingOff].Arrivals(), sent.sender, nil))
 			must.Eq(t, 0, sent.refused, must.Sprint("the other upstream is free"))
 		})
 	}
--- a/snipeentry/whole_test.go
+++ b/snipeentry/cluster_test.go
@@ -30,7 +30,7 @@
 const host = "calls.example"
 
 // stage is a store, runners and entry instances on loopback.
-type stage struct {
+type testCluster struct {
 	t       *testing.T
 	store   *snipestand.RowStore
 	address netip.AddrPort
@@ -41,13 +41,13 @@
 }
 
 // Write implements io.Writer for the instances' logs.
-func (s *stage) Write(p []byte) (int, error) {
+func (s *testCluster) Write(p []byte) (int, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.log.Write(p)
 }
 
-func (s *stage) logged() string {
+func (s *testCluster) logged() string {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.log.String()
@@ -62,10 +62,10 @@
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// newStage starts a store, two engines and two plain upstreams, which write their
+// newTestCluster starts a store, two engines and two plain upstreams, which write their
 // entries until the test ends. Events of streams come at an interval.
-func newStage(t *testing.T, event time.Duration) *stage {
-	s := &stage{t: t, store: snipestand.NewRowStore(), runners: map[string]*snipestand.Runner{}}
+func newTestCluster(t *testing.T, event time.Duration) *testCluster {
+	s := &testCluster{t: t, store: snipestand.NewRowStore(), runners: map[string]*snipestand.Runner{}}
 	s.address = serve(t, s.store.Handler())
 	for _, r := range []*snipestand.Runner{
 		{ID: "e1", Service: "engines", Model: "base"},
@@ -79,14 +79,14 @@
 		r.Address = serve(t, r.Handler()).String()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var beating sync.WaitGroup
-	t.Cleanup(func() { cancel(); beating.Wait() })
-	beating.Go(func() { s.beat(ctx) })
+	var heartbeats sync.WaitGroup
+	t.Cleanup(func() { cancel(); heartbeats.Wait() })
+	heartbeats.Go(func() { s.writeHeartbeats(ctx) })
 	return s
 }
 
 // beat writes all runners' entries twice a second.
-func (s *stage) beat(ctx context.Context) {
+func (s *testCluster) writeHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, r := range s.runners {
 			if err := r.Beat(s.store); err != nil {
@@ -103,7 +103,7 @@
 type object = map[string]any
 
 // declare writes the operators' catalog, with its workspaces if there are any.
-func (s *stage) declare(version int, workspaces ...object) {
+func (s *testCluster) declare(version int, workspaces ...object) {
 	route := func(name, prefix, kind, service string, more object) object {
 		r := object{
 			"name": name, "host": host, "prefix": prefix, "routeKind": kind, "service": service,
@@ -141,7 +141,7 @@
 	kill  context.CancelFunc
 }
 
-func (s *stage) start(name string) *instance {
+func (s *testCluster) start(name string) *instance {
 	listeners := map[netip.AddrPort]net.Listener{}
 	open := func() netip.AddrPort {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -207,7 +207,7 @@
 }
 
 // serving waits until an instance serves plain upstreams and engines.
-func serving(t *testing.T, i *instance) {
+func waitServing(t *testing.T, i *instance) {
 	t.Helper()
 	eventually(t, i.isReady)
 	for _, target := range []string{"/once/x", "/final/x"} {
@@ -259,7 +259,7 @@
 }
 
 // total returns how often a request ran, over all runners.
-func (s *stage) total(id string) int {
+func (s *testCluster) total(id string) int {
 	n := 0
 	for _, r := range s.runners {
 		n += r.Ran()[id]
@@ -271,7 +271,7 @@
 
 // TestWholePath plays callers, instances, upstreams and the store together.
 func TestWholePath(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	one := s.start("one")
 	eventually(t, func() bool {
 		a, _ := send(t, one.url, http.MethodPost, "/once/x", "")
@@ -279,7 +279,7 @@
 	})
 	must.False(t, one.isReady())
 	s.declare(1)
-	serving(t, one)
+	waitServing(t, one)
 
 	t.Run("ByteForByte", func(t *testing.T) {
 		const target = "/once/%2F%41/..//x?a=%20+b;&&"
@@ -350,7 +350,7 @@
 }
 
 // faults holds what callers get when upstreams fail, and how often requests run.
-func faults(t *testing.T, s *stage, one *instance) {
+func faults(t *testing.T, s *testCluster, one *instance) {
 	tests := map[string]struct {
 		target, service string
 		fault           snipestand.RunnerFault
@@ -397,7 +397,7 @@
 // TestFirstCaller answers the pattern of callers that come back before the instance knows routes and
 // upstreams, as all do after a loss of power: they wait for what takes a moment.
 func TestFirstCaller(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
 	eventually(t, func() bool { return s.store.Rows("servers") == len(s.runners) })
 	one := s.start("one")
@@ -408,11 +408,11 @@
 // TestInstanceDies: the engines that an instance may order pass to another one, no
 // engine is ordered by two at once, and requests go on.
 func TestInstanceDies(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
 	one, two := s.start("one"), s.start("two")
-	serving(t, one)
-	serving(t, two)
+	waitServing(t, one)
+	waitServing(t, two)
 	draft := func(i *instance, adapter string) bool {
 		a, _ := send(t, i.url, http.MethodPost, "/draft/x", "", modelHeader, "base/"+adapter)
 		return a.status == http.StatusOK && a.body == events(1)
@@ -440,10 +440,10 @@
 // TestStop: a planned stop ends readiness at once, answers what comes meanwhile and
 // cuts nothing.
 func TestStop(t *testing.T) {
-	s := newStage(t, 100*time.Millisecond)
+	s := newTestCluster(t, 100*time.Millisecond)
 	s.declare(1)
 	one := s.start("one")
-	serving(t, one)
+	waitServing(t, one)
 	before := len(s.runners["e1"].Ran()) + len(s.runners["e2"].Ran())
 	answered := make(chan reply, 1)
 	go func() {
@@ -467,10 +467,10 @@
 	}
 	for name, mode := range modes {
 		t.Run(name, func(t *testing.T) {
-			s := newStage(t, time.Millisecond)
+			s := newTestCluster(t, time.Millisecond)
 			s.declare(1)
 			one := s.start("one")
-			serving(t, one)
+			waitServing(t, one)
 			s.store.SetMode(mode)
 			eventually(t, func() bool { return strings.Contains(s.logged(), `"Name":"CatalogStale"`) })
 			a, _ := send(t, one.url, http.MethodPost, "/once/x", "")
@@ -485,10 +485,10 @@
 
 // TestHistoryLost: a store that forgot its history is read anew.
 func TestHistoryLost(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
 	one := s.start("one")
-	serving(t, one)
+	waitServing(t, one)
 	s.store.Compact()
 	s.declare(2)
 	eventually(t, func() bool { return strings.Contains(s.logged(), `"Catalog":2,"Event":310`) })
--- a/snipeentry/near_test.go
+++ b/snipeentry/copies_test.go
@@ -26,17 +26,17 @@
 	}
 	for own := range count + 1 { // the last one is no reader
 		for failures := range 2 * count {
-			followed, ok := leader(readers, peer(own), failures, false)
+			followed, ok := followedReader(readers, peer(own), failures, false)
 			must.Eq(t, failures < min(own, count), ok)
 			if ok {
 				must.Less(t, own, slices.Index(readers, followed))
 			}
-			followed, ok = leader(readers[:4], peer(own), failures, true)
+			followed, ok = followedReader(readers[:4], peer(own), failures, true)
 			must.True(t, ok)
 			must.Eq(t, peer(failures%4), followed)
 		}
 	}
-	_, ok := leader(nil, peer(0), 0, true)
+	_, ok := followedReader(nil, peer(0), 0, true)
 	must.False(t, ok)
 }
 
--- a/snipeentry/acquaint_test.go
+++ b/snipeentry/discovery_test.go
@@ -18,17 +18,17 @@
 		want    time.Duration
 	}{
 		"KnowsOthers":  {3, false, 0},
-		"FindsNobody":  {0, false, acquaintance},
+		"FindsNobody":  {0, false, maxDiscoveryWait},
 		"StoreRefuses": {0, true, 0},
 	}
 	all := memberRows(t)
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				i := among(t, 0, 2*time.Second, all[:tt.known])
-				i.strange.Store(tt.refused)
+				i := instanceWithRows(t, 0, 2*time.Second, all[:tt.known])
+				i.ownershipUnreadable.Store(tt.refused)
 				begun := time.Now()
-				i.acquaint(t.Context())
+				i.waitForPeers(t.Context())
 				must.Eq(t, tt.want, time.Since(begun))
 			})
 		})
--- a/snipeentry/entries.go
+++ b/snipeentry/entries.go
@@ -2,22 +2,22 @@
 
 import "sync"
 
-// maxWrongEntries bounds the entries that are remembered as wrong: the registry holds at
+// maxInvalidEntries bounds the entries that are remembered as wrong: the registry holds at
 // most some thousand, and who writes nonsense under ever new keys must not take memory.
-const maxWrongEntries = 4096
+const maxInvalidEntries = 4096
 
-// wrongEntries are the keys of entries of the registry that cannot be understood. The
+// invalidEntries are the keys of entries of the registry that cannot be understood. The
 // zero value is ready; it is safe for concurrent use.
-type wrongEntries struct {
+type invalidEntries struct {
 	lock sync.Mutex // guards keys
 	keys map[string]bool
 }
 
 // Add notes a wrong entry and reports whether that is new.
-func (w *wrongEntries) Add(key string) bool {
+func (w *invalidEntries) Add(key string) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	if w.keys[key] || len(w.keys) >= maxWrongEntries {
+	if w.keys[key] || len(w.keys) >= maxInvalidEntries {
 		return false
 	}
 	if w.keys == nil {
@@ -28,7 +28,7 @@
 }
 
 // Remove notes that an entry is not wrong and reports whether it was.
-func (w *wrongEntries) Remove(key string) bool {
+func (w *invalidEntries) Remove(key string) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	was := w.keys[key]
@@ -37,7 +37,7 @@
 }
 
 // Len returns how many entries are wrong.
-func (w *wrongEntries) Len() int {
+func (w *invalidEntries) Len() int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return len(w.keys)
--- a/snipeentry/promise.go
+++ b/snipeentry/extension.go
@@ -17,12 +17,12 @@
 	relay  *relay
 }
 
-// maxPromised bounds the engines of one question: an instance owns fewer.
-const maxPromised = 100
+// maxExtendedEngines bounds the engines of one question: an instance owns fewer.
+const maxExtendedEngines = 100
 
 // Promise implements snipeproto.Ownership.
 func (s *ownershipServer) Promise(_ context.Context, r *snipeproto.OwnershipPromiseRequest) (*snipeproto.OwnershipPromiseResponse, error) {
-	if len(r.GetEngines()) > maxPromised {
+	if len(r.GetEngines()) > maxExtendedEngines {
 		return nil, twirp.InvalidArgumentError("engines", "are too many")
 	}
 	q := snipeowner.Question{Unanswered: time.Duration(r.GetUnansweredMilliseconds()) * time.Millisecond}
@@ -41,14 +41,14 @@
 }
 
 // promise asks another instance to leave this one its engines.
-func (i *Instance) promise(ctx context.Context, peer netip.AddrPort, q snipeowner.Question) error {
+func (i *Instance) requestExtension(ctx context.Context, peer netip.AddrPort, q snipeowner.Question) error {
 	r := &snipeproto.OwnershipPromiseRequest{
 		Owner: q.Owner.String(), UnansweredMilliseconds: q.Unanswered.Milliseconds(),
 	}
 	for _, engine := range q.Engines {
 		r.Engines = append(r.Engines, engine.String())
 	}
-	answer, err := i.peers.owners.of(peer).Promise(ctx, r)
+	answer, err := i.peers.owners.client(peer).Promise(ctx, r)
 	switch {
 	case err != nil:
 		return err
--- a/snipeentry/keys_test.go
+++ b/snipeentry/keys_test.go
@@ -24,7 +24,7 @@
 }
 
 // seen returns the tokens that upstreams ran for a workspace, and how many keys they saw.
-func (s *stage) seen(workspace string) (tokens, keys int) {
+func (s *testCluster) workspaceUsage(workspace string) (tokens, keys int) {
 	for _, r := range s.runners {
 		_, n := r.Workspaces()
 		tokens, keys = tokens+r.Tokens()[workspace], keys+n
@@ -42,7 +42,7 @@
 
 // TestKeys: a request runs for the workspace that holds its key, and not without one.
 func TestKeys(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1, workspace("north", "key-n1", "key-n2"), workspace("south", "key-s1"))
 	one := s.start("one")
 	eventually(t, func() bool { return status(t, one, "key-n1") == http.StatusOK })
@@ -71,11 +71,11 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			before, _ := s.seen(tt.runs)
+			before, _ := s.workspaceUsage(tt.runs)
 			a, id := send(t, one.url, http.MethodPost, tt.target, "", append(tt.header, tokensHeader, "30,4")...)
 			must.NoError(t, a.err)
 			must.Eq(t, tt.want, a.status, must.Sprint(a.body))
-			after, keys := s.seen(tt.runs)
+			after, keys := s.workspaceUsage(tt.runs)
 			must.Eq(t, 0, keys)
 			if tt.want != http.StatusOK {
 				must.Eq(t, 0, s.total(id))
@@ -90,41 +90,41 @@
 
 // TestKeysChange: keys are in force and void with the catalogs that say so.
 func TestKeysChange(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1, workspace("north", "key-1", "key-2"), workspace("south", "key-3"))
 	one := s.start("one")
-	becomes := func(key string, want int) {
+	waitStatus := func(key string, want int) {
 		t.Helper()
 		eventually(t, func() bool { return status(t, one, key) == want })
 	}
-	becomes("key-1", http.StatusOK)
+	waitStatus("key-1", http.StatusOK)
 	// Taken away, and given back.
 	s.declare(2, workspace("north", "key-2"), workspace("south", "key-3"))
-	becomes("key-1", http.StatusUnauthorized)
-	becomes("key-2", http.StatusOK)
+	waitStatus("key-1", http.StatusUnauthorized)
+	waitStatus("key-2", http.StatusOK)
 	s.declare(3, workspace("north", "key-1", "key-2"), workspace("south", "key-3"))
-	becomes("key-1", http.StatusOK)
+	waitStatus("key-1", http.StatusOK)
 	// All of a workspace's keys at once, and one that moves to another workspace.
 	s.declare(4, workspace("north"), workspace("south", "key-3", "key-2"))
-	becomes("key-1", http.StatusUnauthorized)
-	before, _ := s.seen("south")
+	waitStatus("key-1", http.StatusUnauthorized)
+	before, _ := s.workspaceUsage("south")
 	_, _ = send(t, one.url, http.MethodPost, "/once/x", "", "Authorization", "Bearer key-2", tokensHeader, "5,5")
-	after, _ := s.seen("south")
+	after, _ := s.workspaceUsage("south")
 	must.Eq(t, before+10, after)
 	// A catalog that is wrong in one workspace changes nothing.
 	s.declare(5, workspace("north", "key-1"), workspace("south", "key-1"))
 	eventually(t, func() bool { return strings.Contains(s.logged(), `\"south\": has a key of \"north\"`) })
-	becomes("key-3", http.StatusOK)
+	waitStatus("key-3", http.StatusOK)
 	// Without workspaces no request needs a key.
 	s.declare(6)
-	becomes("key-1", http.StatusOK)
+	waitStatus("key-1", http.StatusOK)
 	must.StrNotContains(t, s.logged(), "key-")
 }
 
 // TestKeyTakenWhileWaiting answers the pattern of a request that waits for its adapter when its key
 // is taken away: it goes to no upstream.
 func TestKeyTakenWhileWaiting(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	for _, r := range s.runners {
 		r.Load = 1500 * time.Millisecond
 	}
@@ -153,7 +153,7 @@
 // TestKeyWhileBehind: an instance that cannot know whether a newer catalog holds the key does not
 // say that there is none.
 func TestKeyWhileBehind(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1, workspace("north", "key-1"))
 	one := s.start("one")
 	eventually(t, func() bool { return status(t, one, "key-1") == http.StatusOK })
@@ -169,12 +169,12 @@
 
 // TestHostileKeys: headers of ten thousand callers without a key reach no upstream and no log.
 func TestHostileKeys(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1, workspace("north", "key-1"))
 	one := s.start("one")
 	eventually(t, func() bool { return status(t, one, "key-1") == http.StatusOK })
-	ran := func() int { return len(s.runners["p1"].Ran()) + len(s.runners["p2"].Ran()) }
-	before := ran()
+	executions := func() int { return len(s.runners["p1"].Ran()) + len(s.runners["p2"].Ran()) }
+	before := executions()
 	random := rand.New(rand.NewPCG(1, 1))
 	h := &http.Client{}
 	for n := range 10_000 {
@@ -189,7 +189,7 @@
 		must.Less(t, 1000, a.ContentLength)
 		must.NoError(t, a.Body.Close())
 	}
-	must.Eq(t, before, ran())
+	must.Eq(t, before, executions())
 	must.StrNotContains(t, s.logged(), "hidden-")
 }
 
@@ -213,7 +213,7 @@
 
 // TestQuota: over the quota callers are told at once when to come back, and what ran is counted.
 func TestQuota(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	limited := workspace("north", "key-1")
 	limited["ratePerS"], limited["burst"] = 1000, 1000
 	s.declare(1, limited, workspace("south", "key-2"))
@@ -239,7 +239,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	must.Positive(t, refused)
-	tokens, _ := s.seen("north")
+	tokens, _ := s.workspaceUsage("north")
 	// A burst, and the rate for the time that it took; requests under way may count twice.
 	must.LessEq(t, int(1000*(1+time.Since(began).Seconds()))+200, tokens)
 	must.GreaterEq(t, 2000, tokens)
--- a/snipeentry/leaving_test.go
+++ b/snipeentry/leaving_test.go
@@ -30,16 +30,16 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, time.Millisecond)
+			s := newTestCluster(t, time.Millisecond)
 			s.declare(1)
 			instances := []*instance{s.start("one"), s.start("two"), s.start("three")}
 			for _, i := range instances {
-				serving(t, i)
+				waitServing(t, i)
 			}
 			s.store.SetMode(snipestand.StoreSilent)
 			s.runners[tt.leaving].SayLeaving()
-			sent := press(t, instances, tt.target, 30*time.Millisecond, 5*time.Second, tt.header...)
-			must.SliceEmpty(t, snipestand.LeavingBreaches(s.runners[tt.leaving].Arrivals(), drainBound, sent.of, nil))
+			sent := sendLoad(t, instances, tt.target, 30*time.Millisecond, 5*time.Second, tt.header...)
+			must.SliceEmpty(t, snipestand.LeavingBreaches(s.runners[tt.leaving].Arrivals(), drainBound, sent.sender, nil))
 			must.Eq(t, 0, sent.refused, must.Sprint("the other upstream stays"))
 		})
 	}
@@ -48,24 +48,24 @@
 // TestLeavingToldToOthers guards against instances that go on using an upstream of whose leaving
 // another instance has heard, while the registry cannot tell them.
 func TestLeavingToldToOthers(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
 	instances := []*instance{s.start("one"), s.start("two"), s.start("three")}
 	for _, i := range instances {
-		serving(t, i)
+		waitServing(t, i)
 	}
-	acquainted(t, instances)
+	waitPeersKnown(t, instances)
 	s.store.SetMode(snipestand.StoreSilent)
 	s.runners["p1"].SayLeaving()
-	press(t, instances[:1], "/often/x", 10*time.Millisecond, time.Second)
+	sendLoad(t, instances[:1], "/often/x", 10*time.Millisecond, time.Second)
 	eventually(t, func() bool { return strings.Count(s.logged(), `"Name":"UpstreamLeaving"`) == len(instances) })
 	before := len(s.runners["p1"].Arrivals())
-	press(t, instances[1:], "/often/x", 10*time.Millisecond, time.Second)
+	sendLoad(t, instances[1:], "/often/x", 10*time.Millisecond, time.Second)
 	must.Eq(t, before, len(s.runners["p1"].Arrivals()))
 }
 
 // acquainted waits until all instances know each other.
-func acquainted(t *testing.T, instances []*instance) {
+func waitPeersKnown(t *testing.T, instances []*instance) {
 	t.Helper()
 	want := fmt.Sprintf("snipepitch_instances %d\n", len(instances))
 	for _, i := range instances {
--- a/snipeentry/limit_test.go
+++ b/snipeentry/limit_test.go
@@ -20,7 +20,7 @@
 	refused int
 }
 
-func (s *senders) note(id, instance string, status int) {
+func (s *senders) record(id, instance string, status int) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.all[id] = instance
@@ -29,17 +29,17 @@
 	}
 }
 
-func (s *senders) of(id string) string { return s.all[id] }
+func (s *senders) sender(id string) string { return s.all[id] }
 
 // press sends requests to instances in turn, one after each pause, and waits for their answers.
-func press(t *testing.T, instances []*instance, target string, pause, length time.Duration, header ...string) *senders {
+func sendLoad(t *testing.T, instances []*instance, target string, pause, length time.Duration, header ...string) *senders {
 	s := &senders{all: map[string]string{}}
 	var all sync.WaitGroup
 	for n := range int(length / pause) {
 		i := instances[n%len(instances)]
 		all.Go(func() {
 			a, id := send(t, i.url, http.MethodGet, target, "", header...)
-			s.note(id, i.url, a.status)
+			s.record(id, i.url, a.status)
 		})
 		time.Sleep(pause)
 	}
@@ -60,15 +60,15 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, time.Millisecond)
+			s := newTestCluster(t, time.Millisecond)
 			s.declare(1)
 			instances := []*instance{s.start("one"), s.start("two"), s.start("three")}
 			for _, i := range instances {
-				serving(t, i)
+				waitServing(t, i)
 			}
 			s.runners[tt.limited].NameLimit(3)
-			sent := press(t, instances, tt.target, 30*time.Millisecond, 9*time.Second, tt.header...)
-			must.SliceEmpty(t, snipestand.LimitBreaches(s.runners[tt.limited].Arrivals(), sent.of, nil))
+			sent := sendLoad(t, instances, tt.target, 30*time.Millisecond, 9*time.Second, tt.header...)
+			must.SliceEmpty(t, snipestand.LimitBreaches(s.runners[tt.limited].Arrivals(), sent.sender, nil))
 			must.Eq(t, 0, sent.refused, must.Sprint("the other upstream is free"))
 		})
 	}
@@ -77,19 +77,19 @@
 // TestLimitToldToOthers guards against instances that do not learn from the others that an upstream
 // names a limit, or that it is over: one that sends it nothing hears neither from the upstream.
 func TestLimitToldToOthers(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
 	instances := []*instance{s.start("one"), s.start("two"), s.start("three")}
 	for _, i := range instances {
-		serving(t, i)
+		waitServing(t, i)
 	}
-	told := func(event string) bool {
+	loggedByAll := func(event string) bool {
 		return strings.Count(s.logged(), `"Name":"`+event+`"`) == len(instances)
 	}
 	s.runners["p1"].NameLimit(100)
-	press(t, instances[:1], "/often/x", 10*time.Millisecond, time.Second)
-	eventually(t, func() bool { return told("UpstreamLimited") })
+	sendLoad(t, instances[:1], "/often/x", 10*time.Millisecond, time.Second)
+	eventually(t, func() bool { return loggedByAll("UpstreamLimited") })
 	s.runners["p1"].NameNoLimit()
-	press(t, instances[:1], "/often/x", 10*time.Millisecond, time.Second)
-	eventually(t, func() bool { return told("UpstreamFree") })
+	sendLoad(t, instances[:1], "/often/x", 10*time.Millisecond, time.Second)
+	eventually(t, func() bool { return loggedByAll("UpstreamFree") })
 }
--- a/snipeentry/listen.go
+++ b/snipeentry/listen.go
@@ -20,14 +20,14 @@
 const callersName = "Callers"
 
 const (
-	// headerTime bounds the time to send a request's header; callers take well
+	// headerTimeout bounds the time to send a request's header; callers take well
 	// under three seconds.
-	headerTime = 5 * time.Second
-	// idleTime is how long a connection may wait for its next request: callers
+	headerTimeout = 5 * time.Second
+	// idleTimeout is how long a connection may wait for its next request: callers
 	// reuse theirs after up to four fifths of what operators declare, 15 s so far.
-	idleTime = 2 * time.Minute
-	// headerBytes bounds a request's header; operators declare 16 KiB.
-	headerBytes = 32 << 10
+	idleTimeout = 2 * time.Minute
+	// maxHeaderBytes bounds a request's header; operators declare 16 KiB.
+	maxHeaderBytes = 32 << 10
 )
 
 // connectionLog takes what net/http says about single connections.
@@ -64,7 +64,7 @@
 	var servers []*http.Server
 	for _, l := range listeners {
 		s := &http.Server{
-			Handler: l.handler, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: headerBytes,
+			Handler: l.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 			ErrorLog: log.New(&connectionLog{i.Log, l.name}, "", 0),
 		}
 		listener, err := i.open(ctx, l.address)
@@ -81,14 +81,14 @@
 
 // peerHandler serves other instances.
 func (i *Instance) peerHandler() http.Handler {
-	desk := snipeproto.NewAdapterServer(&peerServer{desk: i.desk, replicas: i.gateway.Chooser.Replicas, board: i.board, balancer: i.balancer, signals: i.signals})
+	controller := snipeproto.NewAdapterServer(&peerServer{controller: i.controller, replicas: i.gateway.Chooser.Replicas, board: i.board, balancer: i.balancer, signals: i.signals})
 	mirrors := snipeproto.NewMirrorServer(&mirrorServer{mirrors: i.mirrors()})
 	owners := snipeproto.NewOwnershipServer(&ownershipServer{i.holder, i.relay})
 	quotas := snipeproto.NewQuotaServer(&quotaServer{i.issuer})
 	m := http.NewServeMux()
 	m.Handle(quotas.PathPrefix(), quotas)
 	m.Handle(owners.PathPrefix(), owners)
-	m.Handle(desk.PathPrefix(), desk)
+	m.Handle(controller.PathPrefix(), controller)
 	m.Handle(mirrors.PathPrefix(), mirrors)
 	return m
 }
--- a/snipeentry/loads.go
+++ b/snipeentry/loads.go
@@ -16,58 +16,58 @@
 // the owners, and the others ask it.
 
 const (
-	// gatherFrom is from how many instances on the first of each domain gathers loads.
-	gatherFrom = 32
-	// loadsEvery is the time between two looks at the loads of all engines: an engine gets one
+	// minGatherInstances is from how many instances on the first of each domain gathers loads.
+	minGatherInstances = 32
+	// loadsInterval is the time between two looks at the loads of all engines: an engine gets one
 	// or two requests meanwhile.
-	loadsEvery = 160 * time.Millisecond
+	loadsInterval = 160 * time.Millisecond
 	// loadsTimeout bounds one question for loads: a later answer is of no use.
 	loadsTimeout = 150 * time.Millisecond
 )
 
 // gathers reports whether loads are gathered by the first instance of each domain.
-func (i *Instance) gathers() bool { return i.instances() >= gatherFrom }
+func (i *Instance) gathersLoads() bool { return i.instances() >= minGatherInstances }
 
-// learnLoads learns the loads of all engines, from their owners or from the instance that has
+// updateLoads learns the loads of all engines, from their owners or from the instance that has
 // asked these.
-func (i *Instance) learnLoads(ctx context.Context) {
-	if !i.gathers() {
+func (i *Instance) updateLoads(ctx context.Context) {
+	if !i.gathersLoads() {
 		return
 	}
 	readers := i.readers(false)
 	if len(readers) == 0 || readers[0] == i.Settings.Peers {
-		i.askOwners(ctx)
+		i.requestOwnerLoads(ctx)
 		return
 	}
-	turn := i.peers.loadsTurn()
-	go i.askLoads(ctx, readers[turn%len(readers)], turn)
+	rank := i.peers.loadsReaderRank()
+	go i.requestLoads(ctx, readers[rank%len(readers)], rank)
 }
 
-// askOwners has all owners tell the loads of their engines that were not heard of lately.
-func (i *Instance) askOwners(ctx context.Context) {
-	since := time.Now().Add(-loadsEvery / 2)
+// requestOwnerLoads has all owners tell the loads of their engines that were not heard of lately.
+func (i *Instance) requestOwnerLoads(ctx context.Context) {
+	since := time.Now().Add(-loadsInterval / 2)
 	for _, owner := range i.holder.View().Others {
-		if i.peers.heardAt(owner).Before(since) {
-			go i.report(ctx, owner, i.newReport())
+		if i.peers.lastAnswer(owner).Before(since) {
+			go i.sendReport(ctx, owner, i.newReport())
 		}
 	}
 }
 
-// askLoads learns the loads that another instance knows. One that does not answer is left for
+// requestLoads learns the loads that another instance knows. One that does not answer is left for
 // the next in rank for a while.
-func (i *Instance) askLoads(ctx context.Context, to netip.AddrPort, turn int) {
+func (i *Instance) requestLoads(ctx context.Context, to netip.AddrPort, rank int) {
 	ctx, cancel := context.WithTimeout(ctx, loadsTimeout)
 	defer cancel()
-	answer, err := i.peers.adapters.of(to).Loads(ctx, &snipeproto.AdapterLoadsRequest{})
+	answer, err := i.peers.adapters.client(to).Loads(ctx, &snipeproto.AdapterLoadsRequest{})
 	if ctx.Err() == context.Canceled {
 		return
 	}
-	changed := i.peers.loadsAnswered(turn, err == nil)
+	changed := i.peers.noteLoadsAnswer(rank, err == nil)
 	switch {
 	case err != nil && changed:
-		i.Log.Error(snipelog.LoadsUnknown, err, snipelog.Fields{peerName: to})
+		i.Log.Error(snipelog.LoadsUnknown, err, snipelog.Fields{peerField: to})
 	case changed:
-		i.Log.Log(snipelog.LoadsKnown, snipelog.Fields{peerName: to})
+		i.Log.Log(snipelog.LoadsKnown, snipelog.Fields{peerField: to})
 	}
 	if err != nil {
 		return
@@ -92,35 +92,35 @@
 	return answer, nil
 }
 
-// loadsPause is for how long an instance is not asked for loads that did not answer.
-const loadsPause = 3 * time.Second
+// loadsRetryPause is for how long an instance is not asked for loads that did not answer.
+const loadsRetryPause = 3 * time.Second
 
-// loadsTurn is which instance of the domain is asked for loads: the first, or the next after
+// loadsReaderRank is which instance of the domain is asked for loads: the first, or the next after
 // each that did not answer.
-func (p *peers) loadsTurn() int {
+func (p *peers) loadsReaderRank() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if time.Since(p.loadsFailedAt) >= loadsPause {
-		p.loadsTried = 0
+	if time.Since(p.loadsFailedAt) >= loadsRetryPause {
+		p.loadsFailures = 0
 	}
-	return p.loadsTried
+	return p.loadsFailures
 }
 
-// loadsAnswered notes whether the instance whose turn it was told the loads, and tells whether
+// noteLoadsAnswer notes whether the instance whose turn it was told the loads, and tells whether
 // the first of the domain was lost or is back by that.
-func (p *peers) loadsAnswered(turn int, ok bool) (changed bool) {
+func (p *peers) noteLoadsAnswer(rank int, ok bool) (changed bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if !ok {
-		if turn == p.loadsTried {
-			p.loadsTried++
+		if rank == p.loadsFailures {
+			p.loadsFailures++
 		}
 		p.loadsFailedAt = time.Now()
-		changed = !p.loadsLost
-		p.loadsLost = true
+		changed = !p.firstLoadsReaderLost
+		p.firstLoadsReaderLost = true
 		return changed
 	}
-	changed = p.loadsLost && turn == 0
-	p.loadsLost = p.loadsLost && turn > 0
+	changed = p.firstLoadsReaderLost && rank == 0
+	p.firstLoadsReaderLost = p.firstLoadsReaderLost && rank > 0
 	return changed
 }
--- a/snipeentry/loads_test.go
+++ b/snipeentry/loads_test.go
@@ -20,23 +20,23 @@
 		p := &peers{}
 		begun := time.Now()
 		lost := func() bool { d := time.Since(begun); return d >= time.Second && d < 9*time.Second }
-		inVain, told := 0, 0
+		failed, changes := 0, 0
 		var back time.Time
 		for range 100 {
-			time.Sleep(loadsEvery)
-			turn := p.loadsTurn()
-			must.Less(t, 2, turn)
-			if turn == 0 && lost() {
-				inVain++
+			time.Sleep(loadsInterval)
+			rank := p.loadsReaderRank()
+			must.Less(t, 2, rank)
+			if rank == 0 && lost() {
+				failed++
 			}
-			if p.loadsAnswered(turn, turn > 0 || !lost()) {
-				told++
+			if p.noteLoadsAnswer(rank, rank > 0 || !lost()) {
+				changes++
 				back = time.Now()
 			}
 		}
-		must.Eq(t, 2, told)
-		must.Between(t, 1, inVain, 4)
-		must.Less(t, 9*time.Second+loadsPause+2*loadsEvery, back.Sub(begun))
+		must.Eq(t, 2, changes)
+		must.Between(t, 1, failed, 4)
+		must.Less(t, 9*time.Second+loadsRetryPause+2*loadsInterval, back.Sub(begun))
 	})
 }
 
--- a/snipeentry/metrics.go
+++ b/snipeentry/metrics.go
@@ -13,13 +13,13 @@
 )
 
 // gauges registers what is read at each scrape.
-func (i *Instance) gauges() {
+func (i *Instance) registerGauges() {
 	if i.LogDropped != nil {
 		i.meter.Gauge("snipepitch_log_lines_dropped", func() float64 { return float64(i.LogDropped()) })
 	}
 	i.meter.Gauge("snipepitch_requests_in_flight", func() float64 { return float64(i.gateway.InFlight()) })
 	i.meter.Gauge("snipepitch_upstreams", func() float64 { return float64(i.directory.Snapshot().Len()) })
-	i.meter.Gauge("snipepitch_wrong_entries", func() float64 { return float64(i.wrongEntries.Len()) })
+	i.meter.Gauge("snipepitch_wrong_entries", func() float64 { return float64(i.invalidEntries.Len()) })
 	i.meter.Gauge("snipepitch_limited_upstreams", func() float64 { return float64(i.signals.CountLimited()) })
 	i.meter.Gauge("snipepitch_instances", func() float64 { return float64(i.instances()) })
 	for name, f := range map[string]*snipemirror.Follower{
@@ -32,19 +32,19 @@
 	}
 }
 
-// storeCalls is the counter of calls to the store, by their kind.
-func storeCalls(kind string) string { return `snipepitch_store_calls_total{call="` + kind + `"}` }
+// storeCallCounter is the counter of calls to the store, by their kind.
+func storeCallCounter(kind string) string { return `snipepitch_store_calls_total{call="` + kind + `"}` }
 
 // source returns how a table of the store is read, with its calls counted.
 func (i *Instance) source(table string) snipemirror.Source {
 	s := i.Platform.Source(table)
 	return snipemirror.Source{
 		Read: func(ctx context.Context) (snipemirror.Page, error) {
-			i.meter.Count(storeCalls("Read"))
+			i.meter.Count(storeCallCounter("Read"))
 			return s.Read(ctx)
 		},
 		Watch: func(ctx context.Context, after uint64, wait time.Duration) (snipemirror.Page, error) {
-			i.meter.Count(storeCalls("Watch"))
+			i.meter.Count(storeCallCounter("Watch"))
 			return s.Watch(ctx, after, wait)
 		},
 	}
@@ -52,7 +52,7 @@
 
 // write changes rows of the store, with the call counted.
 func (i *Instance) write(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
-	i.meter.Count(storeCalls("Write"))
+	i.meter.Count(storeCallCounter("Write"))
 	return i.Platform.Write(ctx, operation, changes)
 }
 
--- a/snipeentry/mirror.go
+++ b/snipeentry/mirror.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	// maxNearWait bounds the wait that another instance may ask for.
-	maxNearWait = 10 * time.Second
-	// packedFrom is from how many rows on a page is compressed: those of some thousand
+	// maxWatchWait bounds the wait that another instance may ask for.
+	maxWatchWait = 10 * time.Second
+	// minPackedRows is from how many rows on a page is compressed: those of some thousand
 	// upstreams are alike, and dozens of instances ask for all of them when all start.
-	packedFrom = 200
-	// packLife is for how long one compressed page is given to all that ask for it: what has
+	minPackedRows = 200
+	// packedPageLife is for how long one compressed page is given to all that ask for it: what has
 	// changed since follows with the next one.
-	packLife = 300 * time.Millisecond
-	// maxUnpacked bounds the rows of a page in bytes.
-	maxUnpacked = 64 << 20
+	packedPageLife = 300 * time.Millisecond
+	// maxUnpackedBytes bounds the rows of a page in bytes.
+	maxUnpackedBytes = 64 << 20
 )
 
-// errUnpacked: the rows of a page are more than a table can hold.
-var errUnpacked = errors.New("packed rows are too large")
+// errUnpackedTooLarge: the rows of a page are more than a table can hold.
+var errUnpackedTooLarge = errors.New("packed rows are too large")
 
 // mirrorServer serves this instance's copies to others.
 type mirrorServer struct {
@@ -38,14 +38,14 @@
 
 	lock sync.Mutex // guards packs
 	// packs are the last compressed pages that hold all rows, by table.
-	packs map[string]pack
+	packedPages map[string]packedPage
 }
 
 // pack is a compressed page and when it was made.
-type pack struct {
-	page snipemirror.Page // without rows
-	rows []byte
-	at   time.Time
+type packedPage struct {
+	page   snipemirror.Page // without rows
+	rows   []byte
+	madeAt time.Time
 }
 
 // Watch implements snipeproto.Mirror.
@@ -55,17 +55,17 @@
 		return nil, twirp.NotFoundError("no copy of this table")
 	}
 	if r.GetAfter() == 0 {
-		if p, ok := s.packed(r.GetTable()); ok {
-			p.page.Age += time.Since(p.at)
+		if p, ok := s.cachedPage(r.GetTable()); ok {
+			p.page.Age += time.Since(p.madeAt)
 			return encodePage(p.page, p.rows), nil
 		}
 	}
-	wait := min(time.Duration(r.GetWaitMilliseconds())*time.Millisecond, maxNearWait)
+	wait := min(time.Duration(r.GetWaitMilliseconds())*time.Millisecond, maxWatchWait)
 	page, err := m.Watch(ctx, r.GetAfter(), wait)
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
-	if len(page.Rows) < packedFrom {
+	if len(page.Rows) < minPackedRows {
 		return encodePage(page, nil), nil
 	}
 	rows, err := packRows(page.Rows)
@@ -74,26 +74,26 @@
 	}
 	page.Rows = nil
 	if page.Whole {
-		s.keep(r.GetTable(), pack{page, rows, time.Now()})
+		s.cachePage(r.GetTable(), packedPage{page, rows, time.Now()})
 	}
 	return encodePage(page, rows), nil
 }
 
-// packed returns a compressed page of all rows that was made a moment ago.
-func (s *mirrorServer) packed(table string) (pack, bool) {
+// cachedPage returns a compressed page of all rows that was made a moment ago.
+func (s *mirrorServer) cachedPage(table string) (packedPage, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	p, ok := s.packs[table]
-	return p, ok && time.Since(p.at) < packLife
+	p, ok := s.packedPages[table]
+	return p, ok && time.Since(p.madeAt) < packedPageLife
 }
 
-func (s *mirrorServer) keep(table string, p pack) {
+func (s *mirrorServer) cachePage(table string, p packedPage) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.packs == nil {
-		s.packs = make(map[string]pack)
+	if s.packedPages == nil {
+		s.packedPages = make(map[string]packedPage)
 	}
-	s.packs[table] = p
+	s.packedPages[table] = p
 }
 
 // encodePage returns a page for the wire, with its rows as they are or packed.
@@ -160,12 +160,12 @@
 
 // unpackRows is the inverse of packRows.
 func unpackRows(packed []byte) ([]snipemirror.Row, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpacked))
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes))
 	if err != nil {
 		return nil, errors.Wrap(err, "decompress rows")
 	}
-	if len(data) == maxUnpacked {
-		return nil, errUnpacked
+	if len(data) == maxUnpackedBytes {
+		return nil, errUnpackedTooLarge
 	}
 	var rows snipeproto.MirrorRows
 	if err := proto.Unmarshal(data, &rows); err != nil {
--- a/snipeentry/peers.go
+++ b/snipeentry/peers.go
@@ -22,7 +22,7 @@
 
 // peerServer serves other instances' questions to this instance's desk.
 type peerServer struct {
-	desk *snipeadapter.Desk
+	controller *snipeadapter.Desk
 	// replicas returns where else an adapter of an engine is since a moment ago.
 	replicas func(a snipecatalog.Adapter, engine string) []snipegateway.Replica
 	board    *snipebalance.Board
@@ -31,27 +31,27 @@
 
 	lock sync.Mutex // guards told
 	// told is the last eviction that each instance was told of.
-	told map[string]uint64
+	reportedEvictions map[string]uint64
 }
 
-// news returns the evictions that an instance was not told of yet. Those in an answer
+// newEvictions returns the evictions that an instance was not told of yet. Those in an answer
 // that is lost are not told again: the registry shows them a second later.
-func (s *peerServer) news(instance string) []snipeadapter.Eviction {
+func (s *peerServer) newEvictions(instance string) []snipeadapter.Eviction {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	recent, last := s.desk.Evictions(s.told[instance])
-	if s.told == nil {
-		s.told = make(map[string]uint64)
+	recent, last := s.controller.Evictions(s.reportedEvictions[instance])
+	if s.reportedEvictions == nil {
+		s.reportedEvictions = make(map[string]uint64)
 	}
-	s.told[instance] = last
+	s.reportedEvictions[instance] = last
 	return recent
 }
 
 // Ensure implements snipeproto.Adapter.
 func (s *peerServer) Ensure(ctx context.Context, r *snipeproto.AdapterEnsureRequest) (*snipeproto.AdapterEnsureResponse, error) {
 	a := snipecatalog.Adapter{Model: r.GetModel(), Name: r.GetAdapter()}
-	patience := time.Duration(r.GetPatienceMilliseconds()) * time.Millisecond
-	version, err := s.desk.Ensure(ctx, r.GetEngine(), a, r.GetVersion(), patience)
+	maxWait := time.Duration(r.GetPatienceMilliseconds()) * time.Millisecond
+	version, err := s.controller.Ensure(ctx, r.GetEngine(), a, r.GetVersion(), maxWait)
 	var busy *snipeadapter.BusyError
 	switch {
 	case errors.As(err, &busy):
@@ -70,9 +70,9 @@
 func (s *peerServer) Report(_ context.Context, r *snipeproto.AdapterReportRequest) (*snipeproto.AdapterReportResponse, error) {
 	answer := &snipeproto.AdapterReportResponse{}
 	for _, e := range r.GetEngines() {
-		s.take(r.GetInstance(), e, answer)
+		s.recordUse(r.GetInstance(), e, answer)
 	}
-	for _, v := range s.news(r.GetInstance()) {
+	for _, v := range s.newEvictions(r.GetInstance()) {
 		answer.Evicted = append(answer.Evicted, encodeAdapter(v.Engine, v.Adapter))
 	}
 	for engine, load := range s.board.Loads() {
@@ -81,12 +81,12 @@
 	return answer, nil
 }
 
-// take notes how an instance uses an engine, and adds to the answer what it should know of
+// recordUse notes how an instance uses an engine, and adds to the answer what it should know of
 // the adapters.
-func (s *peerServer) take(instance string, e *snipeproto.EngineUse, answer *snipeproto.AdapterReportResponse) {
+func (s *peerServer) recordUse(instance string, e *snipeproto.EngineUse, answer *snipeproto.AdapterReportResponse) {
 	engine, uses := e.GetEngine(), decodeUse(e)
 	s.board.Report(engine, instance, e.GetLoad())
-	for _, a := range s.desk.Used(engine, instance, uses) {
+	for _, a := range s.controller.Used(engine, instance, uses) {
 		answer.Gone = append(answer.Gone, encodeAdapter(engine, a))
 	}
 	for a := range uses {
@@ -107,80 +107,80 @@
 
 	lock sync.Mutex // guards the fields below
 	// heard is when owners last answered, or were last asked.
-	heard map[netip.AddrPort]time.Time
+	answeredAt map[netip.AddrPort]time.Time
 	// lost are the instances that the last report of use did not reach.
-	lost map[netip.AddrPort]bool
-	// noRight tells until when engines are not asked for, whose owners have said that they
+	unreachable map[netip.AddrPort]bool
+	// orderDenied tells until when engines are not asked for, whose owners have said that they
 	// have no right to order them now.
-	noRight map[netip.AddrPort]time.Time
-	// loadsTried is how many instances did not tell the loads of all engines of late,
-	// loadsFailedAt when the last one did not, loadsLost whether the first is among them.
-	loadsTried    int
-	loadsFailedAt time.Time
-	loadsLost     bool
+	orderDenied map[netip.AddrPort]time.Time
+	// loadsFailures is how many instances did not tell the loads of all engines of late,
+	// loadsFailedAt when the last one did not, firstLoadsReaderLost whether the first is among them.
+	loadsFailures        int
+	loadsFailedAt        time.Time
+	firstLoadsReaderLost bool
 	// questions are those under way, by the owner that is asked.
-	questions map[netip.AddrPort]map[*question]bool
+	pendingRequests map[netip.AddrPort]map[*pendingRequest]bool
 }
 
-// reached notes whether a report reached an instance, and tells whether that changed:
+// noteReachability notes whether a report reached an instance, and tells whether that changed:
 // reports are so frequent that each outage is logged once.
-func (p *peers) reached(to netip.AddrPort, ok bool) (changed bool) {
+func (p *peers) noteReachability(to netip.AddrPort, ok bool) (changed bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if p.lost[to] == !ok {
+	if p.unreachable[to] == !ok {
 		return false
 	}
-	if p.lost == nil {
-		p.lost = make(map[netip.AddrPort]bool)
+	if p.unreachable == nil {
+		p.unreachable = make(map[netip.AddrPort]bool)
 	}
-	delete(p.lost, to)
+	delete(p.unreachable, to)
 	if ok {
 		return true
 	}
-	p.lost[to] = true
-	for q := range p.questions[to] {
-		q.cancel(errSilent)
+	p.unreachable[to] = true
+	for q := range p.pendingRequests[to] {
+		q.cancel(errOwnerUnresponsive)
 	}
 	return true
 }
 
-// noRightPause is how long an engine is left alone whose owner may not order it: somebody else
+// orderDeniedPause is how long an engine is left alone whose owner may not order it: somebody else
 // owns it soon, or its owner may again.
-const noRightPause = 500 * time.Millisecond
+const orderDeniedPause = 500 * time.Millisecond
 
-// noteNoRight notes that an engine's owner may not order it now.
-func (p *peers) noteNoRight(engine netip.AddrPort) {
+// noteOrderDenied notes that an engine's owner may not order it now.
+func (p *peers) noteOrderDenied(engine netip.AddrPort) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if p.noRight == nil {
-		p.noRight = make(map[netip.AddrPort]time.Time)
+	if p.orderDenied == nil {
+		p.orderDenied = make(map[netip.AddrPort]time.Time)
 	}
 	now := time.Now()
-	maps.DeleteFunc(p.noRight, func(_ netip.AddrPort, until time.Time) bool { return !now.Before(until) })
-	p.noRight[engine] = now.Add(noRightPause)
+	maps.DeleteFunc(p.orderDenied, func(_ netip.AddrPort, until time.Time) bool { return !now.Before(until) })
+	p.orderDenied[engine] = now.Add(orderDeniedPause)
 }
 
-// hasRight reports whether an engine's owner may order it, as far as is known.
-func (p *peers) hasRight(engine netip.AddrPort) bool {
+// ownerMayOrder reports whether an engine's owner may order it, as far as is known.
+func (p *peers) ownerMayOrder(engine netip.AddrPort) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	return !time.Now().Before(p.noRight[engine])
+	return !time.Now().Before(p.orderDenied[engine])
 }
 
 // hear notes that an owner has answered.
-func (p *peers) hear(owner netip.AddrPort) {
+func (p *peers) noteAnswer(owner netip.AddrPort) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if p.heard == nil {
-		p.heard = make(map[netip.AddrPort]time.Time)
+	if p.answeredAt == nil {
+		p.answeredAt = make(map[netip.AddrPort]time.Time)
 	}
-	p.heard[owner] = time.Now()
+	p.answeredAt[owner] = time.Now()
 }
 
-func (p *peers) heardAt(owner netip.AddrPort) time.Time {
+func (p *peers) lastAnswer(owner netip.AddrPort) time.Time {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	return p.heard[owner]
+	return p.answeredAt[owner]
 }
 
 // clients are those of one service, by the instances that serve it.
@@ -193,8 +193,8 @@
 	all  map[netip.AddrPort]C
 }
 
-// of returns the client of an instance.
-func (c *clients[C]) of(address netip.AddrPort) C {
+// client returns the client of an instance.
+func (c *clients[C]) client(address netip.AddrPort) C {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if found, ok := c.all[address]; ok {
@@ -219,19 +219,19 @@
 }
 
 // ensure has an engine's owner load an adapter.
-func (i *Instance) ensure(ctx context.Context, u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, patience time.Duration) (int64, error) {
+func (i *Instance) ensure(ctx context.Context, u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, maxWait time.Duration) (int64, error) {
 	owner, ok := i.holder.View().Owners[u.Address]
 	if !ok {
 		return 0, errors.Wrap(snipeadapter.ErrNotOwner, u.ID)
 	}
 	if owner.Self {
-		return i.desk.Ensure(ctx, u.ID, a, version, patience)
+		return i.controller.Ensure(ctx, u.ID, a, version, maxWait)
 	}
-	ctx, cancel := i.peers.ask(ctx, owner.Instance.Peer)
+	ctx, cancel := i.peers.trackRequest(ctx, owner.Instance.Peer)
 	defer cancel()
-	answer, err := i.peers.adapters.of(owner.Instance.Peer).Ensure(ctx, &snipeproto.AdapterEnsureRequest{
+	answer, err := i.peers.adapters.client(owner.Instance.Peer).Ensure(ctx, &snipeproto.AdapterEnsureRequest{
 		Engine: u.ID, Model: a.Model, Adapter: a.Name, Version: version,
-		PatienceMilliseconds: patience.Milliseconds(),
+		PatienceMilliseconds: maxWait.Milliseconds(),
 	})
 	var failure twirp.Error
 	if errors.As(err, &failure) {
@@ -239,11 +239,11 @@
 		case twirp.Aborted:
 			return 0, errors.Wrapf(snipeadapter.ErrUnreached, "owner %s: %s", owner.Instance.Name, failure.Msg())
 		case twirp.FailedPrecondition:
-			i.peers.noteNoRight(u.Address)
+			i.peers.noteOrderDenied(u.Address)
 		}
 	}
-	if err != nil && errors.Is(context.Cause(ctx), errSilent) {
-		err = errSilent
+	if err != nil && errors.Is(context.Cause(ctx), errOwnerUnresponsive) {
+		err = errOwnerUnresponsive
 	}
 	if err != nil {
 		return 0, errors.Wrapf(err, "owner %s", owner.Instance.Name)
@@ -255,15 +255,15 @@
 }
 
 // spread has more engines load what is used much on this instance's engines.
-func (i *Instance) spread() {
+func (i *Instance) spreadAdapters() {
 	directory := i.directory.Snapshot()
-	for _, id := range i.desk.Engines() {
+	for _, id := range i.controller.Engines() {
 		u := directory.ByID(id)
 		if u == nil {
 			continue
 		}
 		if _, ok := i.holder.Fence(u.Address); ok {
-			i.gateway.Chooser.Spread(u, i.desk.Rates(id, snipegateway.ReplicaRate))
+			i.gateway.Chooser.Spread(u, i.controller.Rates(id, snipegateway.ReplicaRate))
 		}
 	}
 }
--- a/snipeentry/peers_test.go
+++ b/snipeentry/peers_test.go
@@ -23,7 +23,7 @@
 	held := snipecatalog.Adapter{Model: "base", Name: "held"}
 	gone := snipecatalog.Adapter{Model: "base", Name: "gone"}
 	u := &snipedirectory.Upstream{ID: engine, Models: []string{"base"}, Address: netip.MustParseAddrPort("10.9.0.1:80")}
-	desk := &snipeadapter.Desk{
+	controller := &snipeadapter.Desk{
 		Engine: snipeadapter.Engine{
 			Order: func(context.Context, *snipedirectory.Upstream, snipeadapter.Order) (snipeadapter.Reply, error) {
 				return snipeadapter.Holds, nil
@@ -39,9 +39,9 @@
 		Newest:   func(snipecatalog.Adapter) int64 { return 0 },
 		Log:      snipelog.Discard(),
 	}
-	_, err := desk.Ensure(t.Context(), engine, held, 0, time.Second)
+	_, err := controller.Ensure(t.Context(), engine, held, 0, time.Second)
 	must.NoError(t, err)
-	server := &peerServer{desk: desk, board: &snipebalance.Board{}, replicas: func(a snipecatalog.Adapter, except string) []snipegateway.Replica {
+	server := &peerServer{controller: controller, board: &snipebalance.Board{}, replicas: func(a snipecatalog.Adapter, except string) []snipegateway.Replica {
 		must.Eq(t, engine, except)
 		if a != held {
 			return nil
@@ -58,7 +58,7 @@
 
 	i := &Instance{residency: &snipeadapter.Residency{}, balancer: &snipebalance.Balancer{}}
 	i.residency.Tell(engine, gone, 1)
-	i.learn(answer)
+	i.applyReport(answer)
 	_, ok := i.residency.Holds(u, gone)
 	must.False(t, ok)
 	learned, ok := i.residency.Holds(&snipedirectory.Upstream{ID: other}, held)
@@ -92,7 +92,7 @@
 				}
 				return time.Time{}
 			}
-			peer, ok := quietOwner(owners, heard, now.Add(-time.Second))
+			peer, ok := longestUnheardOwner(owners, heard, now.Add(-time.Second))
 			must.Eq(t, tt.want, peer)
 			must.Eq(t, tt.want.IsValid(), ok)
 		})
@@ -106,6 +106,6 @@
 	for _, tt := range []struct{ ok, changed bool }{
 		{true, false}, {false, true}, {false, false}, {true, true}, {true, false},
 	} {
-		must.Eq(t, tt.changed, p.reached(to, tt.ok))
+		must.Eq(t, tt.changed, p.noteReachability(to, tt.ok))
 	}
 }
--- a/snipeentry/quota.go
+++ b/snipeentry/quota.go
@@ -20,7 +20,7 @@
 	bounds := snipequota.Bounds{Span: s.QuotaSpan.Value(), Overrun: s.QuotaOverrun, Slack: s.QuotaSlack}
 	i.issuer = &snipequota.Issuer{Quota: i.quotaOf, Instances: i.instanceNames, Bounds: bounds}
 	i.account = &snipequota.Account{
-		Ask: i.askQuota, Limited: i.quotasDeclared, Instances: i.sharers, Bounds: bounds, Log: i.Log,
+		Ask: i.requestUnits, Limited: i.quotasDeclared, Instances: i.sharingInstances, Bounds: bounds, Log: i.Log,
 	}
 }
 
@@ -31,7 +31,7 @@
 
 // sharers is among how many instances what may be used without an issuer is divided: one that has
 // just started may know of nobody yet.
-func (i *Instance) sharers() int { return max(i.instances(), fewestInstances) }
+func (i *Instance) sharingInstances() int { return max(i.instances(), fewestInstances) }
 
 // quotaOf returns a workspace's quota by the catalog in force.
 func (i *Instance) quotaOf(workspace string) snipecatalog.Quota {
@@ -81,8 +81,8 @@
 	return best, best.IsValid()
 }
 
-// askQuota asks the issuer for units.
-func (i *Instance) askQuota(ctx context.Context, asks []snipequota.Ask) ([]snipequota.Grant, error) {
+// requestUnits asks the issuer for units.
+func (i *Instance) requestUnits(ctx context.Context, asks []snipequota.Ask) ([]snipequota.Grant, error) {
 	issuer, ok := i.quotaIssuer()
 	if !ok {
 		return nil, errNoIssuer
@@ -98,7 +98,7 @@
 			Demand: a.Demand, Level: a.Level, AgeMilliseconds: a.Age.Milliseconds(), Known: a.Known,
 		})
 	}
-	answer, err := i.peers.quotas.of(issuer).Issue(ctx, r)
+	answer, err := i.peers.quotas.client(issuer).Issue(ctx, r)
 	if err != nil {
 		return nil, errors.Wrapf(err, "issuer %s", issuer)
 	}
--- a/snipeentry/reader_test.go
+++ b/snipeentry/reader_test.go
@@ -24,7 +24,7 @@
 	domains   = 5
 	perDomain = 60
 	// sample is of how many of the weak instances one is looked at: they are alike.
-	sample = 13
+	sampleInterval = 13
 )
 
 // member returns one of three hundred instances; the first three of each domain are strong.
@@ -40,7 +40,7 @@
 }
 
 // among returns an instance that knows the rows of all.
-func among(t *testing.T, n int, freshness time.Duration, rows []snipeplatform.Row) *Instance {
+func instanceWithRows(t *testing.T, n int, freshness time.Duration, rows []snipeplatform.Row) *Instance {
 	self := member(n)
 	i := &Instance{Settings: Settings{
 		Peers: self.Peer, Domain: self.Domain,
@@ -90,19 +90,19 @@
 		t.Run(name, func(t *testing.T) {
 			readers, first := 0, 0
 			for n := range domains * perDomain {
-				if n >= 3*domains && n%sample != 0 {
+				if n >= 3*domains && n%sampleInterval != 0 {
 					continue
 				}
-				i := among(t, n, tt.freshness, rows)
-				if _, follows := i.near("rows", 0, false); !follows {
+				i := instanceWithRows(t, n, tt.freshness, rows)
+				if _, follows := i.peerCopy("rows", 0, false); !follows {
 					readers++
 				}
-				if i.copyAge(feedAges) == feedAges.First {
+				if i.maxCopyAge(tableCopyAges) == tableCopyAges.First {
 					first++
 				}
-				_, follows := i.near("rows", domains*perDomain, false)
+				_, follows := i.peerCopy("rows", domains*perDomain, false)
 				must.False(t, follows, must.Sprint("in the end each reads the store"))
-				must.LessEq(t, tt.freshness, i.copyAge(feedAges)+500*time.Millisecond)
+				must.LessEq(t, tt.freshness, i.maxCopyAge(tableCopyAges)+500*time.Millisecond)
 			}
 			must.Eq(t, tt.readers, readers)
 			must.Eq(t, tt.first, first)
@@ -119,13 +119,13 @@
 		position, err := store.read(t.Context())
 		must.NoError(t, err)
 		root.Apply(position)
-		first := newFollower(store, root, feedAges.First)
+		first := newFollower(store, root, tableCopyAges.First)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _ = first.Run(ctx) }()
 		others := &countedStore{}
 		for range perDomain {
-			f := newFollower(others, first.Mirror, feedAges.Others)
+			f := newFollower(others, first.Mirror, tableCopyAges.Others)
 			go func() { _ = f.Run(ctx) }()
 		}
 		// The root never reads the store again.
@@ -154,7 +154,7 @@
 func newFollower(s *countedStore, m *snipemirror.Mirror, age time.Duration) *snipemirror.Follower {
 	return &snipemirror.Follower{
 		Mirror: snipemirror.New(), Store: snipemirror.Source{Read: s.read, Watch: s.watch},
-		Pace: directoryPace, Wait: directoryWait, MaxAge: func() time.Duration { return age },
+		Pace: directoryInterval, Wait: directoryWait, MaxAge: func() time.Duration { return age },
 		Near: func(failures int, _ bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 			return m.Watch, failures == 0
 		},
--- a/snipeentry/relay.go
+++ b/snipeentry/relay.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// quickWrite is how long a write of an instance's own may have taken for it to make those of
+	// slowWriteTime is how long a write of an instance's own may have taken for it to make those of
 	// others: a store that is slow to all must not get each write several times.
-	quickWrite = 100 * time.Millisecond
+	slowWriteTime = 100 * time.Millisecond
 	// relayTimeout bounds a write by another instance, which is a few milliseconds away.
 	relayTimeout = 300 * time.Millisecond
-	// relayTries is how many other instances are asked to make a write.
-	relayTries = 2
-	// directTurns is how many writes there are to one that the store is asked for while it
+	// maxRelayAttempts is how many other instances are asked to make a write.
+	maxRelayAttempts = 2
+	// writesPerDirectAttempt is how many writes there are to one that the store is asked for while it
 	// does not answer this instance.
-	directTurns = 4
+	writesPerDirectAttempt = 4
 	// doubt is for how long an instance to which the store was slow makes no writes for others.
-	doubt = 2 * time.Second
+	slowStorePause = 2 * time.Second
 )
 
 // writeFunc makes all changes or none; see snipeowner.Table.
@@ -44,28 +44,28 @@
 	// Direct writes to the store.
 	Direct writeFunc
 	// Others returns the instances that may reach the store, in no order.
-	Others func() []netip.AddrPort
+	Peers func() []netip.AddrPort
 	// Ask has another instance make a write. Its error wraps snipeplatform.ErrUnavailable if
 	// nothing was done.
-	Ask func(ctx context.Context, peer netip.AddrPort, operation string, changes []snipeplatform.Change) (uint64, error)
+	AskPeer func(ctx context.Context, peer netip.AddrPort, operation string, changes []snipeplatform.Change) (uint64, error)
 	// Owns reports whether this instance owns engines: who owns none loses nothing by waiting
 	// for the store, and one that is overloaded gets fewer writes so.
 	Owns func() bool
 	// Lost is told when the store is lost to this instance, and Back when it answers again.
-	Lost func(err error)
-	Back func()
-
-	lock sync.Mutex // guards the fields below
-	lost bool
-	slow bool      // the last write took longer than quickWrite
-	at   time.Time // when the last write ended
-	turn int       // writes since the store was last asked while it is lost
+	OnLost      func(err error)
+	OnRecovered func()
+
+	lock        sync.Mutex // guards the fields below
+	storeLost   bool
+	lastSlow    bool      // the last write took longer than slowWriteTime
+	lastWriteAt time.Time // when the last write ended
+	sinceDirect int       // writes since the store was last asked while it is lost
 }
 
 // Write makes all changes or none, itself or by another instance.
 func (r *relay) Write(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
-	if r.Owns() && !r.directTurn() {
-		version, err := r.askOthers(ctx, operation, changes)
+	if r.Owns() && !r.directFirst() {
+		version, err := r.writeByPeer(ctx, operation, changes)
 		if snipeplatform.Answered(err) {
 			return version, err
 		}
@@ -77,34 +77,34 @@
 	if !r.Owns() {
 		return 0, err
 	}
-	version, relayed := r.askOthers(ctx, operation, changes)
+	version, relayed := r.writeByPeer(ctx, operation, changes)
 	if snipeplatform.Answered(relayed) {
 		return version, relayed
 	}
 	return 0, err
 }
 
-// directTurn reports whether the store is to be asked first.
-func (r *relay) directTurn() bool {
+// directFirst reports whether the store is to be asked first.
+func (r *relay) directFirst() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if !r.lost {
+	if !r.storeLost {
 		return true
 	}
-	if r.turn++; r.turn < directTurns {
+	if r.sinceDirect++; r.sinceDirect < writesPerDirectAttempt {
 		return false
 	}
-	r.turn = 0
+	r.sinceDirect = 0
 	return true
 }
 
-// Reached reports whether the store answers this instance soon, as far as is known. One that it
+// AcceptsWrites reports whether the store answers this instance soon, as far as is known. One that it
 // refuses makes no writes for others before one of its own was made: a store that has more
 // writes than it can make refuses many, and must not get each of them several times.
-func (r *relay) Reached() bool {
+func (r *relay) AcceptsWrites() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return !r.lost && (!r.slow || time.Since(r.at) >= doubt)
+	return !r.storeLost && (!r.lastSlow || time.Since(r.lastWriteAt) >= slowStorePause)
 }
 
 // writeDirect writes to the store and notes whether it answers.
@@ -112,37 +112,37 @@
 	begun := time.Now()
 	version, err := r.Direct(ctx, operation, changes)
 	r.lock.Lock()
-	r.at = time.Now()
-	r.slow = r.at.Sub(begun) > quickWrite
-	changed := r.lost == snipeplatform.Answered(err)
-	r.lost = !snipeplatform.Answered(err)
+	r.lastWriteAt = time.Now()
+	r.lastSlow = r.lastWriteAt.Sub(begun) > slowWriteTime
+	changed := r.storeLost == snipeplatform.Answered(err)
+	r.storeLost = !snipeplatform.Answered(err)
 	r.lock.Unlock()
 	switch {
 	case !changed:
 	case snipeplatform.Answered(err):
-		r.Back()
+		r.OnRecovered()
 	default:
-		r.Lost(err)
+		r.OnLost(err)
 	}
 	return version, err
 }
 
-// askOthers has another instance make a write. The error is the last one's.
-func (r *relay) askOthers(ctx context.Context, operation string, changes []snipeplatform.Change) (version uint64, err error) {
+// writeByPeer has another instance make a write. The error is the last one's.
+func (r *relay) writeByPeer(ctx context.Context, operation string, changes []snipeplatform.Change) (version uint64, err error) {
 	err = snipeplatform.ErrUnavailable
-	others := r.Others()
-	for _, peer := range others[:min(relayTries, len(others))] {
-		if version, err = r.ask(ctx, peer, operation, changes); snipeplatform.Answered(err) {
+	others := r.Peers()
+	for _, peer := range others[:min(maxRelayAttempts, len(others))] {
+		if version, err = r.askPeer(ctx, peer, operation, changes); snipeplatform.Answered(err) {
 			break
 		}
 	}
 	return version, err
 }
 
-func (r *relay) ask(ctx context.Context, peer netip.AddrPort, operation string, changes []snipeplatform.Change) (uint64, error) {
+func (r *relay) askPeer(ctx context.Context, peer netip.AddrPort, operation string, changes []snipeplatform.Change) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	return r.Ask(ctx, peer, operation, changes)
+	return r.AskPeer(ctx, peer, operation, changes)
 }
 
 // relayPeers returns the instances that may reach the store for this one: those that renew
@@ -164,7 +164,7 @@
 	for _, c := range changes {
 		r.Changes = append(r.Changes, &snipeproto.OwnershipChange{Row: c.Sort, Expect: c.Expect, Data: c.Data})
 	}
-	answer, err := i.peers.owners.of(peer).Write(ctx, r)
+	answer, err := i.peers.owners.client(peer).Write(ctx, r)
 	var failure twirp.Error
 	switch {
 	case errors.As(err, &failure) && failure.Code() == twirp.Unavailable:
@@ -177,15 +177,15 @@
 	return answer.GetVersion(), nil
 }
 
-// maxRelayed bounds the changes of one write for another instance: the store takes no more.
-const maxRelayed = 100
+// maxRelayedChanges bounds the changes of one write for another instance: the store takes no more.
+const maxRelayedChanges = 100
 
 // Write implements snipeproto.Ownership.
 func (s *ownershipServer) Write(ctx context.Context, r *snipeproto.OwnershipWriteRequest) (*snipeproto.OwnershipWriteResponse, error) {
-	if n := len(r.GetChanges()); n == 0 || n > maxRelayed {
+	if n := len(r.GetChanges()); n == 0 || n > maxRelayedChanges {
 		return nil, twirp.InvalidArgumentError("changes", "are none or too many")
 	}
-	if !s.relay.Reached() {
+	if !s.relay.AcceptsWrites() {
 		return nil, twirp.NewError(twirp.Unavailable, "the store does not answer soon here either")
 	}
 	var changes []snipeplatform.Change
@@ -215,11 +215,11 @@
 // buildRelay puts together how rows of ownership are written.
 func (i *Instance) buildRelay() {
 	i.relay = &relay{
-		Direct: i.write, Others: i.relayPeers, Ask: i.askWrite, Owns: func() bool { return i.holder.Owns() },
-		Lost: func(err error) {
+		Direct: i.write, Peers: i.relayPeers, AskPeer: i.askWrite, Owns: func() bool { return i.holder.Owns() },
+		OnLost: func(err error) {
 			i.Log.Error(snipelog.StoreUnreached, err, nil)
 			i.interruptReads()
 		},
-		Back: func() { i.Log.Log(snipelog.StoreReached, nil) },
+		OnRecovered: func() { i.Log.Log(snipelog.StoreReached, nil) },
 	}
 }
--- a/snipeentry/relay_test.go
+++ b/snipeentry/relay_test.go
@@ -15,7 +15,7 @@
 )
 
 // way is one instance's way to the store, and what becomes of a write on it.
-type way struct {
+type storePath struct {
 	err  error
 	took time.Duration
 	// applies tells that the write is made, whatever is answered.
@@ -23,15 +23,15 @@
 }
 
 var (
-	goodWay    = way{took: 5 * time.Millisecond, applies: true}
-	slowWay    = way{took: 400 * time.Millisecond, applies: true}
-	refusedWay = way{err: snipeplatform.ErrUnavailable, took: 2 * time.Millisecond}
-	silentWay  = way{err: snipeplatform.ErrUnknown, took: time.Minute}
-	lostWay    = way{err: snipeplatform.ErrUnknown, took: time.Minute, applies: true}
+	goodPath    = storePath{took: 5 * time.Millisecond, applies: true}
+	slowPath    = storePath{took: 400 * time.Millisecond, applies: true}
+	refusedPath = storePath{err: snipeplatform.ErrUnavailable, took: 2 * time.Millisecond}
+	silentPath  = storePath{err: snipeplatform.ErrUnknown, took: time.Minute}
+	lostPath    = storePath{err: snipeplatform.ErrUnknown, took: time.Minute, applies: true}
 )
 
-// storeAnswers bounds a call to the store, as its client does.
-const storeAnswers = 1200 * time.Millisecond
+// storeTimeout bounds a call to the store, as its client does.
+const storeTimeout = 1200 * time.Millisecond
 
 // rowStore is a store of one row, which counts how often it was written.
 type rowStore struct {
@@ -40,7 +40,7 @@
 	calls   map[netip.AddrPort]int
 }
 
-func (s *rowStore) through(w way, peer netip.AddrPort) writeFunc {
+func (s *rowStore) via(w storePath, peer netip.AddrPort) writeFunc {
 	return func(ctx context.Context, _ string, changes []snipeplatform.Change) (uint64, error) {
 		s.calls[peer]++
 		err := w.err
@@ -53,7 +53,7 @@
 			}
 		}
 		version := s.version
-		ctx, cancel := context.WithTimeout(ctx, storeAnswers)
+		ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 		defer cancel()
 		select {
 		case <-time.After(w.took):
@@ -69,21 +69,21 @@
 func TestRelay(t *testing.T) {
 	const renewals, every = 8, time.Second
 	tests := map[string]struct {
-		self   way
-		others []way
+		self   storePath
+		others []storePath
 		// renewed is how many renewals succeed, within the time between two of them.
 		renewed int
 	}{
-		"Reached":         {goodWay, []way{refusedWay}, renewals},
-		"Refused":         {refusedWay, []way{goodWay, goodWay}, renewals},
-		"Silent":          {silentWay, []way{goodWay, goodWay}, renewals},
-		"OneOtherIsCut":   {refusedWay, []way{goodWay, silentWay}, renewals},
-		"LostAnswers":     {lostWay, []way{goodWay, goodWay}, 0},
-		"RefusesAll":      {refusedWay, []way{refusedWay, refusedWay, refusedWay}, 0},
-		"AnswersNobody":   {silentWay, []way{silentWay, silentWay, silentWay}, 0},
-		"NobodyIsKnown":   {refusedWay, nil, 0},
-		"OthersAreSilent": {goodWay, []way{silentWay}, renewals},
-		"SlowToAll":       {slowWay, []way{slowWay, slowWay}, renewals},
+		"Reached":         {goodPath, []storePath{refusedPath}, renewals},
+		"Refused":         {refusedPath, []storePath{goodPath, goodPath}, renewals},
+		"Silent":          {silentPath, []storePath{goodPath, goodPath}, renewals},
+		"OneOtherIsCut":   {refusedPath, []storePath{goodPath, silentPath}, renewals},
+		"LostAnswers":     {lostPath, []storePath{goodPath, goodPath}, 0},
+		"RefusesAll":      {refusedPath, []storePath{refusedPath, refusedPath, refusedPath}, 0},
+		"AnswersNobody":   {silentPath, []storePath{silentPath, silentPath, silentPath}, 0},
+		"NobodyIsKnown":   {refusedPath, nil, 0},
+		"OthersAreSilent": {goodPath, []storePath{silentPath}, renewals},
+		"SlowToAll":       {slowPath, []storePath{slowPath, slowPath}, renewals},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -92,16 +92,16 @@
 				servers := map[netip.AddrPort]*ownershipServer{}
 				var others []netip.AddrPort
 				for n, w := range tt.others {
-					r := &relay{Direct: s.through(w, peer(n+1)), Lost: func(error) {}, Back: func() {}}
+					r := &relay{Direct: s.via(w, peer(n+1)), OnLost: func(error) {}, OnRecovered: func() {}}
 					servers[peer(n+1)] = &ownershipServer{relay: r}
 					others = append(others, peer(n+1))
 				}
 				r := &relay{
-					Direct: s.through(tt.self, peer(0)), Others: func() []netip.AddrPort { return others },
-					Ask: func(ctx context.Context, to netip.AddrPort, operation string, changes []snipeplatform.Change) (uint64, error) {
+					Direct: s.via(tt.self, peer(0)), Peers: func() []netip.AddrPort { return others },
+					AskPeer: func(ctx context.Context, to netip.AddrPort, operation string, changes []snipeplatform.Change) (uint64, error) {
 						return serveWrite(ctx, servers[to], operation, changes)
 					},
-					Lost: func(error) {}, Back: func() {}, Owns: func() bool { return true },
+					OnLost: func(error) {}, OnRecovered: func() {}, Owns: func() bool { return true },
 				}
 				renewed, known := 0, uint64(0)
 				for range renewals {
@@ -111,7 +111,7 @@
 					if err == nil {
 						renewed++
 						known = version
-						must.Less(t, storeAnswers+relayTimeout, time.Since(begun))
+						must.Less(t, storeTimeout+relayTimeout, time.Since(begun))
 					}
 					time.Sleep(every - time.Since(begun))
 				}
@@ -148,10 +148,10 @@
 func TestSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &rowStore{calls: map[netip.AddrPort]int{}}
-		r := &relay{Direct: s.through(slowWay, peer(1)), Lost: func(error) {}, Back: func() {}}
+		r := &relay{Direct: s.via(slowPath, peer(1)), OnLost: func(error) {}, OnRecovered: func() {}}
 		server := &ownershipServer{relay: r}
 		change := snipeplatform.Change{Key: snipeplatform.Key{Partition: snipeowner.Partition, Sort: "instance/a"}, Data: []byte("{}")}
-		must.True(t, r.Reached())
+		must.True(t, r.AcceptsWrites())
 		_, err := r.writeDirect(t.Context(), "", []snipeplatform.Change{change})
 		must.NoError(t, err)
 		for range 10 {
@@ -159,8 +159,8 @@
 			must.Error(t, err)
 		}
 		must.Eq(t, 1, s.calls[peer(1)])
-		time.Sleep(doubt)
-		must.True(t, r.Reached())
+		time.Sleep(slowStorePause)
+		must.True(t, r.AcceptsWrites())
 	})
 }
 
@@ -168,11 +168,11 @@
 // once that it does not reach the store either.
 func TestRelayedRows(t *testing.T) {
 	s := &rowStore{calls: map[netip.AddrPort]int{}}
-	server := &ownershipServer{relay: &relay{Direct: s.through(refusedWay, peer(1)), Lost: func(error) {}, Back: func() {}}}
+	server := &ownershipServer{relay: &relay{Direct: s.via(refusedPath, peer(1)), OnLost: func(error) {}, OnRecovered: func() {}}}
 	_, err := server.Write(t.Context(), &snipeproto.OwnershipWriteRequest{})
 	must.Error(t, err)
 	many := &snipeproto.OwnershipWriteRequest{}
-	for range maxRelayed + 1 {
+	for range maxRelayedChanges + 1 {
 		many.Changes = append(many.Changes, &snipeproto.OwnershipChange{Row: "a"})
 	}
 	_, err = server.Write(t.Context(), many)
@@ -184,9 +184,9 @@
 		must.Error(t, err)
 	}
 	must.Eq(t, 1, s.calls[peer(1)], must.Sprint("it is known to be lost after the first"))
-	must.False(t, server.relay.Reached())
-	server.relay.at = server.relay.at.Add(-time.Minute)
-	must.False(t, server.relay.Reached(), must.Sprint("until a write of its own is made"))
+	must.False(t, server.relay.AcceptsWrites())
+	server.relay.lastWriteAt = server.relay.lastWriteAt.Add(-time.Minute)
+	must.False(t, server.relay.AcceptsWrites(), must.Sprint("until a write of its own is made"))
 }
 
 // TestNoRight: an engine whose owner has no right to order it is asked for nothing for a
@@ -194,13 +194,13 @@
 func TestNoRight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &peers{}
-		must.True(t, p.hasRight(peer(1)))
-		p.noteNoRight(peer(1))
-		must.False(t, p.hasRight(peer(1)))
-		must.True(t, p.hasRight(peer(2)))
-		time.Sleep(noRightPause)
-		must.True(t, p.hasRight(peer(1)))
-		p.noteNoRight(peer(2))
-		must.MapLen(t, 1, p.noRight)
+		must.True(t, p.ownerMayOrder(peer(1)))
+		p.noteOrderDenied(peer(1))
+		must.False(t, p.ownerMayOrder(peer(1)))
+		must.True(t, p.ownerMayOrder(peer(2)))
+		time.Sleep(orderDeniedPause)
+		must.True(t, p.ownerMayOrder(peer(1)))
+		p.noteOrderDenied(peer(2))
+		must.MapLen(t, 1, p.orderDenied)
 	})
 }
--- a/snipeentry/report.go
+++ b/snipeentry/report.go
@@ -26,7 +26,7 @@
 		switch {
 		case !ok:
 		case owner.Self:
-			i.noteOwnUse(id, uses)
+			i.recordOwnUse(id, uses)
 		default:
 			peer := owner.Instance.Peer
 			if reports[peer] == nil {
@@ -35,51 +35,51 @@
 			reports[peer].Engines = append(reports[peer].Engines, i.encodeUse(id, uses))
 		}
 	}
-	if !i.gathers() {
-		i.askQuietOwner(v.Others, reports)
+	if !i.gathersLoads() {
+		i.addLongestUnheardOwner(v.Others, reports)
 	}
 	for peer, r := range reports {
-		go i.report(ctx, peer, r)
+		go i.sendReport(ctx, peer, r)
 	}
 }
 
-// noteOwnUse notes the use of an engine that this instance owns.
-func (i *Instance) noteOwnUse(id string, uses map[snipecatalog.Adapter]snipeadapter.Use) {
+// recordOwnUse notes the use of an engine that this instance owns.
+func (i *Instance) recordOwnUse(id string, uses map[snipecatalog.Adapter]snipeadapter.Use) {
 	self := i.Settings.Peers.String()
 	i.board.Report(id, self, i.balancer.Mine(id))
-	for _, a := range i.desk.Used(id, self, uses) {
+	for _, a := range i.controller.Used(id, self, uses) {
 		i.residency.Deny(id, a)
 	}
 }
 
-// quietTime is how long an owner may not have been heard of. What it says of its engines'
+// ownerUnheardTime is how long an owner may not have been heard of. What it says of its engines'
 // loads counts for two seconds; engines of which nothing is known seem idle and draw too many
 // requests.
-const quietTime = time.Second
+const ownerUnheardTime = time.Second
 
-// askQuietOwner adds a report of no use to the owner that was not heard of for longest, so
+// addLongestUnheardOwner adds a report of no use to the owner that was not heard of for longest, so
 // that it tells the loads of its engines: one owner a step, however many there are.
-func (i *Instance) askQuietOwner(owners []netip.AddrPort, reports map[netip.AddrPort]*snipeproto.AdapterReportRequest) {
-	owner, ok := quietOwner(owners, i.peers.heardAt, time.Now().Add(-quietTime))
+func (i *Instance) addLongestUnheardOwner(owners []netip.AddrPort, reports map[netip.AddrPort]*snipeproto.AdapterReportRequest) {
+	owner, ok := longestUnheardOwner(owners, i.peers.lastAnswer, time.Now().Add(-ownerUnheardTime))
 	if !ok {
 		return
 	}
 	// Not asked again before it has had the time to answer.
-	i.peers.hear(owner)
+	i.peers.noteAnswer(owner)
 	if reports[owner] == nil {
 		reports[owner] = i.newReport()
 	}
 }
 
-// quietOwner returns the owner that was not heard of for longest, since before a time; false
+// longestUnheardOwner returns the owner that was not heard of for longest, since before a time; false
 // when all were.
-func quietOwner(owners []netip.AddrPort, heardAt func(netip.AddrPort) time.Time, since time.Time) (quiet netip.AddrPort, ok bool) {
+func longestUnheardOwner(owners []netip.AddrPort, lastAnswer func(netip.AddrPort) time.Time, since time.Time) (found netip.AddrPort, ok bool) {
 	for _, owner := range owners {
-		if heard := heardAt(owner); heard.Before(since) {
-			quiet, since, ok = owner, heard, true
+		if heard := lastAnswer(owner); heard.Before(since) {
+			found, since, ok = owner, heard, true
 		}
 	}
-	return quiet, ok
+	return found, ok
 }
 
 // newReport returns a report that tells of no use yet.
@@ -113,29 +113,29 @@
 // objectives can still be met.
 const reportTimeout = 300 * time.Millisecond
 
-// peerName names another instance in log lines.
-const peerName = "Peer"
+// peerField names another instance in log lines.
+const peerField = "Peer"
 
-// report sends a report and takes what its answer tells.
-func (i *Instance) report(ctx context.Context, to netip.AddrPort, r *snipeproto.AdapterReportRequest) {
+// sendReport sends a report and takes what its answer tells.
+func (i *Instance) sendReport(ctx context.Context, to netip.AddrPort, r *snipeproto.AdapterReportRequest) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	answer, err := i.peers.adapters.of(to).Report(ctx, r)
-	changed := i.peers.reached(to, err == nil)
+	answer, err := i.peers.adapters.client(to).Report(ctx, r)
+	changed := i.peers.noteReachability(to, err == nil)
 	switch {
 	case err != nil && changed:
-		i.Log.Error(snipelog.PeerUnreached, err, snipelog.Fields{peerName: to})
+		i.Log.Error(snipelog.PeerUnreached, err, snipelog.Fields{peerField: to})
 	case changed:
-		i.Log.Log(snipelog.PeerReached, snipelog.Fields{peerName: to})
+		i.Log.Log(snipelog.PeerReached, snipelog.Fields{peerField: to})
 	}
 	if err == nil {
-		i.peers.hear(to)
-		i.learn(answer)
+		i.peers.noteAnswer(to)
+		i.applyReport(answer)
 	}
 }
 
-// learn takes what an owner knows of its engines and of the adapters in a report.
-func (i *Instance) learn(answer *snipeproto.AdapterReportResponse) {
+// applyReport takes what an owner knows of its engines and of the adapters in a report.
+func (i *Instance) applyReport(answer *snipeproto.AdapterReportResponse) {
 	for _, gone := range answer.GetGone() {
 		i.residency.Deny(gone.GetEngine(), decodeAdapter(gone))
 	}
@@ -159,11 +159,11 @@
 	return snipecatalog.Adapter{Model: r.GetModel(), Name: r.GetAdapter()}
 }
 
-// tellOwn takes what others learn from this instance's answers: the loads of its own
+// applyOwnLoads takes what others learn from this instance's answers: the loads of its own
 // engines and what they no longer hold.
-func (i *Instance) tellOwn() {
-	recent, last := i.desk.Evictions(i.evicted)
-	i.evicted = last
+func (i *Instance) applyOwnLoads() {
+	recent, last := i.controller.Evictions(i.lastEviction)
+	i.lastEviction = last
 	for _, v := range recent {
 		i.residency.Deny(v.Engine, v.Adapter)
 	}
--- a/snipeentry/settings.go
+++ b/snipeentry/settings.go
@@ -103,9 +103,9 @@
 // freshness is within what time what the store tells is known.
 func (s Settings) freshness() time.Duration { return min(s.DrainTime.Value(), s.ApplyTime.Value()) }
 
-// leastStop is the least time for a planned stop: the balancer needs more than two
+// minStopTimeout is the least time for a planned stop: the balancer needs more than two
 // seconds to notice.
-const leastStop = 4 * time.Second
+const minStopTimeout = 4 * time.Second
 
 const notPositive = "is not positive"
 
@@ -134,8 +134,8 @@
 		return invalid("RetrySpan", notPositive)
 	case s.QuotaSpan <= 0:
 		return invalid("QuotaSpan", notPositive)
-	case s.StopTimeout.Value() < leastStop:
-		return invalid("StopTimeout", "is shorter than "+leastStop.String())
+	case s.StopTimeout.Value() < minStopTimeout:
+		return invalid("StopTimeout", "is shorter than "+minStopTimeout.String())
 	case s.DrainTime <= 0:
 		return invalid("DrainTime", notPositive)
 	case s.ApplyTime <= 0:
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// checkExcesses checks by how much all instances together may exceed what is allowed.
-func (s Settings) checkExcesses() error {
+// checkOverruns checks by how much all instances together may exceed what is allowed.
+func (s Settings) checkOverruns() error {
 	for name, share := range map[string]float64{"RetryShare": s.RetryShare, "QuotaOverrun": s.QuotaOverrun} {
 		if share < 0 || share > 1 {
 			return invalid(name, "is not between 0 and 1")
@@ -169,7 +169,7 @@
 	if err := s.checkTimes(); err != nil {
 		return err
 	}
-	if err := s.checkExcesses(); err != nil {
+	if err := s.checkOverruns(); err != nil {
 		return err
 	}
 	switch {
--- a/snipeentry/signal.go
+++ b/snipeentry/signal.go
@@ -15,22 +15,22 @@
 const (
 	// signalTimeout bounds one message about what upstreams say: it is told again while it stands.
 	signalTimeout = 300 * time.Millisecond
-	// toldOfDomain is how many instances of a failure domain are told where there are many; the
+	// signalPeersPerDomain is how many instances of a failure domain are told where there are many; the
 	// others learn it from them with the loads of engines.
-	toldOfDomain = 2
+	signalPeersPerDomain = 2
 )
 
-// sourceName names in log lines from whom something is known.
-const sourceName = "Source"
+// sourceField names in log lines from whom something is known.
+const sourceField = "Source"
 
 // buildSignals makes the book of what upstreams say of themselves.
 func (i *Instance) buildSignals() {
-	i.signals = &snipesignal.Book{Part: i.limitPart, Changed: i.signalChanged, Rested: i.signalRested, Wrong: i.signalWrong}
+	i.signals = &snipesignal.Book{Part: i.limitShare, Changed: i.signalChanged, Rested: i.logBackoff, Wrong: i.logInvalidSignal}
 }
 
-// limitPart returns this instance's part of an upstream's limit: instances rank for each upstream
+// limitShare returns this instance's part of an upstream's limit: instances rank for each upstream
 // in another order, the same on all of them.
-func (i *Instance) limitPart(upstream string, limit float64) snipesignal.Part {
+func (i *Instance) limitShare(upstream string, limit float64) snipesignal.Part {
 	key := sniperoute.Hash(upstream)
 	self := i.Settings.Peers
 	own := sniperoute.Score(key, addressKey(self))
@@ -40,7 +40,7 @@
 			rank++
 		}
 	}
-	return snipesignal.Divide(limit, i.sharers(), rank)
+	return snipesignal.Divide(limit, i.sharingInstances(), rank)
 }
 
 // addressKey tells addresses apart for a rank.
@@ -50,16 +50,16 @@
 	return binary.BigEndian.Uint64(b[:8]) ^ binary.BigEndian.Uint64(b[8:])<<portBits ^ uint64(a.Port())
 }
 
-// signalCount counts what upstreams say, by its kind.
-func signalCount(kind string) string {
+// signalCounter counts what upstreams say, by its kind.
+func signalCounter(kind string) string {
 	return `snipepitch_upstream_signals_total{signal="` + kind + `"}`
 }
 
 // signalChanged takes a change of what an upstream says of itself.
 func (i *Instance) signalChanged(c snipesignal.Change) {
 	if c.Now.Leaving && !c.Before.Leaving {
-		i.meter.Count(signalCount("Leaving"))
-		i.Log.Log(snipelog.UpstreamLeaving, snipelog.Fields{upstreamName: c.Upstream, sourceName: c.Source})
+		i.meter.Count(signalCounter("Leaving"))
+		i.Log.Log(snipelog.UpstreamLeaving, snipelog.Fields{upstreamField: c.Upstream, sourceField: c.Source})
 		i.directory.Leave(c.Upstream)
 	}
 	if c.Now.Limited || c.Before.Limited {
@@ -69,64 +69,64 @@
 
 // limitChanged logs a change of an upstream's limit.
 func (i *Instance) limitChanged(c snipesignal.Change) {
-	fields := snipelog.Fields{upstreamName: c.Upstream, sourceName: c.Source}
+	fields := snipelog.Fields{upstreamField: c.Upstream, sourceField: c.Source}
 	if c.Before.Limited {
 		fields["Before"] = c.Before.Limit
 	}
 	if !c.Now.Limited {
-		i.meter.Count(signalCount("Free"))
+		i.meter.Count(signalCounter("Free"))
 		i.Log.Log(snipelog.UpstreamFree, fields)
 		return
 	}
-	i.meter.Count(signalCount("Limited"))
+	i.meter.Count(signalCounter("Limited"))
 	fields["PerSecond"], fields["Instances"] = c.Now.Limit, i.instances()
 	fields["Rank"], fields["IntervalMilliseconds"] = c.Part.Rank, c.Part.Interval.Milliseconds()
 	i.Log.Log(snipelog.UpstreamLimited, fields)
 }
 
-// signalRested logs that an upstream wants to be left alone by this instance.
-func (i *Instance) signalRested(upstream string, rest time.Duration) {
-	i.meter.Count(signalCount("Rest"))
-	i.Log.Log(snipelog.UpstreamRests, snipelog.Fields{upstreamName: upstream, "RestMilliseconds": rest.Milliseconds()})
+// logBackoff logs that an upstream wants to be left alone by this instance.
+func (i *Instance) logBackoff(upstream string, rest time.Duration) {
+	i.meter.Count(signalCounter("Rest"))
+	i.Log.Log(snipelog.UpstreamRests, snipelog.Fields{upstreamField: upstream, "RestMilliseconds": rest.Milliseconds()})
 }
 
-// signalWrong logs what cannot be understood.
-func (i *Instance) signalWrong(upstream, text string) {
-	i.meter.Count(signalCount("Wrong"))
-	i.Log.Log(snipelog.SignalWrong, snipelog.Fields{upstreamName: upstream, "Value": text})
+// logInvalidSignal logs what cannot be understood.
+func (i *Instance) logInvalidSignal(upstream, text string) {
+	i.meter.Count(signalCounter("Wrong"))
+	i.Log.Log(snipelog.SignalWrong, snipelog.Fields{upstreamField: upstream, "Value": text})
 }
 
-// tellSignals tells other instances what upstreams have said to this one.
-func (i *Instance) tellSignals(ctx context.Context) {
-	news := i.signals.News()
-	if len(news) == 0 {
+// sendSignals tells other instances what upstreams have said to this one.
+func (i *Instance) sendSignals(ctx context.Context) {
+	updates := i.signals.News()
+	if len(updates) == 0 {
 		return
 	}
-	r := &snipeproto.AdapterSignalRequest{Signals: encodeSignals(news)}
-	for _, peer := range i.toldSignals() {
+	r := &snipeproto.AdapterSignalRequest{Signals: encodeSignals(updates)}
+	for _, peer := range i.signalPeers() {
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, signalTimeout)
 			defer cancel()
 			// Whoever is not reached hears of it from the upstream, or is told again.
-			_, _ = i.peers.adapters.of(peer).Signal(ctx, r)
+			_, _ = i.peers.adapters.client(peer).Signal(ctx, r)
 		}()
 	}
 }
 
-// toldSignals returns the instances that are told what upstreams say: all where there are few, else
+// signalPeers returns the instances that are told what upstreams say: all where there are few, else
 // the first ones of each failure domain.
-func (i *Instance) toldSignals() []netip.AddrPort {
+func (i *Instance) signalPeers() []netip.AddrPort {
 	var all []netip.AddrPort
 	most := len(i.holder.View().Ranked)
-	if i.gathers() {
-		most = toldOfDomain
+	if i.gathersLoads() {
+		most = signalPeersPerDomain
 	}
-	told := make(map[string]int)
+	sent := make(map[string]int)
 	for _, other := range i.holder.View().Ranked {
-		if other.Peer == i.Settings.Peers || other.Leaving || other.Standby && i.gathers() || told[other.Domain] == most {
+		if other.Peer == i.Settings.Peers || other.Leaving || other.Standby && i.gathersLoads() || sent[other.Domain] == most {
 			continue
 		}
-		told[other.Domain]++
+		sent[other.Domain]++
 		all = append(all, other.Peer)
 	}
 	return all
--- a/snipeentry/snipeentry.go
+++ b/snipeentry/snipeentry.go
@@ -47,24 +47,24 @@
 	// milliseconds away. The first packet is repeated after a second, too late for
 	// most requests.
 	dialTimeout = 400 * time.Millisecond
-	// linkIdle is how long an idle connection to an upstream is kept when it does
+	// idleConnectionTime is how long an idle connection to an upstream is kept when it does
 	// not say how long it keeps it itself.
-	linkIdle = 4 * time.Second
-	// linksKept bounds the idle connections to one upstream: upstreams take a few
+	idleConnectionTime = 4 * time.Second
+	// maxIdleConnections bounds the idle connections to one upstream: upstreams take a few
 	// hundred from all instances.
-	linksKept = 16
-	// sweepEvery is the time between two looks for idle connections to close, and for
+	maxIdleConnections = 16
+	// sweepInterval is the time between two looks for idle connections to close, and for
 	// what is known of upstreams that are gone.
-	sweepEvery = time.Second
-	// takeEvery is the time between two looks for engines that came to be this
+	sweepInterval = time.Second
+	// takeInterval is the time between two looks for engines that came to be this
 	// instance's.
-	takeEvery = 500 * time.Millisecond
-	// reportEvery is the time between two reports of use to engines' owners: how soon
+	takeInterval = 500 * time.Millisecond
+	// reportInterval is the time between two reports of use to engines' owners: how soon
 	// an adapter that is suddenly asked for comes onto more engines, and is found there.
-	reportEvery = 80 * time.Millisecond
-	// lapseReturn is how long after an outage of the registry entries that lapsed
+	reportInterval = 80 * time.Millisecond
+	// registryRecoveryTime is how long after an outage of the registry entries that lapsed
 	// meanwhile may take to come back.
-	lapseReturn = 2500 * time.Millisecond
+	registryRecoveryTime = 2500 * time.Millisecond
 )
 
 // Platform is how the instance speaks to what is around it.
@@ -107,70 +107,70 @@
 	// Listen opens a listener; nil for TCP.
 	Listen func(ctx context.Context, address netip.AddrPort) (net.Listener, error)
 
-	prepare   sync.Once // makes stops
-	meter     *snipemeter.Meter
-	catalog   *snipecatalog.Keeper
-	directory *snipedirectory.Keeper
-	balancer  *snipebalance.Balancer
-	board     *snipebalance.Board
-	residency *snipeadapter.Residency
-	holder    *snipeowner.Holder
-	relay     *relay
-	desk      *snipeadapter.Desk
-	links     *snipelink.Pool
-	gateway   *snipegateway.Gateway
-	signals   *snipesignal.Book
-	peers     *peers
-	budgets   *budgets
-	issuer    *snipequota.Issuer
-	account   *snipequota.Account
-	phase     phase
-	beginning *beginning
+	stopSignalsOnce sync.Once // makes stops
+	meter           *snipemeter.Meter
+	catalog         *snipecatalog.Keeper
+	directory       *snipedirectory.Keeper
+	balancer        *snipebalance.Balancer
+	board           *snipebalance.Board
+	residency       *snipeadapter.Residency
+	holder          *snipeowner.Holder
+	relay           *relay
+	controller      *snipeadapter.Desk
+	links           *snipelink.Pool
+	gateway         *snipegateway.Gateway
+	signals         *snipesignal.Book
+	peers           *peers
+	retryBudgets    *retryBudgets
+	issuer          *snipequota.Issuer
+	account         *snipequota.Account
+	stopState       stopState
+	startupGate     *startupGate
 
-	wrongEntries wrongEntries
+	invalidEntries invalidEntries
 	// strange tells that the rows of ownership, by which others are found, cannot be read.
-	strange atomic.Bool
+	ownershipUnreadable atomic.Bool
 	// evicted is the last eviction of an own engine that the reports' duty has noted.
-	evicted uint64
+	lastEviction uint64
 
-	tables tables
-	stops  chan os.Signal
+	tables      tables
+	stopSignals chan os.Signal
 }
 
 // Run serves until a signal ends it, or until ctx ends.
 func (i *Instance) Run(ctx context.Context) error {
 	i.build()
-	i.prepareSignals()
-	signal.Notify(i.stops, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	defer signal.Stop(i.stops)
+	i.makeStopSignals()
+	signal.Notify(i.stopSignals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
+	defer signal.Stop(i.stopSignals)
 	var g run.Group
 	for _, f := range i.tables.all() {
-		i.duty(ctx, &g, f.Run)
+		i.addTask(ctx, &g, f.Run)
 	}
-	i.duty(ctx, &g, i.holder.Run)
-	i.duty(ctx, &g, i.holder.RunProlong)
-	i.duty(ctx, &g, i.account.Run)
-	i.duty(ctx, &g, func(ctx context.Context) error { return snipetime.Every(ctx, takeEvery, i.takeEngines) })
-	i.duty(ctx, &g, func(ctx context.Context) error {
-		return snipetime.Every(ctx, sweepEvery, func(context.Context) {
+	i.addTask(ctx, &g, i.holder.Run)
+	i.addTask(ctx, &g, i.holder.RunProlong)
+	i.addTask(ctx, &g, i.account.Run)
+	i.addTask(ctx, &g, func(ctx context.Context) error { return snipetime.Every(ctx, takeInterval, i.readTakenEngines) })
+	i.addTask(ctx, &g, func(ctx context.Context) error {
+		return snipetime.Every(ctx, sweepInterval, func(context.Context) {
 			i.links.Sweep()
-			i.forget()
+			i.forgetUnregistered()
 		})
 	})
-	i.duty(ctx, &g, func(ctx context.Context) error {
-		return snipetime.Every(ctx, reportEvery, func(ctx context.Context) {
+	i.addTask(ctx, &g, func(ctx context.Context) error {
+		return snipetime.Every(ctx, reportInterval, func(ctx context.Context) {
 			i.reportUses(ctx)
-			i.tellOwn()
-			i.spread()
-			i.tellSignals(ctx)
+			i.applyOwnLoads()
+			i.spreadAdapters()
+			i.sendSignals(ctx)
 		})
 	})
-	i.duty(ctx, &g, func(ctx context.Context) error { return snipetime.Every(ctx, loadsEvery, i.learnLoads) })
+	i.addTask(ctx, &g, func(ctx context.Context) error { return snipetime.Every(ctx, loadsInterval, i.updateLoads) })
 	servers, err := i.listen(ctx, &g)
 	if err != nil {
 		return err
 	}
-	i.duty(ctx, &g, func(ctx context.Context) error { return i.waitStop(ctx, servers) })
+	i.addTask(ctx, &g, func(ctx context.Context) error { return i.waitStop(ctx, servers) })
 	i.Log.Log(snipelog.Started, snipelog.Fields{callersName: i.Settings.Callers, "Incarnation": i.Incarnation})
 	err = g.Run()
 	i.Log.Log(snipelog.Stopped, nil)
@@ -180,21 +180,21 @@
 // maxSignals bounds the signals that wait for the stop's duty.
 const maxSignals = 4
 
-func (i *Instance) prepareSignals() {
-	i.prepare.Do(func() { i.stops = make(chan os.Signal, maxSignals) })
+func (i *Instance) makeStopSignals() {
+	i.stopSignalsOnce.Do(func() { i.stopSignals = make(chan os.Signal, maxSignals) })
 }
 
 // Stop begins a planned stop, as a signal does.
 func (i *Instance) Stop() {
-	i.prepareSignals()
+	i.makeStopSignals()
 	select {
-	case i.stops <- syscall.SIGTERM:
+	case i.stopSignals <- syscall.SIGTERM:
 	default: // a stop waits already
 	}
 }
 
 // duty adds a loop that ends with the instance.
-func (i *Instance) duty(ctx context.Context, g *run.Group, f func(ctx context.Context) error) {
+func (i *Instance) addTask(ctx context.Context, g *run.Group, f func(ctx context.Context) error) {
 	ctx, cancel := context.WithCancel(ctx)
 	g.Add(func() error { return f(ctx) }, func(error) { cancel() })
 }
@@ -202,15 +202,15 @@
 func (i *Instance) build() {
 	s := i.Settings
 	i.meter = snipemeter.New()
-	i.beginning = newBeginning()
+	i.startupGate = newStartupGate()
 	i.catalog = &snipecatalog.Keeper{}
-	i.directory = &snipedirectory.Keeper{Seen: i.seen, Return: lapseReturn}
+	i.directory = &snipedirectory.Keeper{Seen: i.upstreamChanged, Return: registryRecoveryTime}
 	i.buildSignals()
-	i.balancer = &snipebalance.Balancer{Domain: s.Domain, Suspect: i.suspect, Open: i.signals.Open}
+	i.balancer = &snipebalance.Balancer{Domain: s.Domain, Suspect: i.logSuspect, Open: i.signals.Open}
 	i.board = &snipebalance.Board{}
 	i.residency = &snipeadapter.Residency{}
 	i.links = &snipelink.Pool{
-		Dial: snipelink.Dialer(), DialTimeout: dialTimeout, Idle: linkIdle, Kept: linksKept,
+		Dial: snipelink.Dialer(), DialTimeout: dialTimeout, Idle: idleConnectionTime, Kept: maxIdleConnections,
 		Belongs: i.Platform.Belongs, KeepAlive: i.Platform.KeepAlive,
 	}
 	i.buildRelay()
@@ -218,12 +218,12 @@
 		Table:   snipeowner.Table{List: i.ownershipRows, Write: i.relay.Write},
 		Self:    snipeowner.Instance{Name: s.Name, Incarnation: i.Incarnation, Peer: s.Peers, Domain: s.Domain, Power: s.Power},
 		Engines: i.engineAddresses, OrderGap: s.OrderGap.Value(), Clock: bootClock,
-		Operation: i.Operation, Reached: i.storeReached, Log: i.Log,
+		Operation: i.Operation, Reached: i.noteRenewal, Log: i.Log,
 	}
 	i.buildTables()
-	i.holder.Promise, i.holder.RowsAge = i.promise, i.tables.ownership.Mirror.Age
-	i.gauges()
-	i.desk = &snipeadapter.Desk{
+	i.holder.Promise, i.holder.RowsAge = i.requestExtension, i.tables.ownership.Mirror.Age
+	i.registerGauges()
+	i.controller = &snipeadapter.Desk{
 		Engine: i.Platform.Engine, Fence: i.holder.Fence, Holder: s.Name, Log: i.Log,
 		Upstream: func(id string) *snipedirectory.Upstream { return i.directory.Snapshot().ByID(id) },
 		Slots:    i.adapterSlots,
@@ -233,19 +233,19 @@
 			return version
 		},
 	}
-	i.desk.Spare = func(u *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool {
+	i.controller.Spare = func(u *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool {
 		return i.gateway.Chooser.Spare(u, a, perSecond)
 	}
 	i.peers = newPeers(peerClient(i.meter))
 	i.buildQuotas()
-	i.budgets = &budgets{share: s.RetryShare, slack: s.RetrySlack, span: s.RetrySpan.Value(), instances: i.instances}
+	i.retryBudgets = &retryBudgets{share: s.RetryShare, slack: s.RetrySlack, span: s.RetrySpan.Value(), instances: i.instances}
 	i.gateway = &snipegateway.Gateway{
 		Catalog: i.catalog, Balancer: i.balancer, Links: i.links, Signals: i.signals, Protocol: i.Platform.Protocol,
-		Quotas: i.gatewayQuotas(), Outdated: i.outdated, Begin: i.beginning.wait,
-		Budget: i.budgets.of, Stopping: i.phase.stopping, Log: i.Log, Meter: i.meter,
+		Quotas: i.gatewayQuotas(), Outdated: i.catalogOutdated, Begin: i.startupGate.wait,
+		Budget: i.retryBudgets.budget, Stopping: i.stopState.stopping, Log: i.Log, Meter: i.meter,
 		Chooser: &snipegateway.Chooser{
 			Directory: i.directory, Balancer: i.balancer, Residency: i.residency, Signals: i.signals, Versions: i.catalog,
-			Ensure: i.ensure, Owned: i.owned,
+			Ensure: i.ensure, Owned: i.ownerReachable,
 		},
 	}
 }
@@ -275,7 +275,7 @@
 			return dial(ctx, to)
 		}),
 		DisableCompression:  true,
-		MaxIdleConnsPerHost: linksKept,
+		MaxIdleConnsPerHost: maxIdleConnections,
 		IdleConnTimeout:     time.Minute,
 	}}}
 }
@@ -337,24 +337,24 @@
 	return rarest
 }
 
-// takeEngines reads the engines that came to be this instance's.
-func (i *Instance) takeEngines(ctx context.Context) {
+// readTakenEngines reads the engines that came to be this instance's.
+func (i *Instance) readTakenEngines(ctx context.Context) {
 	for _, u := range i.engines() {
 		if !u.Leaving {
-			i.desk.Take(ctx, u)
+			i.controller.Take(ctx, u)
 		}
 	}
 }
 
 // owned reports whether an engine has an owner that can be asked for loads.
-func (i *Instance) owned(u *snipedirectory.Upstream) bool {
+func (i *Instance) ownerReachable(u *snipedirectory.Upstream) bool {
 	owner, ok := i.holder.View().Owners[u.Address]
-	return ok && (owner.Self || !i.peers.silent(owner.Instance.Peer) && i.peers.hasRight(u.Address))
+	return ok && (owner.Self || !i.peers.isUnreachable(owner.Instance.Peer) && i.peers.ownerMayOrder(u.Address))
 }
 
 // outdated reports whether operators may have declared something that is in force elsewhere and
 // not known here.
-func (i *Instance) outdated() bool {
+func (i *Instance) catalogOutdated() bool {
 	return i.tables.catalog.Mirror.Age() > i.Settings.ApplyTime.Value()
 }
 
@@ -362,10 +362,10 @@
 func (i *Instance) instances() int { return len(i.holder.View().Live) }
 
 // suspect logs that an upstream is left alone or trusted again.
-func (i *Instance) suspect(id string, suspect bool) {
+func (i *Instance) logSuspect(id string, suspect bool) {
 	if suspect {
-		i.Log.Log(snipelog.UpstreamSuspect, snipelog.Fields{upstreamName: id})
+		i.Log.Log(snipelog.UpstreamSuspect, snipelog.Fields{upstreamField: id})
 		return
 	}
-	i.Log.Log(snipelog.UpstreamTrusted, snipelog.Fields{upstreamName: id})
+	i.Log.Log(snipelog.UpstreamTrusted, snipelog.Fields{upstreamField: id})
 }
--- a/snipeentry/start_test.go
+++ b/snipeentry/start_test.go
@@ -14,10 +14,10 @@
 // bad and good, are given their base model and adapters again; nothing that they held before
 // is thought to be there.
 func TestUpstreamStartsAgain(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	one := s.start("one")
 	s.declare(1)
-	serving(t, one)
+	waitServing(t, one)
 	served := func(adapter string) {
 		t.Helper()
 		eventually(t, func() bool {
--- a/snipeentry/stop.go
+++ b/snipeentry/stop.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// stopNotice is how long a stopping instance still takes connections: the
+	// stopAcceptTime is how long a stopping instance still takes connections: the
 	// balancer asks once a second and takes it out after two misses.
-	stopNotice = 3 * time.Second
+	stopAcceptTime = 3 * time.Second
 	// stopReserve is the part of the stop's time that is left for its end.
 	stopReserve = 500 * time.Millisecond
 )
 
 // phase is how far the instance is in its life.
-type phase struct{ ended atomic.Bool }
+type stopState struct{ begun atomic.Bool }
 
-func (p *phase) stopping() bool { return p.ended.Load() }
+func (s *stopState) stopping() bool { return s.begun.Load() }
 
 // ready reports whether the balancer may send callers: routes and some upstreams
 // are known and no stop has begun.
 func (i *Instance) ready() bool {
-	return !i.phase.stopping() && i.catalog.Catalog() != nil && i.directory.Snapshot().Len() > 0
+	return !i.stopState.stopping() && i.catalog.Catalog() != nil && i.directory.Snapshot().Len() > 0
 }
 
 // waitStop waits for a signal and carries out a planned stop: readiness ends at
@@ -41,7 +41,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case s := <-i.stops:
+		case s := <-i.stopSignals:
 			if s == syscall.SIGHUP {
 				i.reload()
 				continue
@@ -50,11 +50,11 @@
 		break
 	}
 	i.Log.Log(snipelog.Stopping, snipelog.Fields{"InFlight": i.gateway.InFlight()})
-	i.phase.ended.Store(true)
+	i.stopState.begun.Store(true)
 	i.holder.Leave()
 	limit, cancel := context.WithTimeout(ctx, i.Settings.StopTimeout.Value()-stopReserve)
 	defer cancel()
-	snipetime.Sleep(limit, stopNotice)
+	snipetime.Sleep(limit, stopAcceptTime)
 	for _, s := range servers {
 		// What is still in flight at the limit is cut by the end.
 		_ = s.Shutdown(limit)
--- a/snipeentry/stop_test.go
+++ b/snipeentry/stop_test.go
@@ -13,10 +13,10 @@
 // long as an instance serves its last requests the others can ask it to leave them their engines;
 // else they take it for one that lives and says no.
 func TestStopAnswersPeers(t *testing.T) {
-	s := newStage(t, time.Second)
+	s := newTestCluster(t, time.Second)
 	one := s.start("one")
 	s.declare(1)
-	serving(t, one)
+	waitServing(t, one)
 	answered := make(chan reply, 1)
 	go func() {
 		a, _ := send(t, one.url, http.MethodPost, "/final/x", "", modelHeader, "base")
--- a/snipeentry/feed.go
+++ b/snipeentry/tables.go
@@ -22,17 +22,17 @@
 	// this and the store's timeout, and a copy that others follow is as old as this
 	// when nothing changes.
 	catalogWait = time.Second
-	// catalogPace is the least time between two reads, so that a storm of changes
+	// catalogInterval is the least time between two reads, so that a storm of changes
 	// costs ten reads a second at most.
-	catalogPace = 100 * time.Millisecond
-	// directoryWait and directoryPace are the same for the registry, whose entries
+	catalogInterval = 100 * time.Millisecond
+	// directoryWait and directoryInterval are the same for the registry, whose entries
 	// change all the time: a read seldom waits. Upstreams that leave take new work for
 	// two seconds.
-	directoryWait = 200 * time.Millisecond
-	directoryPace = 1100 * time.Millisecond
-	// ownershipPace is the same for the rows of ownership, which change with each
+	directoryWait     = 200 * time.Millisecond
+	directoryInterval = 1100 * time.Millisecond
+	// ownershipInterval is the same for the rows of ownership, which change with each
 	// renewal. A dead owner is noticed after its lease, more than two seconds.
-	ownershipPace = 1500 * time.Millisecond
+	ownershipInterval = 1500 * time.Millisecond
 	// maxOwnershipAge is how old the rows of ownership may be for it to be judged by
 	// them who lives: two reads.
 	maxOwnershipAge = 4 * time.Second
@@ -42,18 +42,18 @@
 	// acquaintance is how long an instance that starts waits at most to know the others,
 	// whose copies it follows, before it reads the store's tables itself: where the store is
 	// silent all that start are without routes meanwhile.
-	acquaintance = 400 * time.Millisecond
-	// acquaintanceEvery is the time between two looks.
-	acquaintanceEvery = 10 * time.Millisecond
-	// settledAfter is how long after its start an instance that knows nobody looks for others
+	maxDiscoveryWait = 400 * time.Millisecond
+	// discoveryInterval is the time between two looks.
+	discoveryInterval = 10 * time.Millisecond
+	// startupWindow is how long after its start an instance that knows nobody looks for others
 	// more often: all may have started at once, and have written no row yet.
-	settledAfter = 3 * time.Second
+	startupWindow = 3 * time.Second
 )
 
-// positionName names the store's position in log lines, upstreamName an upstream.
+// positionField names the store's position in log lines, upstreamField an upstream.
 const (
-	positionName = "Position"
-	upstreamName = "Upstream"
+	positionField = "Position"
+	upstreamField = "Upstream"
 )
 
 // tables are the tables of the store that an instance follows.
@@ -77,36 +77,36 @@
 }
 
 // follower returns the follower of a table.
-func (i *Instance) follower(table string, pace, wait time.Duration, ages copyAges) *snipemirror.Follower {
+func (i *Instance) follower(table string, pace, wait time.Duration, ages maxCopyAges) *snipemirror.Follower {
 	return &snipemirror.Follower{
-		Rare:   i.standsBy,
+		Rare:   i.onStandby,
 		Mirror: snipemirror.New(), Store: i.source(table), Pace: pace, Wait: wait,
-		MaxAge: func() time.Duration { return i.copyAge(ages) },
+		MaxAge: func() time.Duration { return i.maxCopyAge(ages) },
 		Near: func(failures int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
-			return i.near(table, failures, lost)
+			return i.peerCopy(table, failures, lost)
 		},
 	}
 }
 
 // alone reports whether no other instance is known.
-func (i *Instance) alone() bool { return i.instances() <= 1 }
+func (i *Instance) noPeersKnown() bool { return i.instances() <= 1 }
 
 // acquaint waits until other instances are known, so that a start of hundreds reads of the
 // store what each needs to find the others, and the rest from these. While the store does not
 // answer nobody can be found by it.
-func (i *Instance) acquaint(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, acquaintance)
+func (i *Instance) waitForPeers(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, maxDiscoveryWait)
 	defer cancel()
-	for i.alone() && !i.strange.Load() && snipetime.Sleep(ctx, acquaintanceEvery) {
+	for i.noPeersKnown() && !i.ownershipUnreadable.Load() && snipetime.Sleep(ctx, discoveryInterval) {
 	}
 }
 
-// standsBy reports whether this instance leaves duties for all to others.
-func (i *Instance) standsBy() bool { return i.holder.View().Live[i.Settings.Peers].Standby }
+// onStandby reports whether this instance leaves duties for all to others.
+func (i *Instance) onStandby() bool { return i.holder.View().Live[i.Settings.Peers].Standby }
 
 func (i *Instance) buildTables() {
 	t := &i.tables
-	t.catalog = i.follower(i.Platform.DeclaredTable, catalogPace, catalogWait, feedAges)
+	t.catalog = i.follower(i.Platform.DeclaredTable, catalogInterval, catalogWait, tableCopyAges)
 	t.catalog.Changed = func(rows []snipemirror.Row, position uint64) {
 		if len(rows) > 0 {
 			i.applyCatalog(i.Platform.DecodeDeclared(rows, position))
@@ -115,7 +115,7 @@
 	t.catalog.Lost = func(err error) { i.Log.Error(snipelog.CatalogStale, err, i.catalogFields()) }
 	t.catalog.Back = func() { i.Log.Log(snipelog.CatalogFresh, i.catalogFields()) }
 
-	t.directory = i.follower(i.Platform.UpstreamTable, directoryPace, directoryWait, feedAges)
+	t.directory = i.follower(i.Platform.UpstreamTable, directoryInterval, directoryWait, tableCopyAges)
 	t.directory.Mirror.Same = i.Platform.SameUpstream
 	t.directory.Changed = i.applyDirectory
 	t.directory.Lost = func(err error) {
@@ -126,18 +126,18 @@
 		i.Log.Log(snipelog.DirectoryFresh, snipelog.Fields{"Upstreams": i.directory.Snapshot().Len()})
 	}
 
-	t.ownership = i.follower(snipeowner.Partition, ownershipPace, directoryWait, ownershipAges)
+	t.ownership = i.follower(snipeowner.Partition, ownershipInterval, directoryWait, ownershipCopyAges)
 	t.ownership.Changed = func([]snipemirror.Row, uint64) {
-		if i.alone() {
+		if i.noPeersKnown() {
 			i.holder.Nudge()
 		}
 	}
 	started := time.Now()
-	t.ownership.Hasten = func() bool { return i.alone() && time.Since(started) < settledAfter }
-	t.catalog.Begin, t.directory.Begin = i.acquaint, i.acquaint
+	t.ownership.Hasten = func() bool { return i.noPeersKnown() && time.Since(started) < startupWindow }
+	t.catalog.Begin, t.directory.Begin = i.waitForPeers, i.waitForPeers
 	// The holder tells of the loss of the store itself, by its renewals.
-	t.ownership.Lost = func(error) { i.strange.Store(true) }
-	t.ownership.Back = func() { i.strange.Store(false) }
+	t.ownership.Lost = func(error) { i.ownershipUnreadable.Store(true) }
+	t.ownership.Back = func() { i.ownershipUnreadable.Store(false) }
 }
 
 func (i *Instance) catalogFields() snipelog.Fields {
@@ -156,32 +156,32 @@
 	for _, v := range c.Versions {
 		if i.catalog.Announce(v.Adapter, v.Version) {
 			i.Log.Log(snipelog.VersionAnnounced, snipelog.Fields{"Adapter": v.Adapter.Name, "Version": v.Version})
-			i.desk.Refresh(v.Adapter, v.Version)
+			i.controller.Refresh(v.Adapter, v.Version)
 		}
 	}
 	if c.Catalog != nil && i.catalog.Adopt(c.Catalog) {
 		i.Log.Log(snipelog.CatalogInForce, snipelog.Fields{
-			"Catalog": c.Catalog.Version, "Routes": len(c.Catalog.Routes), positionName: c.Position,
+			"Catalog": c.Catalog.Version, "Routes": len(c.Catalog.Routes), positionField: c.Position,
 		})
-		i.noteKnown()
+		i.openStartupGate()
 	}
 }
 
-// noteKnown lets callers go on that wait for routes and upstreams, if both are known.
-func (i *Instance) noteKnown() {
+// openStartupGate lets callers go on that wait for routes and upstreams, if both are known.
+func (i *Instance) openStartupGate() {
 	if i.catalog.Catalog() != nil && i.directory.Snapshot().Len() > 0 {
-		i.beginning.note()
+		i.startupGate.release()
 	}
 }
 
 // applyDirectory takes what was read of the registry.
 func (i *Instance) applyDirectory(rows []snipemirror.Row, position uint64) {
 	change, wrong := i.Platform.DecodeUpstreams(rows, position)
-	i.tellEntries(change, wrong)
+	i.logEntries(change, wrong)
 	first := i.directory.Snapshot() == nil
 	i.directory.Apply(change)
 	if first {
-		i.Log.Log(snipelog.DirectoryRead, snipelog.Fields{"Upstreams": i.directory.Snapshot().Len(), positionName: position})
+		i.Log.Log(snipelog.DirectoryRead, snipelog.Fields{"Upstreams": i.directory.Snapshot().Len(), positionField: position})
 	}
 	i.residency.Read()
 	now := i.directory.Snapshot()
@@ -190,12 +190,12 @@
 			i.residency.Observe(u)
 		}
 	}
-	i.noteKnown()
+	i.openStartupGate()
 }
 
 // forget drops what is known of starts of upstreams that are not in the directory: what
 // others say of one may come after it was forgotten.
-func (i *Instance) forget() {
+func (i *Instance) forgetUnregistered() {
 	now := i.directory.Snapshot()
 	registered := func(id string) bool { return now.ByID(id) != nil }
 	i.residency.Keep(registered)
@@ -203,12 +203,12 @@
 	i.signals.Keep(registered)
 }
 
-// tellEntries logs which entries of the registry cannot be understood, and which can be
+// logEntries logs which entries of the registry cannot be understood, and which can be
 // again. Each is told once: whoever writes nonsense may do so every second.
-func (i *Instance) tellEntries(c snipedirectory.Change, wrong []error) {
+func (i *Instance) logEntries(c snipedirectory.Change, wrong []error) {
 	for n, key := range c.Wrong {
-		if i.wrongEntries.Add(key) {
-			i.Log.Error(snipelog.EntryWrong, wrong[n], snipelog.Fields{"Key": key, positionName: c.Position})
+		if i.invalidEntries.Add(key) {
+			i.Log.Error(snipelog.EntryWrong, wrong[n], snipelog.Fields{"Key": key, positionField: c.Position})
 		}
 	}
 	mended := slices.Clone(c.Removed)
@@ -216,8 +216,8 @@
 		mended = append(mended, u.Name)
 	}
 	for _, key := range mended {
-		if i.wrongEntries.Remove(key) {
-			i.Log.Log(snipelog.EntryMended, snipelog.Fields{"Key": key, positionName: c.Position})
+		if i.invalidEntries.Remove(key) {
+			i.Log.Log(snipelog.EntryMended, snipelog.Fields{"Key": key, positionField: c.Position})
 		}
 	}
 }
@@ -239,8 +239,8 @@
 	return all, mark, nil
 }
 
-// storeReached is told of each renewal whether the store answered.
-func (i *Instance) storeReached(ok bool) {
+// noteRenewal is told of each renewal whether the store answered.
+func (i *Instance) noteRenewal(ok bool) {
 	if !ok {
 		i.interruptReads()
 	}
@@ -254,8 +254,8 @@
 }
 
 // seen is told of upstreams that are new, leaving or gone.
-func (i *Instance) seen(u *snipedirectory.Upstream, e snipedirectory.Event) {
-	fields := snipelog.Fields{upstreamName: u.ID, "Service": u.Service, "Address": u.Address, positionName: u.Position}
+func (i *Instance) upstreamChanged(u *snipedirectory.Upstream, e snipedirectory.Event) {
+	fields := snipelog.Fields{upstreamField: u.ID, "Service": u.Service, "Address": u.Address, positionField: u.Position}
 	switch e {
 	case snipedirectory.Appeared:
 		// Those of the first reading are told by their number.
@@ -266,13 +266,13 @@
 		if i.signals.Leaving(u.ID) {
 			return // told already
 		}
-		fields["RemainingMilliseconds"], fields[sourceName] = u.Remaining.Milliseconds(), "Registry"
+		fields["RemainingMilliseconds"], fields[sourceField] = u.Remaining.Milliseconds(), "Registry"
 		i.Log.Log(snipelog.UpstreamLeaving, fields)
 	case snipedirectory.Gone:
 		i.Log.Log(snipelog.UpstreamGone, fields)
 		i.links.Forget(u.Address)
 		i.residency.Forget(u.ID)
 		i.balancer.Forget(u.ID)
-		i.desk.Forget(u.ID)
+		i.controller.Forget(u.ID)
 	}
 }
--- a/snipeentry/silent_test.go
+++ b/snipeentry/unreachable_test.go
@@ -25,9 +25,9 @@
 	other := netip.MustParseAddrPort("10.0.0.9:80")
 	p := newPeers(server.Client())
 
-	ctx, cancel := p.ask(t.Context(), owner)
+	ctx, cancel := p.trackRequest(t.Context(), owner)
 	defer cancel()
-	elsewhere, end := p.ask(t.Context(), other)
+	elsewhere, end := p.trackRequest(t.Context(), other)
 	defer end()
 	failed := make(chan error, 1)
 	go func() {
@@ -41,21 +41,21 @@
 		failed <- err
 	}()
 	<-asked
-	must.False(t, p.silent(owner))
-	must.True(t, p.reached(owner, false))
+	must.False(t, p.isUnreachable(owner))
+	must.True(t, p.noteReachability(owner, false))
 	select {
 	case err := <-failed:
 		must.Error(t, err)
 	case <-time.After(10 * time.Second):
 		t.Fatal("the question goes on")
 	}
-	must.ErrorIs(t, context.Cause(ctx), errSilent)
+	must.ErrorIs(t, context.Cause(ctx), errOwnerUnresponsive)
 	must.NoError(t, elsewhere.Err())
-	must.True(t, p.silent(owner))
-	must.True(t, p.reached(owner, true))
-	must.False(t, p.silent(owner))
+	must.True(t, p.isUnreachable(owner))
+	must.True(t, p.noteReachability(owner, true))
+	must.False(t, p.isUnreachable(owner))
 
 	cancel()
 	end()
-	must.MapEmpty(t, p.questions)
+	must.MapEmpty(t, p.pendingRequests)
 }
