--- a/snipeentry/backoff_test.go
+++ b/snipeentry/backoff_test.go
@@ -10,9 +10,9 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// TestRestAskedByUpstream guards against instances that go on sending requests to an upstream that
-// has turned one away and asked for rest, and against callers that are refused for it although
-// another upstream is free.
+// TestRestAskedByUpstream guards against instances that keep sending requests to an upstream that
+// has refused one and asked for a backoff, and against callers that are refused for this reason
+// although another upstream is free.
 func TestRestAskedByUpstream(t *testing.T) {
 	tests := map[string]struct {
 		backingOff, target string
@@ -31,7 +31,7 @@
 			instances := []*instance{s.start("one"), s.start("two"), s.start("three")}
 			for _, i := range instances {
 				waitServing(t, i)
-				// Until engines have owners adapters are refused for want of one.
+				// Requests for adapters are refused until the engines have owners.
 				eventually(t, func() bool {
 					a, _ := send(t, i.url, http.MethodGet, tt.target, "", tt.header...)
 					return a.status == http.StatusOK
--- a/snipeentry/startup.go
+++ b/snipeentry/begin.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// maxStartupWait is how long after the start callers are held until routes and upstreams are known:
-// the wait for other instances and a reading of the store.
+// maxStartupWait is how long after the start callers are held until routes and upstreams are known.
+// It covers the discovery of other instances and one read of the store.
 const maxStartupWait = maxDiscoveryWait + 300*time.Millisecond
 
-// beginning holds the requests of callers that are faster than what this instance has to learn.
+// startupGate holds the requests that arrive before this instance knows routes and upstreams.
 type startupGate struct {
 	once     sync.Once
 	opened   chan struct{} // closed when routes and upstreams are known
@@ -21,10 +21,10 @@
 	return &startupGate{opened: make(chan struct{}), deadline: time.Now().Add(maxStartupWait)}
 }
 
-// note notes that routes and upstreams are known.
+// release lets all held requests proceed. It is called once routes and upstreams are known.
 func (g *startupGate) release() { g.once.Do(func() { close(g.opened) }) }
 
-// wait waits until routes and upstreams are known, or for so long that they may take long.
+// wait waits until routes and upstreams are known, until the deadline passes, or until ctx ends.
 func (g *startupGate) wait(ctx context.Context) {
 	left := time.Until(g.deadline)
 	if left <= 0 {
--- a/snipeentry/budget.go
+++ b/snipeentry/budget.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// usedShare is the share of the allowed repeats that is used. The rest is for what
-	// instances do not know: how many they are while some start or end, and what was
-	// repeated by those that ended. All killed at once may spend the slack twice.
+	// usedShare is the share of the allowed retries that is used. The remainder covers what
+	// instances cannot know: how many instances there are while some start or end, and the retries
+	// that ended instances have sent. If all instances are killed at once, the slack may be spent
+	// twice.
 	usedShare = 0.85
-	// fewestInstances is the least number among which the slack is divided: one
-	// that has just started may know of nobody yet.
+	// fewestInstances is the least number of instances among which the slack is divided. An
+	// instance that has just started may know no others yet.
 	fewestInstances = 6
 )
 
-// budgets holds what pays for repeats, for each service by itself. All instances
-// together must stay within a share of the requests and a slack; each takes its
-// part of the slack.
+// retryBudgets holds a separate retry budget for each service. All instances together must stay
+// within a share of the requests and a slack; each instance uses its share of the slack.
 type retryBudgets struct {
 	share     float64
 	slack     float64
@@ -30,7 +30,7 @@
 	all  map[string]*sniperetry.Window
 }
 
-// of returns a service's budget.
+// budget returns a service's budget.
 func (b *retryBudgets) budget(service string) *sniperetry.Window {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -45,7 +45,7 @@
 	return made
 }
 
-// part is this instance's part of the slack.
+// slackShare returns this instance's share of the slack.
 func (b *retryBudgets) slackShare() float64 {
 	return usedShare * b.slack / float64(max(b.instances(), fewestInstances))
 }
--- a/snipeentry/cluster_test.go
+++ b/snipeentry/cluster_test.go
@@ -29,7 +29,7 @@
 
 const host = "calls.example"
 
-// stage is a store, runners and entry instances on loopback.
+// testCluster is a store, upstreams and entry instances on loopback.
 type testCluster struct {
 	t       *testing.T
 	store   *snipestand.RowStore
@@ -62,8 +62,8 @@
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// newTestCluster starts a store, two engines and two plain upstreams, which write their
-// entries until the test ends. Events of streams come at an interval.
+// newTestCluster starts a store, two engines and two plain upstreams, which write their registry
+// entries until the test ends. event is the interval between the events of a stream.
 func newTestCluster(t *testing.T, event time.Duration) *testCluster {
 	s := &testCluster{t: t, store: snipestand.NewRowStore(), runners: map[string]*snipestand.Runner{}}
 	s.address = serve(t, s.store.Handler())
@@ -85,7 +85,7 @@
 	return s
 }
 
-// beat writes all runners' entries twice a second.
+// writeHeartbeats writes the registry entries of all upstreams twice a second.
 func (s *testCluster) writeHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, r := range s.runners {
@@ -102,7 +102,7 @@
 
 type object = map[string]any
 
-// declare writes the operators' catalog, with its workspaces if there are any.
+// declare writes the operators' catalog, with the given workspaces.
 func (s *testCluster) declare(version int, workspaces ...object) {
 	route := func(name, prefix, kind, service string, more object) object {
 		r := object{
@@ -206,7 +206,7 @@
 	return a.StatusCode == http.StatusOK
 }
 
-// serving waits until an instance serves plain upstreams and engines.
+// waitServing waits until an instance serves plain upstreams and engines.
 func waitServing(t *testing.T, i *instance) {
 	t.Helper()
 	eventually(t, i.isReady)
@@ -218,7 +218,7 @@
 	}
 }
 
-// reply is a caller's view of an answer.
+// reply is an answer as the caller receives it.
 type reply struct {
 	status int
 	header http.Header
@@ -228,7 +228,7 @@
 
 var requests = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// send sends a request of a fresh identifier.
+// send sends a request with a new identifier, and returns the reply and the identifier.
 func send(t *testing.T, url, method, target, body string, header ...string) (reply, string) {
 	t.Helper()
 	id := rand.Text()
@@ -249,7 +249,7 @@
 	return reply{a.StatusCode, a.Header, string(data), err}, id
 }
 
-// events are those of a whole answer, from one on.
+// events returns the events of a complete answer from the given number on.
 func events(from int) string {
 	var b strings.Builder
 	for n := from; n <= 6; n++ {
@@ -258,7 +258,7 @@
 	return b.String()
 }
 
-// total returns how often a request ran, over all runners.
+// total returns how often a request was executed on all upstreams together.
 func (s *testCluster) total(id string) int {
 	n := 0
 	for _, r := range s.runners {
@@ -269,7 +269,7 @@
 
 const modelHeader = "X-Snipepitch-Model"
 
-// TestWholePath plays callers, instances, upstreams and the store together.
+// TestWholePath runs callers, instances, upstreams and the store together.
 func TestWholePath(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	one := s.start("one")
@@ -349,13 +349,13 @@
 	}
 }
 
-// faults holds what callers get when upstreams fail, and how often requests run.
+// faults checks what callers receive when upstreams fail, and how often the requests are executed.
 func faults(t *testing.T, s *testCluster, one *instance) {
 	tests := map[string]struct {
 		target, service string
 		fault           snipestand.RunnerFault
 		times           int
-		status          int // 0: the answer breaks off
+		status          int // 0: the answer is cut off
 		body            string
 		ran             int
 	}{
@@ -394,8 +394,9 @@
 	}
 }
 
-// TestFirstCaller answers the pattern of callers that come back before the instance knows routes and
-// upstreams, as all do after a loss of power: they wait for what takes a moment.
+// TestFirstCaller guards against refusing callers that arrive before the instance knows routes and
+// upstreams, as all callers do after a power failure. Their requests are held for the short time
+// that this takes.
 func TestFirstCaller(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
@@ -405,8 +406,8 @@
 	must.Eq(t, http.StatusOK, a.status, must.Sprint(a.body))
 }
 
-// TestInstanceDies: the engines that an instance may order pass to another one, no
-// engine is ordered by two at once, and requests go on.
+// TestInstanceDies guards against engines that stay without an owner after their owner is killed,
+// against two instances that order one engine at once, and against requests that fail meanwhile.
 func TestInstanceDies(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
@@ -437,8 +438,8 @@
 	}
 }
 
-// TestStop: a planned stop ends readiness at once, answers what comes meanwhile and
-// cuts nothing.
+// TestStop guards against a planned stop that leaves readiness on, refuses requests that still
+// arrive, or cuts off requests in flight.
 func TestStop(t *testing.T) {
 	s := newTestCluster(t, 100*time.Millisecond)
 	s.declare(1)
@@ -459,7 +460,8 @@
 	must.NoError(t, <-one.ended)
 }
 
-// TestStoreLost: without the store what is known stays in use.
+// TestStoreLost guards against instances that drop the known routes and upstreams when the store is
+// lost.
 func TestStoreLost(t *testing.T) {
 	modes := map[string]snipestand.StoreMode{
 		"Refuses": snipestand.StoreRefuses, "Silent": snipestand.StoreSilent,
@@ -483,7 +485,8 @@
 	}
 }
 
-// TestHistoryLost: a store that forgot its history is read anew.
+// TestHistoryLost guards against instances that miss changes after the store has dropped its
+// history of changes: the tables have to be read completely again.
 func TestHistoryLost(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
--- a/snipeentry/discovery_test.go
+++ b/snipeentry/discovery_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestAcquaint answers the pattern of all instances starting at once, also while the store is
-// away: who knows others begins at once, who finds nobody waits a moment, and nobody waits for
-// a store that refuses.
+// TestAcquaint covers a simultaneous start of all instances, also while the store is down. An
+// instance that knows others starts at once, one that discovers none waits for a bounded time, and
+// none waits if the store refuses reads.
 func TestAcquaint(t *testing.T) {
 	tests := map[string]struct {
 		known   int
--- a/snipeentry/entries.go
+++ b/snipeentry/entries.go
@@ -2,18 +2,18 @@
 
 import "sync"
 
-// maxInvalidEntries bounds the entries that are remembered as wrong: the registry holds at
-// most some thousand, and who writes nonsense under ever new keys must not take memory.
+// maxInvalidEntries bounds the entries that are recorded as invalid. The registry holds at most a
+// few thousand entries, and a writer of invalid entries under ever new keys must not use up memory.
 const maxInvalidEntries = 4096
 
-// invalidEntries are the keys of entries of the registry that cannot be understood. The
-// zero value is ready; it is safe for concurrent use.
+// invalidEntries holds the keys of registry entries that cannot be decoded. The zero value is ready
+// to use; it is safe for concurrent use.
 type invalidEntries struct {
 	lock sync.Mutex // guards keys
 	keys map[string]bool
 }
 
-// Add notes a wrong entry and reports whether that is new.
+// Add records an invalid entry and reports whether it is new.
 func (w *invalidEntries) Add(key string) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -27,7 +27,7 @@
 	return true
 }
 
-// Remove notes that an entry is not wrong and reports whether it was.
+// Remove records that an entry is valid and reports whether it was invalid.
 func (w *invalidEntries) Remove(key string) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -36,7 +36,7 @@
 	return was
 }
 
-// Len returns how many entries are wrong.
+// Len returns the number of invalid entries.
 func (w *invalidEntries) Len() int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
--- a/snipeentry/extension.go
+++ b/snipeentry/extension.go
@@ -11,13 +11,13 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// ownershipServer answers other instances that own engines and do not reach the store.
+// ownershipServer answers other instances that own engines and cannot reach the store.
 type ownershipServer struct {
 	holder *snipeowner.Holder
 	relay  *relay
 }
 
-// maxExtendedEngines bounds the engines of one question: an instance owns fewer.
+// maxExtendedEngines bounds the engines of one request. An instance owns fewer engines.
 const maxExtendedEngines = 100
 
 // Promise implements snipeproto.Ownership.
@@ -40,7 +40,9 @@
 	return &snipeproto.OwnershipPromiseResponse{Granted: s.holder.Grant(q)}, nil
 }
 
-// promise asks another instance to leave this one its engines.
+// requestExtension asks another instance to grant a lease extension: not to take over this
+// instance's engines for the time of a lease. It returns snipeowner.ErrNoPromise if the instance
+// refuses.
 func (i *Instance) requestExtension(ctx context.Context, peer netip.AddrPort, q snipeowner.Question) error {
 	r := &snipeproto.OwnershipPromiseRequest{
 		Owner: q.Owner.String(), UnansweredMilliseconds: q.Unanswered.Milliseconds(),
--- a/snipeentry/keys_test.go
+++ b/snipeentry/keys_test.go
@@ -18,12 +18,13 @@
 	workspaceHeader = "X-Snipepitch-Tenant"
 )
 
-// workspace is a workspace without a quota, as operators write it.
+// workspace returns a workspace without a quota, as operators declare it.
 func workspace(name string, keys ...string) object {
 	return object{"name": name, "apiKeys": keys, "unit": "token_rate", "plainTokens": 200}
 }
 
-// seen returns the tokens that upstreams ran for a workspace, and how many keys they saw.
+// workspaceUsage returns the tokens that upstreams counted for a workspace, and the number of keys
+// that reached upstreams.
 func (s *testCluster) workspaceUsage(workspace string) (tokens, keys int) {
 	for _, r := range s.runners {
 		_, n := r.Workspaces()
@@ -32,7 +33,7 @@
 	return tokens, keys
 }
 
-// status sends a request with a key and returns the status that it got.
+// status sends a request with a key and returns the status of the answer.
 func status(t *testing.T, i *instance, key string) int {
 	t.Helper()
 	a, _ := send(t, i.url, http.MethodPost, "/once/x", "", "Authorization", "Bearer "+key)
@@ -40,7 +41,8 @@
 	return a.status
 }
 
-// TestKeys: a request runs for the workspace that holds its key, and not without one.
+// TestKeys checks that a request runs for the workspace that has its key, and is refused without a
+// valid key.
 func TestKeys(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1, workspace("north", "key-n1", "key-n2"), workspace("south", "key-s1"))
@@ -50,7 +52,7 @@
 		target string
 		header []string
 		want   int
-		runs   string // the workspace that it runs for
+		runs   string // the workspace that the request runs for
 	}{
 		"Key":              {"/once/x", []string{"Authorization", "Bearer key-n2"}, 200, "north"},
 		"OtherCase":        {"/once/x", []string{"authorization", "BEARER key-s1"}, 200, "south"},
@@ -88,7 +90,8 @@
 	must.StrNotContains(t, s.logged(), "key-")
 }
 
-// TestKeysChange: keys are in force and void with the catalogs that say so.
+// TestKeysChange checks that keys become valid and invalid with the catalogs that add and remove
+// them.
 func TestKeysChange(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1, workspace("north", "key-1", "key-2"), workspace("south", "key-3"))
@@ -98,31 +101,31 @@
 		eventually(t, func() bool { return status(t, one, key) == want })
 	}
 	waitStatus("key-1", http.StatusOK)
-	// Taken away, and given back.
+	// A key is removed and added again.
 	s.declare(2, workspace("north", "key-2"), workspace("south", "key-3"))
 	waitStatus("key-1", http.StatusUnauthorized)
 	waitStatus("key-2", http.StatusOK)
 	s.declare(3, workspace("north", "key-1", "key-2"), workspace("south", "key-3"))
 	waitStatus("key-1", http.StatusOK)
-	// All of a workspace's keys at once, and one that moves to another workspace.
+	// All keys of a workspace are removed at once, and one moves to another workspace.
 	s.declare(4, workspace("north"), workspace("south", "key-3", "key-2"))
 	waitStatus("key-1", http.StatusUnauthorized)
 	before, _ := s.workspaceUsage("south")
 	_, _ = send(t, one.url, http.MethodPost, "/once/x", "", "Authorization", "Bearer key-2", tokensHeader, "5,5")
 	after, _ := s.workspaceUsage("south")
 	must.Eq(t, before+10, after)
-	// A catalog that is wrong in one workspace changes nothing.
+	// A catalog with one invalid workspace changes nothing.
 	s.declare(5, workspace("north", "key-1"), workspace("south", "key-1"))
 	eventually(t, func() bool { return strings.Contains(s.logged(), `\"south\": has a key of \"north\"`) })
 	waitStatus("key-3", http.StatusOK)
-	// Without workspaces no request needs a key.
+	// Without workspaces, no request needs a key.
 	s.declare(6)
 	waitStatus("key-1", http.StatusOK)
 	must.StrNotContains(t, s.logged(), "key-")
 }
 
-// TestKeyTakenWhileWaiting answers the pattern of a request that waits for its adapter when its key
-// is taken away: it goes to no upstream.
+// TestKeyTakenWhileWaiting guards against a request that is still sent to an upstream although its
+// key was removed while the request waited for its adapter.
 func TestKeyTakenWhileWaiting(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	for _, r := range s.runners {
@@ -150,8 +153,8 @@
 	must.Eq(t, 0, s.total(r.id))
 }
 
-// TestKeyWhileBehind: an instance that cannot know whether a newer catalog holds the key does not
-// say that there is none.
+// TestKeyWhileBehind guards against an instance that rejects a key as unknown while its catalog is
+// outdated: a newer catalog may have the key.
 func TestKeyWhileBehind(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1, workspace("north", "key-1"))
@@ -167,7 +170,8 @@
 	eventually(t, func() bool { return status(t, one, "key-2") == http.StatusUnauthorized })
 }
 
-// TestHostileKeys: headers of ten thousand callers without a key reach no upstream and no log.
+// TestHostileKeys guards against hostile Authorization headers that reach an upstream or the log,
+// with ten thousand requests without a valid key.
 func TestHostileKeys(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1, workspace("north", "key-1"))
@@ -193,7 +197,7 @@
 	must.StrNotContains(t, s.logged(), "hidden-")
 }
 
-// hostile returns values of a key's header that hold no key, or that are none.
+// hostile returns values of the Authorization header without a valid key.
 func hostile(random *rand.Rand) []string {
 	junk := make([]byte, random.IntN(200))
 	for n := range junk {
@@ -211,7 +215,8 @@
 	return values
 }
 
-// TestQuota: over the quota callers are told at once when to come back, and what ran is counted.
+// TestQuota checks that callers above their quota are told at once when to retry, and that executed
+// requests are counted.
 func TestQuota(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	limited := workspace("north", "key-1")
@@ -221,7 +226,7 @@
 	for _, i := range []*instance{one, two} {
 		eventually(t, func() bool { return status(t, i, "key-2") == http.StatusOK })
 	}
-	// Some seconds at ten times the quota, at both instances.
+	// Send ten times the quota to both instances for a few seconds.
 	began := time.Now()
 	refused := 0
 	for time.Since(began) < 3*time.Second {
@@ -240,7 +245,8 @@
 	}
 	must.Positive(t, refused)
 	tokens, _ := s.workspaceUsage("north")
-	// A burst, and the rate for the time that it took; requests under way may count twice.
+	// The bound is one burst plus the rate over the elapsed time. Requests in flight may count
+	// twice.
 	must.LessEq(t, int(1000*(1+time.Since(began).Seconds()))+200, tokens)
 	must.GreaterEq(t, 2000, tokens)
 	must.Eq(t, http.StatusOK, status(t, one, "key-2"))
--- a/snipeentry/leaving_test.go
+++ b/snipeentry/leaving_test.go
@@ -13,12 +13,13 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// drainBound is how long after an instance was told that an upstream leaves its requests may reach
-// that.
+// drainBound is how long requests may still reach an upstream after an instance was notified that
+// the upstream is leaving.
 const drainBound = 2 * time.Second
 
-// TestLeavingToldByAnswer guards against instances that go on sending requests to an upstream whose
-// answers say that it leaves, because the registry does not say so: the store is away.
+// TestLeavingToldByAnswer guards against instances that keep sending requests to an upstream whose
+// answers announce that it is leaving, because the registry does not show this while the store is
+// down.
 func TestLeavingToldByAnswer(t *testing.T) {
 	tests := map[string]struct {
 		leaving, target string
@@ -45,8 +46,8 @@
 	}
 }
 
-// TestLeavingToldToOthers guards against instances that go on using an upstream of whose leaving
-// another instance has heard, while the registry cannot tell them.
+// TestLeavingToldToOthers guards against instances that keep using an upstream after another
+// instance was notified that it is leaving, while the registry cannot show this.
 func TestLeavingToldToOthers(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
@@ -64,7 +65,7 @@
 	must.Eq(t, before, len(s.runners["p1"].Arrivals()))
 }
 
-// acquainted waits until all instances know each other.
+// waitPeersKnown waits until all instances know each other.
 func waitPeersKnown(t *testing.T, instances []*instance) {
 	t.Helper()
 	want := fmt.Sprintf("snipepitch_instances %d\n", len(instances))
--- a/snipeentry/limit_test.go
+++ b/snipeentry/limit_test.go
@@ -12,11 +12,11 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// senders are the instances that were asked to serve requests, by the requests' identifiers.
+// senders records the instance to which each request was sent, by the request's identifier.
 type senders struct {
 	lock sync.Mutex // guards all
 	all  map[string]string
-	// refused counts the answers other than success.
+	// refused counts the answers with a status other than 200.
 	refused int
 }
 
@@ -31,7 +31,8 @@
 
 func (s *senders) sender(id string) string { return s.all[id] }
 
-// press sends requests to instances in turn, one after each pause, and waits for their answers.
+// sendLoad sends requests to the instances in turn with a pause between them, and waits for all
+// answers.
 func sendLoad(t *testing.T, instances []*instance, target string, pause, length time.Duration, header ...string) *senders {
 	s := &senders{all: map[string]string{}}
 	var all sync.WaitGroup
@@ -47,8 +48,8 @@
 	return s
 }
 
-// TestLimitNamedByUpstream guards against instances that go on sending an upstream what it was sent
-// before, after its answers have told them how many requests a second it takes of all of them.
+// TestLimitNamedByUpstream guards against instances that keep sending at the previous rate to an
+// upstream whose answers have named a limit on the requests per second of all instances together.
 func TestLimitNamedByUpstream(t *testing.T) {
 	tests := map[string]struct {
 		limited, target string
@@ -74,8 +75,9 @@
 	}
 }
 
-// TestLimitToldToOthers guards against instances that do not learn from the others that an upstream
-// names a limit, or that it is over: one that sends it nothing hears neither from the upstream.
+// TestLimitToldToOthers guards against instances that do not learn from other instances that an
+// upstream has named a limit or lifted it. An instance that sends no requests to the upstream
+// receives neither from the upstream itself.
 func TestLimitToldToOthers(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
--- a/snipeentry/listen.go
+++ b/snipeentry/listen.go
@@ -20,17 +20,17 @@
 const callersName = "Callers"
 
 const (
-	// headerTimeout bounds the time to send a request's header; callers take well
-	// under three seconds.
+	// headerTimeout bounds the time to receive a request's header. Callers need well under three
+	// seconds.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long a connection may wait for its next request: callers
-	// reuse theirs after up to four fifths of what operators declare, 15 s so far.
+	// idleTimeout is how long a connection may wait for its next request. Callers reuse a
+	// connection after up to four fifths of the idle timeout that operators declare, which is 15 s.
 	idleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds a request's header; operators declare 16 KiB.
+	// maxHeaderBytes bounds a request's header. Operators declare 16 KiB.
 	maxHeaderBytes = 32 << 10
 )
 
-// connectionLog takes what net/http says about single connections.
+// connectionLog logs the errors of single connections that net/http reports.
 type connectionLog struct {
 	logger   *snipelog.Logger
 	listener string
@@ -44,8 +44,8 @@
 	return len(line), nil
 }
 
-// listen opens the listeners and adds their servers. It returns those whose
-// requests a planned stop waits for, in the order in which it does: the callers' first.
+// listen opens the listeners and adds their servers to g. It returns the servers whose requests a
+// planned stop waits for, in the order of their shutdown: the callers' server first.
 func (i *Instance) listen(ctx context.Context, g *run.Group) ([]*http.Server, error) {
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+i.Platform.ReadyPath, i.serveReady)
@@ -79,7 +79,7 @@
 	return servers, nil
 }
 
-// peerHandler serves other instances.
+// peerHandler returns the handler for requests of other instances.
 func (i *Instance) peerHandler() http.Handler {
 	controller := snipeproto.NewAdapterServer(&peerServer{controller: i.controller, replicas: i.gateway.Chooser.Replicas, board: i.board, balancer: i.balancer, signals: i.signals})
 	mirrors := snipeproto.NewMirrorServer(&mirrorServer{mirrors: i.mirrors()})
@@ -101,8 +101,8 @@
 	return config.Listen(ctx, "tcp", address.String())
 }
 
-// serve adds a server. A server that a planned stop has shut down waits for the
-// stop's end.
+// serve adds a server to g. A server that a planned stop has shut down keeps running as a task
+// until the stop ends.
 func (i *Instance) serve(g *run.Group, s *http.Server, l net.Listener) {
 	done := make(chan struct{})
 	g.Add(func() error {
@@ -119,7 +119,7 @@
 	})
 }
 
-// serveReady answers the balancer.
+// serveReady answers the balancer's readiness checks.
 func (i *Instance) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !i.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/snipeentry/loads.go
+++ b/snipeentry/loads.go
@@ -10,26 +10,27 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// What the engines have to do is known to their owners. Where there are few instances each hears
-// of every owner by its own reports. Of hundreds each uses few engines a second, and asking all
-// owners would be a message from each to each: there the first instance of a failure domain asks
-// the owners, and the others ask it.
+// The owners of engines know the engines' loads. With few instances, each instance learns the loads
+// from the answers to its own reports to the owners. With hundreds, each instance uses few engines
+// a second, and asking all owners would need a message between each pair of instances. Then the
+// first instance of each failure domain asks the owners, and the others ask that instance.
 
 const (
-	// minGatherInstances is from how many instances on the first of each domain gathers loads.
+	// minGatherInstances is the number of instances from which the first instance of each domain
+	// gathers the loads.
 	minGatherInstances = 32
-	// loadsInterval is the time between two looks at the loads of all engines: an engine gets one
-	// or two requests meanwhile.
+	// loadsInterval is the time between two polls of the loads of all engines. An engine receives
+	// one or two requests in this time.
 	loadsInterval = 160 * time.Millisecond
-	// loadsTimeout bounds one question for loads: a later answer is of no use.
+	// loadsTimeout bounds one request for loads. A later answer is of no use.
 	loadsTimeout = 150 * time.Millisecond
 )
 
-// gathers reports whether loads are gathered by the first instance of each domain.
+// gathersLoads reports whether the first instance of each domain gathers the loads.
 func (i *Instance) gathersLoads() bool { return i.instances() >= minGatherInstances }
 
-// updateLoads learns the loads of all engines, from their owners or from the instance that has
-// asked these.
+// updateLoads updates the loads of all engines, from their owners or from the instance that has
+// gathered them.
 func (i *Instance) updateLoads(ctx context.Context) {
 	if !i.gathersLoads() {
 		return
@@ -43,7 +44,8 @@
 	go i.requestLoads(ctx, readers[rank%len(readers)], rank)
 }
 
-// requestOwnerLoads has all owners tell the loads of their engines that were not heard of lately.
+// requestOwnerLoads requests the loads from all owners that have not answered within half an
+// interval.
 func (i *Instance) requestOwnerLoads(ctx context.Context) {
 	since := time.Now().Add(-loadsInterval / 2)
 	for _, owner := range i.holder.View().Others {
@@ -53,8 +55,8 @@
 	}
 }
 
-// requestLoads learns the loads that another instance knows. One that does not answer is left for
-// the next in rank for a while.
+// requestLoads requests the loads that another instance has gathered. If that instance does not
+// answer, the next in rank is asked for a while.
 func (i *Instance) requestLoads(ctx context.Context, to netip.AddrPort, rank int) {
 	ctx, cancel := context.WithTimeout(ctx, loadsTimeout)
 	defer cancel()
@@ -92,11 +94,12 @@
 	return answer, nil
 }
 
-// loadsRetryPause is for how long an instance is not asked for loads that did not answer.
+// loadsRetryPause is how long after a failure the next instances in rank are asked for loads,
+// before the first one is tried again.
 const loadsRetryPause = 3 * time.Second
 
-// loadsReaderRank is which instance of the domain is asked for loads: the first, or the next after
-// each that did not answer.
+// loadsReaderRank returns the rank of the domain's instance to ask for loads: the first, or the
+// next after each instance that did not answer.
 func (p *peers) loadsReaderRank() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -106,8 +109,8 @@
 	return p.loadsFailures
 }
 
-// noteLoadsAnswer notes whether the instance whose turn it was told the loads, and tells whether
-// the first of the domain was lost or is back by that.
+// noteLoadsAnswer records whether the instance with the given rank answered the request for loads.
+// It reports whether this answer shows that the domain's first instance was lost or is back.
 func (p *peers) noteLoadsAnswer(rank int, ok bool) (changed bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/snipeentry/loads_test.go
+++ b/snipeentry/loads_test.go
@@ -12,9 +12,9 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// TestLoadsTurn answers the pattern of a domain whose first instance, which gathers the loads of
-// all engines, is lost for seconds: the next in rank is asked meanwhile, the first again after a
-// while, and its loss and its return are told once.
+// TestLoadsTurn covers a failure domain whose first instance, which gathers the loads of all
+// engines, is lost for seconds. The next in rank is asked in the meantime, the first again after a
+// pause, and the loss and the return are each reported once.
 func TestLoadsTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &peers{}
@@ -40,8 +40,8 @@
 	})
 }
 
-// TestLoadsPassedOn: what one instance knows of the loads is known to the one that asks it, no
-// younger than it is, and stands behind what that one knows by itself.
+// TestLoadsPassedOn checks that the loads known to one instance are passed to an instance that
+// requests them with their true age, and do not replace newer loads that the receiver knows itself.
 func TestLoadsPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first := &snipebalance.Balancer{}
@@ -73,6 +73,6 @@
 		must.Eq(t, map[string]float64{"busy": 8, "known": 6, "quiet": 5}, loads())
 		time.Sleep(400 * time.Millisecond)
 		own.ToldAll(nil)
-		must.Eq(t, map[string]float64{}, loads(), must.Sprint("silence tells that there is no load"))
+		must.Eq(t, map[string]float64{}, loads(), must.Sprint("a load that is not reported again has ended"))
 	})
 }
--- a/snipeentry/metrics.go
+++ b/snipeentry/metrics.go
@@ -12,7 +12,7 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// gauges registers what is read at each scrape.
+// registerGauges registers the gauges, which are read at each scrape.
 func (i *Instance) registerGauges() {
 	if i.LogDropped != nil {
 		i.meter.Gauge("snipepitch_log_lines_dropped", func() float64 { return float64(i.LogDropped()) })
@@ -32,10 +32,10 @@
 	}
 }
 
-// storeCallCounter is the counter of calls to the store, by their kind.
+// storeCallCounter returns the name of the counter of one kind of calls to the store.
 func storeCallCounter(kind string) string { return `snipepitch_store_calls_total{call="` + kind + `"}` }
 
-// source returns how a table of the store is read, with its calls counted.
+// source returns the reader of a table of the store, with its calls counted.
 func (i *Instance) source(table string) snipemirror.Source {
 	s := i.Platform.Source(table)
 	return snipemirror.Source{
@@ -50,14 +50,13 @@
 	}
 }
 
-// write changes rows of the store, with the call counted.
+// write changes rows of the store and counts the call.
 func (i *Instance) write(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 	i.meter.Count(storeCallCounter("Write"))
 	return i.Platform.Write(ctx, operation, changes)
 }
 
-// countedTransport counts calls to other instances, by their kind and whether they were
-// answered.
+// countedTransport counts calls to other instances, by method and by whether they were answered.
 type countedTransport struct {
 	http.RoundTripper
 	meter *snipemeter.Meter
--- a/snipeentry/mirror.go
+++ b/snipeentry/mirror.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	// maxWatchWait bounds the wait that another instance may ask for.
+	// maxWatchWait bounds the wait that another instance may request.
 	maxWatchWait = 10 * time.Second
-	// minPackedRows is from how many rows on a page is compressed: those of some thousand
-	// upstreams are alike, and dozens of instances ask for all of them when all start.
+	// minPackedRows is the number of rows from which a page is compressed. The rows of thousands of
+	// upstreams are similar, and dozens of instances request all of them when all start at once.
 	minPackedRows = 200
-	// packedPageLife is for how long one compressed page is given to all that ask for it: what has
-	// changed since follows with the next one.
+	// packedPageLife is how long one compressed page is served to all requesters. Later changes
+	// follow with the next page.
 	packedPageLife = 300 * time.Millisecond
-	// maxUnpackedBytes bounds the rows of a page in bytes.
+	// maxUnpackedBytes bounds the decompressed rows of a page in bytes.
 	maxUnpackedBytes = 64 << 20
 )
 
-// errUnpackedTooLarge: the rows of a page are more than a table can hold.
+// errUnpackedTooLarge reports that the rows of a page are larger than a table can be.
 var errUnpackedTooLarge = errors.New("packed rows are too large")
 
 // mirrorServer serves this instance's copies to others.
 type mirrorServer struct {
 	mirrors map[string]*snipemirror.Mirror
 
-	lock sync.Mutex // guards packs
-	// packs are the last compressed pages that hold all rows, by table.
+	lock sync.Mutex // guards packedPages
+	// packedPages holds the last compressed page with all rows of each table.
 	packedPages map[string]packedPage
 }
 
-// pack is a compressed page and when it was made.
+// packedPage is a compressed page and the time at which it was made.
 type packedPage struct {
 	page   snipemirror.Page // without rows
 	rows   []byte
@@ -79,7 +79,7 @@
 	return encodePage(page, rows), nil
 }
 
-// cachedPage returns a compressed page of all rows that was made a moment ago.
+// cachedPage returns the compressed page of a whole table if it is younger than packedPageLife.
 func (s *mirrorServer) cachedPage(table string) (packedPage, bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -96,11 +96,11 @@
 	s.packedPages[table] = p
 }
 
-// encodePage returns a page for the wire, with its rows as they are or packed.
+// encodePage returns the message for a page. packed holds the rows in compressed form, or is nil.
 func encodePage(p snipemirror.Page, packed []byte) *snipeproto.MirrorWatchResponse {
 	return &snipeproto.MirrorWatchResponse{
 		Position: p.Position, Whole: p.Whole, Rows: encodeRows(p.Rows), Packed: packed,
-		// Rounded up: a copy must not look younger with each instance that passes it on.
+		// Rounded up, so that a copy does not look younger with each instance that passes it on.
 		AgeMilliseconds: (p.Age + time.Millisecond - 1).Milliseconds(),
 	}
 }
--- a/snipeentry/mirror_test.go
+++ b/snipeentry/mirror_test.go
@@ -12,7 +12,7 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// rowsOf returns the rows of a registry of so many upstreams.
+// rowsOf returns the registry rows of the given number of upstreams.
 func rowsOf(count int) []snipemirror.Row {
 	var rows []snipemirror.Row
 	for n := range count {
@@ -24,9 +24,9 @@
 	return rows
 }
 
-// TestWholePages answers the pattern of dozens of instances that all start at once and ask one
-// for all rows of three thousand upstreams: the page is compressed once for all of them, and
-// whoever goes on from it misses nothing.
+// TestWholePages covers dozens of instances that start at once and request all rows of three
+// thousand upstreams from one instance. The page is compressed once for all of them, and followers
+// that continue from it miss no change.
 func TestWholePages(t *testing.T) {
 	const table, count = "rows", 3000
 	synctest.Test(t, func(t *testing.T) {
--- a/snipeentry/copies.go
+++ b/snipeentry/near.go
@@ -10,14 +10,14 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// copyReadSlack is how much longer than its wait a read of another instance's copy may
-// take: both are in one failure domain.
+// copyReadSlack is how much longer than its wait a read of another instance's copy may take. Both
+// instances are usually in one failure domain.
 const copyReadSlack = 200 * time.Millisecond
 
-// near returns how to read another instance's copy of a table: that of the instance
-// which reads the store for this failure domain, or of the next one in rank after
-// each failure. It is false when this instance is to read the store itself; when the
-// store does not answer it, any other instance will do.
+// peerCopy returns a function that reads another instance's copy of a table. That instance is the
+// one that reads the store for this failure domain, or after each failure the next one in rank. If
+// lost is set, because the store does not answer this instance, any other instance will do. It
+// returns false if this instance should read the store itself.
 func (i *Instance) peerCopy(table string, failures int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 	readers := i.readers(lost)
 	reader, ok := followedReader(readers, i.Settings.Peers, failures, lost)
@@ -41,32 +41,32 @@
 	}, true
 }
 
-// maxCopyAges are how old a copy may become before the store is read itself: more than a read's
-// wait and pace together.
+// maxCopyAges are the ages at which a copy is too old, so that the store is read instead. Each is
+// more than the wait and the interval of a read together.
 type maxCopyAges struct {
-	// Direct is for copies of an instance that reads the store, where each failure domain has
-	// one. Where one instance reads the store for all domains, First is for the first instance
-	// of a domain, which follows it, and Others for those that follow the first: these wait
-	// longer, so that the loss of the one reader makes the first instances read the store and
-	// not all.
+	// Direct applies to copies of an instance that reads the store, where each failure domain has
+	// such a reader. Where a single instance reads the store for all domains, First applies to the
+	// first instance of each domain, which follows that reader, and Others to the instances that
+	// follow a first one. Others is longer, so that after the loss of the single reader only the
+	// first instances read the store, and not all.
 	Direct, First, Others time.Duration
 }
 
 var (
-	// tableCopyAges are those of what operators declare and of the registry: so short that what
-	// must be known within two seconds, or within three where one reads for all, is known when
-	// the reader loses the store at the worst moment.
+	// tableCopyAges apply to the operators' declarations and to the registry. They are short enough
+	// that a change which must be known within two seconds, or within three where a single instance
+	// reads for all, is known in time even if the reader loses the store at the worst moment.
 	tableCopyAges = maxCopyAges{Direct: 1400 * time.Millisecond, First: 1500 * time.Millisecond, Others: 2100 * time.Millisecond}
-	// ownershipCopyAges are those of the rows of ownership, by which nobody's death is told sooner
-	// than by the lease.
+	// ownershipCopyAges apply to the ownership rows. The loss of an instance is detected no sooner
+	// than its lease ends, so these copies may be older.
 	ownershipCopyAges = maxCopyAges{Direct: 2500 * time.Millisecond, First: 2 * time.Second, Others: 2500 * time.Millisecond}
 )
 
-// singleReaderFreshness is the least time for knowledge to spread with which one instance reads the
-// store for all failure domains.
+// singleReaderFreshness is the shortest freshness with which a single instance reads the store for
+// all failure domains.
 const singleReaderFreshness = 3 * time.Second
 
-// singleReader reports whether one instance reads the store for all failure domains.
+// singleReader reports whether a single instance reads the store for all failure domains.
 func (i *Instance) singleReader() bool { return i.Settings.freshness() >= singleReaderFreshness }
 
 // maxCopyAge returns how old this instance's copy may become.
@@ -80,8 +80,9 @@
 	return ages.Others
 }
 
-// root returns the instance that reads the store for all failure domains, for the first
-// instance of another domain; false where each domain reads for itself.
+// globalReader returns the instance that reads the store for all failure domains, which the first
+// instance of every other domain follows. It returns false if each domain has its own reader, or if
+// this instance is the global reader.
 func (i *Instance) globalReader() (netip.AddrPort, bool) {
 	if !i.singleReader() {
 		return netip.AddrPort{}, false
@@ -94,9 +95,9 @@
 	return netip.AddrPort{}, false
 }
 
-// leader returns which of the readers an instance follows after so many have failed;
-// false when it is to read the store itself. As long as the store answers nobody follows
-// one that is behind itself in rank: two that follow each other would both grow old.
+// followedReader returns the reader that an instance follows after a number of failures, and false
+// if the instance should read the store itself. As long as the store answers, no instance follows
+// one that ranks below itself: two instances that follow each other would both get stale.
 func followedReader(readers []netip.AddrPort, self netip.AddrPort, failures int, lost bool) (netip.AddrPort, bool) {
 	if lost && len(readers) > 0 {
 		return readers[failures%len(readers)], true
@@ -108,10 +109,10 @@
 	return readers[failures], true
 }
 
-// readers returns the instances whose copies may be read, the best first: of those
-// that renew their rows and stay, the first in rank of this failure domain reads the
-// store for it. An instance that the store does not answer may ask them all, and
-// those that its settings name when it knows of nobody yet.
+// readers returns the instances whose copies may be read, best first. They renew their rows and are
+// neither leaving nor on standby; the first in rank of this failure domain reads the store for the
+// domain. If lost is set, the instances of other domains follow, and then the seeds of the
+// settings, for an instance that knows no others yet.
 func (i *Instance) readers(lost bool) []netip.AddrPort {
 	var readers, remote []netip.AddrPort
 	for _, other := range i.holder.View().Ranked {
--- a/snipeentry/copies_test.go
+++ b/snipeentry/near_test.go
@@ -15,16 +15,16 @@
 
 func peer(n int) netip.AddrPort { return netip.MustParseAddrPort(fmt.Sprintf("10.1.0.%d:70", n+1)) }
 
-// TestLeader: whoever has failed, nobody follows an instance behind itself in rank, so
-// that no two follow each other, and the store is read in the end. Who has lost the
-// store asks all by turns.
+// TestLeader checks that, whichever readers have failed, no instance follows one that ranks below
+// itself, so that no two follow each other, and that the store is read in the end. An instance that
+// has lost the store asks all readers in turn.
 func TestLeader(t *testing.T) {
 	const count = 5
 	readers := make([]netip.AddrPort, count)
 	for n := range readers {
 		readers[n] = peer(n)
 	}
-	for own := range count + 1 { // the last one is no reader
+	for own := range count + 1 { // the last one is not a reader
 		for failures := range 2 * count {
 			followed, ok := followedReader(readers, peer(own), failures, false)
 			must.Eq(t, failures < min(own, count), ok)
@@ -40,7 +40,8 @@
 	must.False(t, ok)
 }
 
-// TestAgePassedOn: a copy that is passed on and on never looks younger than it is.
+// TestAgePassedOn guards against copies that look younger than they are after being passed on
+// several times.
 func TestAgePassedOn(t *testing.T) {
 	const table = "rows"
 	m := snipemirror.New()
--- a/snipeentry/peers.go
+++ b/snipeentry/peers.go
@@ -20,22 +20,22 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// peerServer serves other instances' questions to this instance's desk.
+// peerServer serves other instances' requests to this instance's controller.
 type peerServer struct {
 	controller *snipeadapter.Desk
-	// replicas returns where else an adapter of an engine is since a moment ago.
+	// replicas returns the other engines that have recently loaded an adapter of an engine.
 	replicas func(a snipecatalog.Adapter, engine string) []snipegateway.Replica
 	board    *snipebalance.Board
 	balancer *snipebalance.Balancer
 	signals  *snipesignal.Book
 
-	lock sync.Mutex // guards told
-	// told is the last eviction that each instance was told of.
+	lock sync.Mutex // guards reportedEvictions
+	// reportedEvictions holds the number of the last eviction that was reported to each instance.
 	reportedEvictions map[string]uint64
 }
 
-// newEvictions returns the evictions that an instance was not told of yet. Those in an answer
-// that is lost are not told again: the registry shows them a second later.
+// newEvictions returns the evictions that have not been reported to an instance yet. Evictions in
+// an answer that is lost are not reported again: the registry shows them a second later.
 func (s *peerServer) newEvictions(instance string) []snipeadapter.Eviction {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -81,8 +81,8 @@
 	return answer, nil
 }
 
-// recordUse notes how an instance uses an engine, and adds to the answer what it should know of
-// the adapters.
+// recordUse records how an instance uses an engine, and adds to the answer which of the used
+// adapters the engine no longer holds and which other engines have loaded them.
 func (s *peerServer) recordUse(instance string, e *snipeproto.EngineUse, answer *snipeproto.AdapterReportResponse) {
 	engine, uses := e.GetEngine(), decodeUse(e)
 	s.board.Report(engine, instance, e.GetLoad())
@@ -98,7 +98,7 @@
 	}
 }
 
-// peers asks other instances.
+// peers holds the clients of other instances and what is known of their reachability.
 type peers struct {
 	adapters clients[snipeproto.Adapter]
 	mirrors  clients[snipeproto.Mirror]
@@ -106,24 +106,25 @@
 	quotas   clients[snipeproto.Quota]
 
 	lock sync.Mutex // guards the fields below
-	// heard is when owners last answered, or were last asked.
+	// answeredAt is when each owner last answered, or was last asked.
 	answeredAt map[netip.AddrPort]time.Time
-	// lost are the instances that the last report of use did not reach.
+	// unreachable holds the instances that the last report of use did not reach.
 	unreachable map[netip.AddrPort]bool
-	// orderDenied tells until when engines are not asked for, whose owners have said that they
-	// have no right to order them now.
+	// orderDenied holds the engines whose owners have answered that they have no right to order
+	// them, and until when these engines are avoided.
 	orderDenied map[netip.AddrPort]time.Time
-	// loadsFailures is how many instances did not tell the loads of all engines of late,
-	// loadsFailedAt when the last one did not, firstLoadsReaderLost whether the first is among them.
+	// loadsFailures is how many instances, in order of rank, have recently failed to answer
+	// requests for loads. loadsFailedAt is the time of the last such failure, and
+	// firstLoadsReaderLost reports whether the first instance is among them.
 	loadsFailures        int
 	loadsFailedAt        time.Time
 	firstLoadsReaderLost bool
-	// questions are those under way, by the owner that is asked.
+	// pendingRequests are the requests in progress, by the owner that was asked.
 	pendingRequests map[netip.AddrPort]map[*pendingRequest]bool
 }
 
-// noteReachability notes whether a report reached an instance, and tells whether that changed:
-// reports are so frequent that each outage is logged once.
+// noteReachability records whether a report reached an instance, and reports whether that changed.
+// Reports are so frequent that each outage is logged only once.
 func (p *peers) noteReachability(to netip.AddrPort, ok bool) (changed bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -144,11 +145,11 @@
 	return true
 }
 
-// orderDeniedPause is how long an engine is left alone whose owner may not order it: somebody else
-// owns it soon, or its owner may again.
+// orderDeniedPause is how long an engine is avoided after its owner had no right to order it. By
+// then another instance owns the engine, or its owner has regained the right.
 const orderDeniedPause = 500 * time.Millisecond
 
-// noteOrderDenied notes that an engine's owner may not order it now.
+// noteOrderDenied records that an engine's owner has no right to order it now.
 func (p *peers) noteOrderDenied(engine netip.AddrPort) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -160,14 +161,14 @@
 	p.orderDenied[engine] = now.Add(orderDeniedPause)
 }
 
-// ownerMayOrder reports whether an engine's owner may order it, as far as is known.
+// ownerMayOrder reports whether an engine's owner may order it, as far as this instance knows.
 func (p *peers) ownerMayOrder(engine netip.AddrPort) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return !time.Now().Before(p.orderDenied[engine])
 }
 
-// hear notes that an owner has answered.
+// noteAnswer records that an owner has answered.
 func (p *peers) noteAnswer(owner netip.AddrPort) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -183,9 +184,9 @@
 	return p.answeredAt[owner]
 }
 
-// clients are those of one service, by the instances that serve it.
+// clients holds the clients of one service, by the address of the instance that serves it.
 type clients[C any] struct {
-	// Make makes the client of a service at a URL.
+	// Make creates a client of the service at a URL.
 	Make func(url string, http snipeproto.HTTPClient, options ...twirp.ClientOption) C
 	HTTP *http.Client
 
@@ -208,7 +209,7 @@
 	return made
 }
 
-// newPeers returns the clients of other instances, which share connections.
+// newPeers returns peers whose clients share the connections of h.
 func newPeers(h *http.Client) *peers {
 	return &peers{
 		adapters: clients[snipeproto.Adapter]{Make: snipeproto.NewAdapterProtobufClient, HTTP: h},
@@ -218,7 +219,7 @@
 	}
 }
 
-// ensure has an engine's owner load an adapter.
+// ensure asks an engine's owner to load an adapter, and returns the version that the engine holds.
 func (i *Instance) ensure(ctx context.Context, u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, maxWait time.Duration) (int64, error) {
 	owner, ok := i.holder.View().Owners[u.Address]
 	if !ok {
@@ -254,7 +255,8 @@
 	return answer.GetVersion(), nil
 }
 
-// spread has more engines load what is used much on this instance's engines.
+// spreadAdapters has more engines load the adapters that are heavily used on this instance's
+// engines.
 func (i *Instance) spreadAdapters() {
 	directory := i.directory.Snapshot()
 	for _, id := range i.controller.Engines() {
--- a/snipeentry/peers_test.go
+++ b/snipeentry/peers_test.go
@@ -16,8 +16,8 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// TestReportOfUse: who reports the use of an engine's adapters learns what the engine
-// no longer holds, and where else the rest is.
+// TestReportOfUse checks that an instance that reports the use of an engine's adapters learns which
+// of them the engine no longer holds and which other engines hold the rest.
 func TestReportOfUse(t *testing.T) {
 	const engine, other, version = "e1", "e2", 7
 	held := snipecatalog.Adapter{Model: "base", Name: "held"}
@@ -67,15 +67,15 @@
 	must.Positive(t, i.balancer.Busy(u))
 }
 
-// TestQuietOwner answers the pattern of many instances, few of which use the two engines of
-// one owner: each hears of every owner once a second all the same.
+// TestQuietOwner covers many instances of which few use the two engines of one owner. Each instance
+// still receives the loads of every owner once a second.
 func TestQuietOwner(t *testing.T) {
 	address := func(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 80) }
 	owners := []netip.AddrPort{address(10), address(20)}
 	now := time.Now()
 	tests := map[string]struct {
-		ages map[byte]time.Duration // of the owners' last words; others were never heard
-		want netip.AddrPort         // none when nobody is asked
+		ages map[byte]time.Duration // since the owners' last answers; the others never answered
+		want netip.AddrPort         // invalid if no owner is asked
 	}{
 		"AllHeard":   {map[byte]time.Duration{10: 0, 20: 900 * time.Millisecond}, netip.AddrPort{}},
 		"OneIsQuiet": {map[byte]time.Duration{10: 0, 20: 1100 * time.Millisecond}, address(20)},
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestReached: each loss and each return of another instance is told once.
+// TestReached checks that each loss and each return of another instance is reported once.
 func TestReached(t *testing.T) {
 	p := &peers{}
 	to := netip.MustParseAddrPort("10.1.0.1:70")
--- a/snipeentry/quota.go
+++ b/snipeentry/quota.go
@@ -14,7 +14,7 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// buildQuotas puts together how quotas of workspaces are kept.
+// buildQuotas creates the issuer and the account for workspace quotas.
 func (i *Instance) buildQuotas() {
 	s := i.Settings
 	bounds := snipequota.Bounds{Span: s.QuotaSpan.Value(), Overrun: s.QuotaOverrun, Slack: s.QuotaSlack}
@@ -24,16 +24,16 @@
 	}
 }
 
-// gatewayQuotas returns how requests are counted.
+// gatewayQuotas returns the functions by which the gateway counts requests.
 func (i *Instance) gatewayQuotas() snipegateway.Quotas {
 	return snipegateway.Quotas{Take: i.account.Take, Again: i.account.Again, Return: i.account.Return}
 }
 
-// sharers is among how many instances what may be used without an issuer is divided: one that has
-// just started may know of nobody yet.
+// sharingInstances returns the number of instances that share a limit without an issuer. It is at
+// least fewestInstances, since an instance that has just started may know no others yet.
 func (i *Instance) sharingInstances() int { return max(i.instances(), fewestInstances) }
 
-// quotaOf returns a workspace's quota by the catalog in force.
+// quotaOf returns a workspace's quota in the current catalog.
 func (i *Instance) quotaOf(workspace string) snipecatalog.Quota {
 	c := i.catalog.Catalog()
 	if c == nil {
@@ -52,7 +52,7 @@
 	return c != nil && c.Limited()
 }
 
-// instanceNames returns the names by which the live instances ask for units.
+// instanceNames returns the names under which the live instances request units.
 func (i *Instance) instanceNames() []string {
 	ranked := i.holder.View().Ranked
 	all := make([]string, 0, len(ranked))
@@ -62,11 +62,11 @@
 	return all
 }
 
-// errNoIssuer says that no instance is known that grants units.
+// errNoIssuer reports that no instance that grants units is known.
 var errNoIssuer = errors.New("no instance grants units of quotas")
 
-// quotaIssuer returns the instance that grants units: one of those that renew their rows each
-// second, the same one as long as it lives.
+// quotaIssuer returns the instance that grants units. It is one of the instances that renew their
+// rows each second, and stays the same as long as it lives.
 func (i *Instance) quotaIssuer() (netip.AddrPort, bool) {
 	var best netip.AddrPort
 	var highest uint64
@@ -81,7 +81,7 @@
 	return best, best.IsValid()
 }
 
-// requestUnits asks the issuer for units.
+// requestUnits requests units from the issuer.
 func (i *Instance) requestUnits(ctx context.Context, asks []snipequota.Ask) ([]snipequota.Grant, error) {
 	issuer, ok := i.quotaIssuer()
 	if !ok {
@@ -112,7 +112,7 @@
 	return all, nil
 }
 
-// quotaServer serves other instances' questions for units.
+// quotaServer serves other instances' requests for units.
 type quotaServer struct{ issuer *snipequota.Issuer }
 
 // Issue implements snipeproto.Quota.
--- a/snipeentry/quota_test.go
+++ b/snipeentry/quota_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestSharers answers the pattern of all instances that start at once and know nobody: none takes
-// itself for the only one.
+// TestSharers covers a simultaneous start of all instances, which know no others yet. None may
+// assume that it is the only one.
 func TestSharers(t *testing.T) {
 	i := instanceWithRows(t, 0, DefaultFreshness, nil)
 	must.LessEq(t, 1, i.instances())
--- a/snipeentry/reader_test.go
+++ b/snipeentry/reader_test.go
@@ -23,11 +23,12 @@
 const (
 	domains   = 5
 	perDomain = 60
-	// sample is of how many of the weak instances one is looked at: they are alike.
+	// sampleInterval selects one of so many weak instances for the check, since all weak instances
+	// are alike.
 	sampleInterval = 13
 )
 
-// member returns one of three hundred instances; the first three of each domain are strong.
+// member returns one of three hundred instances. The first three of each domain are strong.
 func member(n int) snipeowner.Instance {
 	m := snipeowner.Instance{
 		Name: fmt.Sprint("i", n), Incarnation: "1", Domain: fmt.Sprint("d", n%domains), Power: 0.2,
@@ -39,7 +40,7 @@
 	return m
 }
 
-// among returns an instance that knows the rows of all.
+// instanceWithRows returns an instance that has read the given ownership rows.
 func instanceWithRows(t *testing.T, n int, freshness time.Duration, rows []snipeplatform.Row) *Instance {
 	self := member(n)
 	i := &Instance{Settings: Settings{
@@ -75,14 +76,14 @@
 	return rows
 }
 
-// TestOneReader answers the pattern of hundreds of instances that all have to know what the
-// store tells: one of them reads it, the first of each other domain follows that one, and all
-// others their domain's first. Where knowledge has to spread fast each domain has a reader.
+// TestOneReader covers hundreds of instances that follow the store's tables. One instance reads the
+// store, the first instance of each other domain follows that one, and all others follow the first
+// of their domain. If changes must be known sooner, each domain has its own reader.
 func TestOneReader(t *testing.T) {
 	tests := map[string]struct {
 		freshness time.Duration
-		// readers is how many instances read the store, first how many are the first to find
-		// that another one no longer does.
+		// readers is the number of instances that read the store, first the number of instances
+		// that detect the loss of a reader first.
 		readers, first int
 	}{"OneForAll": {4 * time.Second, 1, domains}, "OneADomain": {2 * time.Second, domains, 0}}
 	rows := memberRows(t)
@@ -101,7 +102,7 @@
 					first++
 				}
 				_, follows := i.peerCopy("rows", domains*perDomain, false)
-				must.False(t, follows, must.Sprint("in the end each reads the store"))
+				must.False(t, follows, must.Sprint("after enough failures each instance reads the store"))
 				must.LessEq(t, tt.freshness, i.maxCopyAge(tableCopyAges)+500*time.Millisecond)
 			}
 			must.Eq(t, tt.readers, readers)
@@ -110,8 +111,8 @@
 	}
 }
 
-// TestReaderLost: when the one reader is lost only the first of each domain read the store;
-// the others, which wait longer, never find their copies too old.
+// TestReaderLost checks that after the loss of the single reader only the first instance of each
+// domain reads the store. The copies of the others, which wait longer, never become too old.
 func TestReaderLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &countedStore{}
@@ -128,7 +129,7 @@
 			f := newFollower(others, first.Mirror, tableCopyAges.Others)
 			go func() { _ = f.Run(ctx) }()
 		}
-		// The root never reads the store again.
+		// The root's copy is never renewed from the store again.
 		time.Sleep(5 * time.Second)
 		must.Positive(t, store.calls.Load())
 		must.Eq(t, 0, others.calls.Load())
@@ -137,7 +138,7 @@
 	})
 }
 
-// countedStore is a store that has something new each second.
+// countedStore is a store with a new version each second, which counts the calls of watch.
 type countedStore struct{ calls atomic.Int32 }
 
 func (s *countedStore) read(context.Context) (snipemirror.Page, error) {
@@ -150,7 +151,7 @@
 	return snipemirror.Page{Position: uint64(time.Now().Unix())}, nil
 }
 
-// newFollower follows one copy first, and then the store.
+// newFollower returns a follower that follows m until a read fails, and then reads the store.
 func newFollower(s *countedStore, m *snipemirror.Mirror, age time.Duration) *snipemirror.Follower {
 	return &snipemirror.Follower{
 		Mirror: snipemirror.New(), Store: snipemirror.Source{Read: s.read, Watch: s.watch},
--- a/snipeentry/reference_test.go
+++ b/snipeentry/reference_test.go
@@ -11,8 +11,8 @@
 	"snipepitch.example/snipepitch/snipeentry"
 )
 
-// TestReference holds the operators' page against the settings: each field has a row
-// and each row a field.
+// TestReference checks that the operators' reference page has a row for each field of the settings,
+// and no other rows.
 func TestReference(t *testing.T) {
 	page, err := os.ReadFile("../docs/operators/platform.md")
 	must.NoError(t, err)
--- a/snipeentry/relay.go
+++ b/snipeentry/relay.go
@@ -16,42 +16,44 @@
 )
 
 const (
-	// slowWriteTime is how long a write of an instance's own may have taken for it to make those of
-	// others: a store that is slow to all must not get each write several times.
+	// slowWriteTime is the duration above which an own write counts as slow. While the store is
+	// slow to this instance, it makes no writes for others: a store that is slow to all instances
+	// must not receive each write several times.
 	slowWriteTime = 100 * time.Millisecond
-	// relayTimeout bounds a write by another instance, which is a few milliseconds away.
+	// relayTimeout bounds a write through another instance, which is a few milliseconds away.
 	relayTimeout = 300 * time.Millisecond
 	// maxRelayAttempts is how many other instances are asked to make a write.
 	maxRelayAttempts = 2
-	// writesPerDirectAttempt is how many writes there are to one that the store is asked for while it
-	// does not answer this instance.
+	// writesPerDirectAttempt is the number of writes of which one tries the store first while the
+	// store does not answer this instance.
 	writesPerDirectAttempt = 4
-	// doubt is for how long an instance to which the store was slow makes no writes for others.
+	// slowStorePause is how long after a slow own write an instance makes no writes for others.
 	slowStorePause = 2 * time.Second
 )
 
 // writeFunc makes all changes or none; see snipeowner.Table.
 type writeFunc = func(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error)
 
-// relay writes rows of ownership. While the store does not answer this instance another one
-// makes its writes, so that the owners among those that are cut off from the store keep their
-// right to order, which hangs on their renewals.
+// relay writes ownership rows. While the store does not answer this instance, another instance
+// makes its writes, so that owners that are cut off from the store keep the right to order engines,
+// which depends on their renewals.
 //
-// It is safe whatever becomes of a write: each has conditions on the versions of the rows that
-// it changes, so that of its copies one takes effect at most, and the right counts from before
-// the first of them was sent.
+// Relaying is safe whatever the outcome of a single write. Each write is conditional on the
+// versions of the rows that it changes, so that at most one of its copies takes effect, and the
+// right to order is counted from before the first copy was sent.
 type relay struct {
 	// Direct writes to the store.
 	Direct writeFunc
-	// Others returns the instances that may reach the store, in no order.
+	// Peers returns the instances that may reach the store, in random order.
 	Peers func() []netip.AddrPort
-	// Ask has another instance make a write. Its error wraps snipeplatform.ErrUnavailable if
-	// nothing was done.
+	// AskPeer makes a write through another instance. Its error wraps snipeplatform.ErrUnavailable
+	// if nothing was written.
 	AskPeer func(ctx context.Context, peer netip.AddrPort, operation string, changes []snipeplatform.Change) (uint64, error)
-	// Owns reports whether this instance owns engines: who owns none loses nothing by waiting
-	// for the store, and one that is overloaded gets fewer writes so.
+	// Owns reports whether this instance owns engines. An instance that owns none loses nothing by
+	// waiting for the store, and an overloaded store receives fewer writes if it waits.
 	Owns func() bool
-	// Lost is told when the store is lost to this instance, and Back when it answers again.
+	// OnLost is called when the store stops answering this instance, OnRecovered when it answers
+	// again.
 	OnLost      func(err error)
 	OnRecovered func()
 
@@ -59,10 +61,10 @@
 	storeLost   bool
 	lastSlow    bool      // the last write took longer than slowWriteTime
 	lastWriteAt time.Time // when the last write ended
-	sinceDirect int       // writes since the store was last asked while it is lost
+	sinceDirect int       // writes since the last direct attempt, while the store is lost
 }
 
-// Write makes all changes or none, itself or by another instance.
+// Write makes all changes or none, either directly or through another instance.
 func (r *relay) Write(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 	if r.Owns() && !r.directFirst() {
 		version, err := r.writeByPeer(ctx, operation, changes)
@@ -84,7 +86,7 @@
 	return 0, err
 }
 
-// directFirst reports whether the store is to be asked first.
+// directFirst reports whether the next write tries the store first.
 func (r *relay) directFirst() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -98,16 +100,17 @@
 	return true
 }
 
-// AcceptsWrites reports whether the store answers this instance soon, as far as is known. One that it
-// refuses makes no writes for others before one of its own was made: a store that has more
-// writes than it can make refuses many, and must not get each of them several times.
+// AcceptsWrites reports whether this instance makes writes for others: whether the store answers it
+// in good time, as far as is known. After an unanswered own write it accepts no writes before the
+// store has answered another one, because an overloaded store refuses many writes and must not
+// receive each of them several times.
 func (r *relay) AcceptsWrites() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return !r.storeLost && (!r.lastSlow || time.Since(r.lastWriteAt) >= slowStorePause)
 }
 
-// writeDirect writes to the store and notes whether it answers.
+// writeDirect writes to the store and records whether the store answers.
 func (r *relay) writeDirect(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 	begun := time.Now()
 	version, err := r.Direct(ctx, operation, changes)
@@ -127,7 +130,7 @@
 	return version, err
 }
 
-// writeByPeer has another instance make a write. The error is the last one's.
+// writeByPeer makes a write through another instance. It returns the error of the last attempt.
 func (r *relay) writeByPeer(ctx context.Context, operation string, changes []snipeplatform.Change) (version uint64, err error) {
 	err = snipeplatform.ErrUnavailable
 	others := r.Peers()
@@ -145,11 +148,11 @@
 	return r.AskPeer(ctx, peer, operation, changes)
 }
 
-// relayPeers returns the instances that may reach the store for this one: those that renew
-// each second, and so know whether it answers.
+// relayPeers returns the instances that can write to the store for this one: those that renew their
+// rows each second, and therefore know whether the store answers.
 func (i *Instance) relayPeers() []netip.AddrPort {
 	var all []netip.AddrPort
-	// The order of a map is another one each time.
+	// Map iteration yields a different order each time, which spreads the writes.
 	for peer, other := range i.holder.View().Live {
 		if peer != i.Settings.Peers && !other.Leaving && !other.Standby {
 			all = append(all, peer)
@@ -158,7 +161,7 @@
 	return all
 }
 
-// askWrite has another instance make a write.
+// askWrite makes a write through another instance.
 func (i *Instance) askWrite(ctx context.Context, peer netip.AddrPort, operation string, changes []snipeplatform.Change) (uint64, error) {
 	r := &snipeproto.OwnershipWriteRequest{Operation: operation}
 	for _, c := range changes {
@@ -177,7 +180,8 @@
 	return answer.GetVersion(), nil
 }
 
-// maxRelayedChanges bounds the changes of one write for another instance: the store takes no more.
+// maxRelayedChanges bounds the changes of one write for another instance. The store accepts no more
+// in one write.
 const maxRelayedChanges = 100
 
 // Write implements snipeproto.Ownership.
@@ -199,7 +203,8 @@
 		}
 		changes = append(changes, change)
 	}
-	// Whoever asks may give up sooner than the store: its answer tells this instance as much.
+	// The requester may time out before the store answers. The write is completed anyway, since the
+	// store's answer also shows this instance whether the store is reachable.
 	version, err := s.relay.writeDirect(context.WithoutCancel(ctx), r.GetOperation(), changes)
 	switch {
 	case errors.Is(err, snipeplatform.ErrConflict):
@@ -212,7 +217,7 @@
 	return &snipeproto.OwnershipWriteResponse{Version: version}, nil
 }
 
-// buildRelay puts together how rows of ownership are written.
+// buildRelay creates the relay for writes of ownership rows.
 func (i *Instance) buildRelay() {
 	i.relay = &relay{
 		Direct: i.write, Peers: i.relayPeers, AskPeer: i.askWrite, Owns: func() bool { return i.holder.Owns() },
--- a/snipeentry/relay_test.go
+++ b/snipeentry/relay_test.go
@@ -14,11 +14,11 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// way is one instance's way to the store, and what becomes of a write on it.
+// storePath describes an instance's connection to the store, and the outcome of a write on it.
 type storePath struct {
 	err  error
 	took time.Duration
-	// applies tells that the write is made, whatever is answered.
+	// applies reports whether the write takes effect, whatever is answered.
 	applies bool
 }
 
@@ -30,10 +30,10 @@
 	lostPath    = storePath{err: snipeplatform.ErrUnknown, took: time.Minute, applies: true}
 )
 
-// storeTimeout bounds a call to the store, as its client does.
+// storeTimeout bounds a call to the store, as the store's client does.
 const storeTimeout = 1200 * time.Millisecond
 
-// rowStore is a store of one row, which counts how often it was written.
+// rowStore is a store of one row, which counts the writes and the calls.
 type rowStore struct {
 	version uint64
 	writes  int
@@ -63,15 +63,16 @@
 	}
 }
 
-// TestRelay answers the pattern of a third of the instances that the store does not answer
-// while they reach the others: their renewals are made by another one, in time for the next,
-// and never twice. Where the store answers nobody they fail as they would alone.
+// TestRelay covers an outage in which the store does not answer a third of the instances, while
+// these reach the others. Another instance makes their renewals, in time for the next one and never
+// twice. If the store answers no instance, the renewals fail as they would without a relay.
 func TestRelay(t *testing.T) {
 	const renewals, every = 8, time.Second
 	tests := map[string]struct {
 		self   storePath
 		others []storePath
-		// renewed is how many renewals succeed, within the time between two of them.
+		// renewed is the number of renewals that succeed in time for the next one; one fewer is
+		// accepted.
 		renewed int
 	}{
 		"Reached":         {goodPath, []storePath{refusedPath}, renewals},
@@ -127,7 +128,7 @@
 	}
 }
 
-// serveWrite passes a write to another instance as its client does.
+// serveWrite passes a write to another instance, as the instance's client does.
 func serveWrite(ctx context.Context, s *ownershipServer, operation string, changes []snipeplatform.Change) (uint64, error) {
 	r := &snipeproto.OwnershipWriteRequest{Operation: operation}
 	for _, c := range changes {
@@ -143,8 +144,8 @@
 	return answer.GetVersion(), nil
 }
 
-// TestSlowStore: an instance to which the store is slow makes no writes for others, which would
-// be as slow and come on top of those that the store has to make anyway.
+// TestSlowStore guards against an instance that makes writes for others while the store is slow to
+// it. These writes would be as slow, and would add to the load of an overloaded store.
 func TestSlowStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &rowStore{calls: map[netip.AddrPort]int{}}
@@ -164,8 +165,8 @@
 	})
 }
 
-// TestRelayedRows: another instance writes rows of ownership alone, within bounds, and says at
-// once that it does not reach the store either.
+// TestRelayedRows checks that an instance accepts only a bounded number of changes in a relayed
+// write, and refuses at once if it cannot reach the store either.
 func TestRelayedRows(t *testing.T) {
 	s := &rowStore{calls: map[netip.AddrPort]int{}}
 	server := &ownershipServer{relay: &relay{Direct: s.via(refusedPath, peer(1)), OnLost: func(error) {}, OnRecovered: func() {}}}
@@ -183,14 +184,14 @@
 		_, err = server.Write(t.Context(), many)
 		must.Error(t, err)
 	}
-	must.Eq(t, 1, s.calls[peer(1)], must.Sprint("it is known to be lost after the first"))
+	must.Eq(t, 1, s.calls[peer(1)], must.Sprint("the store is known to be lost after the first write"))
 	must.False(t, server.relay.AcceptsWrites())
 	server.relay.lastWriteAt = server.relay.lastWriteAt.Add(-time.Minute)
-	must.False(t, server.relay.AcceptsWrites(), must.Sprint("until a write of its own is made"))
+	must.False(t, server.relay.AcceptsWrites(), must.Sprint("the store stays lost until an own write is answered"))
 }
 
-// TestNoRight: an engine whose owner has no right to order it is asked for nothing for a
-// while, so that what needs a load goes to another one at once.
+// TestNoRight guards against requests that wait for an engine whose owner has no right to order it.
+// The engine is avoided for a while, so that adapters are loaded on another one at once.
 func TestNoRight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &peers{}
--- a/snipeentry/report.go
+++ b/snipeentry/report.go
@@ -11,8 +11,9 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// reportUses tells engines' owners what has changed in the use of their engines: one report
-// an owner. One that is lost is not repeated; what is in flight is told again while it lasts.
+// reportUses reports to the owners of engines the changes in the use of their engines, in one
+// report for each owner. A lost report is not repeated, but requests in flight are reported again
+// as long as they run.
 func (i *Instance) reportUses(ctx context.Context) {
 	v := i.holder.View()
 	directory := i.directory.Snapshot()
@@ -43,7 +44,7 @@
 	}
 }
 
-// recordOwnUse notes the use of an engine that this instance owns.
+// recordOwnUse records the use of an engine that this instance owns.
 func (i *Instance) recordOwnUse(id string, uses map[snipecatalog.Adapter]snipeadapter.Use) {
 	self := i.Settings.Peers.String()
 	i.board.Report(id, self, i.balancer.Mine(id))
@@ -52,27 +53,28 @@
 	}
 }
 
-// ownerUnheardTime is how long an owner may not have been heard of. What it says of its engines'
-// loads counts for two seconds; engines of which nothing is known seem idle and draw too many
-// requests.
+// ownerUnheardTime is how long an owner may not have answered before it is sent an empty report. A
+// load that an owner reported is used for two seconds; an engine without a known load seems idle
+// and draws too many requests.
 const ownerUnheardTime = time.Second
 
-// addLongestUnheardOwner adds a report of no use to the owner that was not heard of for longest, so
-// that it tells the loads of its engines: one owner a step, however many there are.
+// addLongestUnheardOwner adds an empty report to the owner that has not answered for the longest
+// time, so that it returns the loads of its engines. It adds one owner in each interval, however
+// many there are.
 func (i *Instance) addLongestUnheardOwner(owners []netip.AddrPort, reports map[netip.AddrPort]*snipeproto.AdapterReportRequest) {
 	owner, ok := longestUnheardOwner(owners, i.peers.lastAnswer, time.Now().Add(-ownerUnheardTime))
 	if !ok {
 		return
 	}
-	// Not asked again before it has had the time to answer.
+	// Give the owner time to answer before it is asked again.
 	i.peers.noteAnswer(owner)
 	if reports[owner] == nil {
 		reports[owner] = i.newReport()
 	}
 }
 
-// longestUnheardOwner returns the owner that was not heard of for longest, since before a time; false
-// when all were.
+// longestUnheardOwner returns the owner whose last answer is the oldest, if that is before since.
+// It returns false if all owners have answered since then.
 func longestUnheardOwner(owners []netip.AddrPort, lastAnswer func(netip.AddrPort) time.Time, since time.Time) (found netip.AddrPort, ok bool) {
 	for _, owner := range owners {
 		if heard := lastAnswer(owner); heard.Before(since) {
@@ -82,12 +84,12 @@
 	return found, ok
 }
 
-// newReport returns a report that tells of no use yet.
+// newReport returns a report without any use.
 func (i *Instance) newReport() *snipeproto.AdapterReportRequest {
 	return &snipeproto.AdapterReportRequest{Instance: i.Settings.Peers.String()}
 }
 
-// encodeUse returns the use of one engine for a report.
+// encodeUse returns the message for the use of one engine.
 func (i *Instance) encodeUse(id string, uses map[snipecatalog.Adapter]snipeadapter.Use) *snipeproto.EngineUse {
 	e := &snipeproto.EngineUse{Engine: id, Load: i.balancer.Mine(id)}
 	for a, u := range uses {
@@ -108,15 +110,15 @@
 	return uses
 }
 
-// reportTimeout bounds one report of use: a hundred times the way there and back. An owner that
-// does not answer in time is asked for no loads, and what waits for it goes elsewhere while most
-// objectives can still be met.
+// reportTimeout bounds one report of use, at a hundred times the round-trip time. An owner that
+// does not answer in time is not asked for loads of adapters, and the requests that wait for it go
+// elsewhere while most latency objectives can still be met.
 const reportTimeout = 300 * time.Millisecond
 
-// peerField names another instance in log lines.
+// peerField is the log field for another instance.
 const peerField = "Peer"
 
-// sendReport sends a report and takes what its answer tells.
+// sendReport sends a report to an owner and applies the answer.
 func (i *Instance) sendReport(ctx context.Context, to netip.AddrPort, r *snipeproto.AdapterReportRequest) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -134,7 +136,8 @@
 	}
 }
 
-// applyReport takes what an owner knows of its engines and of the adapters in a report.
+// applyReport applies an owner's answer to a report: the loads of its engines, the adapters that
+// they no longer hold, and the replicas of the reported adapters.
 func (i *Instance) applyReport(answer *snipeproto.AdapterReportResponse) {
 	for _, gone := range answer.GetGone() {
 		i.residency.Deny(gone.GetEngine(), decodeAdapter(gone))
@@ -150,7 +153,7 @@
 	}
 }
 
-// encodeAdapter names an adapter on an engine.
+// encodeAdapter returns the message for an adapter on an engine.
 func encodeAdapter(engine string, a snipecatalog.Adapter) *snipeproto.AdapterReplica {
 	return &snipeproto.AdapterReplica{Engine: engine, Model: a.Model, Adapter: a.Name}
 }
@@ -159,8 +162,8 @@
 	return snipecatalog.Adapter{Model: r.GetModel(), Name: r.GetAdapter()}
 }
 
-// applyOwnLoads takes what others learn from this instance's answers: the loads of its own
-// engines and what they no longer hold.
+// applyOwnLoads applies what other instances learn from this instance's answers to reports: the
+// loads of its own engines and the adapters that they have evicted.
 func (i *Instance) applyOwnLoads() {
 	recent, last := i.controller.Evictions(i.lastEviction)
 	i.lastEviction = last
--- a/snipeentry/settings.go
+++ b/snipeentry/settings.go
@@ -12,59 +12,60 @@
 	"snipepitch.example/snipepitch/snipejson"
 )
 
-// ErrSettings is wrapped by every error of the checks.
+// ErrSettings is wrapped by every error that reports an invalid settings file.
 var ErrSettings = errors.New("invalid settings file")
 
 // maxSettings bounds a settings file in bytes.
 const maxSettings = 1 << 20
 
-// Settings is the settings file of an entry instance.
+// Settings is the content of an entry instance's settings file. The field names are the keys of the
+// file.
 type Settings struct {
 	// Name is the instance's name, Domain its failure domain.
 	Name   string
 	Domain string
-	// Callers is where callers connect, Ready where the balancer asks whether the
-	// instance is ready, Peers where other instances connect, Metrics where
-	// scrapers do.
+	// Callers, Ready, Peers and Metrics are the listen addresses for callers, for the balancer's
+	// readiness checks, for other instances and for scrapers of metrics.
 	Callers netip.AddrPort
 	Ready   netip.AddrPort
 	Peers   netip.AddrPort
 	Metrics netip.AddrPort
-	// Seeds are other instances' Peers, to learn from while the store does not answer;
-	// they may be down.
+	// Seeds are the Peers addresses of other instances, from which an instance reads while the
+	// store does not answer. They may be down.
 	Seeds []netip.AddrPort
 	// Table is the address of the platform's store.
 	Table netip.AddrPort
-	// OrderGap is the least time between orders of two instances to one engine.
+	// OrderGap is the least time between orders of two different instances to one engine.
 	OrderGap snipejson.Duration
-	// RetryShare is how many repeats all instances may send for each request of a
-	// service, RetrySlack how many beside that.
+	// RetryShare is the number of retries that all instances together may send for each request of
+	// a service, RetrySlack the number of retries beyond that.
 	RetryShare float64
 	RetrySlack float64
-	// RetrySpan is the span of time over which both are counted.
+	// RetrySpan is the length of the window over which both are counted.
 	RetrySpan snipejson.Duration
-	// QuotaSpan is the window over which the use of quotas is counted. In it all instances may
-	// together exceed a quota by the share QuotaOverrun of it and by QuotaSlack units.
+	// QuotaSpan is the length of the window over which the use of quotas is counted. Within one
+	// window, all instances together may exceed a quota by the share QuotaOverrun of it and by
+	// QuotaSlack units.
 	QuotaSpan    snipejson.Duration
 	QuotaOverrun float64
 	QuotaSlack   float64
 	// StopTimeout bounds a planned stop.
 	StopTimeout snipejson.Duration
-	// DrainTime is within what time an upstream that says that it is leaving gets no new
-	// work, ApplyTime within what time what operators declare is in force.
+	// DrainTime is the time within which an upstream that announces that it is leaving stops
+	// receiving new work, ApplyTime the time within which operators' declarations come into force.
 	DrainTime snipejson.Duration
 	ApplyTime snipejson.Duration
-	// Power is the share of a core that the machine gives the process; duties for
-	// all instances go to those that have most.
+	// Power is the share of a core that the process gets on its machine. Tasks that are done for
+	// all instances go to the instances with the most power.
 	Power float64
-	// MemoryBytes is what the process may use.
+	// MemoryBytes is the memory that the process may use.
 	MemoryBytes int64
-	// LogLevel is a level of logrus.
+	// LogLevel is the name of a logrus level.
 	LogLevel string
 }
 
-// LoadSettings reads and checks a settings file. Its errors name the file, the
-// field and the reason.
+// LoadSettings reads and checks a settings file. Its errors name the file, the field and the
+// reason.
 func LoadSettings(path string) (Settings, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -90,21 +91,21 @@
 	return s, nil
 }
 
-// DefaultRetrySpan is the span over which repeats are counted: the platform's.
+// DefaultRetrySpan is the default of RetrySpan: the window over which the platform counts retries.
 const DefaultRetrySpan = 10 * time.Second
 
 // DefaultQuotaSpan is the default of QuotaSpan.
 const DefaultQuotaSpan = 10 * time.Second
 
-// DefaultFreshness is the default of DrainTime and ApplyTime: what the paces of reading are made
-// for.
+// DefaultFreshness is the default of DrainTime and ApplyTime. The intervals at which the tables are
+// read are designed for it.
 const DefaultFreshness = 2 * time.Second
 
-// freshness is within what time what the store tells is known.
+// freshness returns the time within which changes in the store must be known.
 func (s Settings) freshness() time.Duration { return min(s.DrainTime.Value(), s.ApplyTime.Value()) }
 
-// minStopTimeout is the least time for a planned stop: the balancer needs more than two
-// seconds to notice.
+// minStopTimeout is the shortest time for a planned stop. The balancer needs more than two seconds
+// to notice the stop.
 const minStopTimeout = 4 * time.Second
 
 const notPositive = "is not positive"
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// checkOverruns checks by how much all instances together may exceed what is allowed.
+// checkOverruns checks the amounts by which all instances together may exceed their limits.
 func (s Settings) checkOverruns() error {
 	for name, share := range map[string]float64{"RetryShare": s.RetryShare, "QuotaOverrun": s.QuotaOverrun} {
 		if share < 0 || share > 1 {
--- a/snipeentry/settings_test.go
+++ b/snipeentry/settings_test.go
@@ -19,7 +19,7 @@
   "StopTimeout": "8s", "DrainTime": "3s", "ApplyTime": "4s", "MemoryBytes": 284000000, "LogLevel": "info"
 }`
 
-// TestLoadSettings: errors name the file, the field and the reason.
+// TestLoadSettings checks that errors name the file, the field and the reason.
 func TestLoadSettings(t *testing.T) {
 	tests := map[string]struct{ old, new, want string }{
 		"Good":         {"", "", ""},
--- a/snipeentry/signal.go
+++ b/snipeentry/signal.go
@@ -13,23 +13,25 @@
 )
 
 const (
-	// signalTimeout bounds one message about what upstreams say: it is told again while it stands.
+	// signalTimeout bounds one message about upstreams' signals. A lost message is made up for:
+	// signals are sent again while they are in force.
 	signalTimeout = 300 * time.Millisecond
-	// signalPeersPerDomain is how many instances of a failure domain are told where there are many; the
-	// others learn it from them with the loads of engines.
+	// signalPeersPerDomain is how many instances of each failure domain receive signals directly if
+	// there are many instances. The others receive them from these together with the loads of
+	// engines.
 	signalPeersPerDomain = 2
 )
 
-// sourceField names in log lines from whom something is known.
+// sourceField is the log field for the origin of a signal.
 const sourceField = "Source"
 
-// buildSignals makes the book of what upstreams say of themselves.
+// buildSignals creates the tracker of upstreams' signals.
 func (i *Instance) buildSignals() {
 	i.signals = &snipesignal.Book{Part: i.limitShare, Changed: i.signalChanged, Rested: i.logBackoff, Wrong: i.logInvalidSignal}
 }
 
-// limitShare returns this instance's part of an upstream's limit: instances rank for each upstream
-// in another order, the same on all of them.
+// limitShare returns this instance's share of an upstream's limit. The ranking of the instances
+// differs between upstreams, but all instances compute the same one.
 func (i *Instance) limitShare(upstream string, limit float64) snipesignal.Part {
 	key := sniperoute.Hash(upstream)
 	self := i.Settings.Peers
@@ -43,19 +45,19 @@
 	return snipesignal.Divide(limit, i.sharingInstances(), rank)
 }
 
-// addressKey tells addresses apart for a rank.
+// addressKey returns a key that identifies an address in a ranking.
 func addressKey(a netip.AddrPort) uint64 {
 	b := a.Addr().As16()
 	const portBits = 16
 	return binary.BigEndian.Uint64(b[:8]) ^ binary.BigEndian.Uint64(b[8:])<<portBits ^ uint64(a.Port())
 }
 
-// signalCounter counts what upstreams say, by its kind.
+// signalCounter returns the name of the counter of signals of one kind.
 func signalCounter(kind string) string {
 	return `snipepitch_upstream_signals_total{signal="` + kind + `"}`
 }
 
-// signalChanged takes a change of what an upstream says of itself.
+// signalChanged handles a change of an upstream's signals.
 func (i *Instance) signalChanged(c snipesignal.Change) {
 	if c.Now.Leaving && !c.Before.Leaving {
 		i.meter.Count(signalCounter("Leaving"))
@@ -84,19 +86,19 @@
 	i.Log.Log(snipelog.UpstreamLimited, fields)
 }
 
-// logBackoff logs that an upstream wants to be left alone by this instance.
+// logBackoff logs that an upstream asked this instance for a backoff.
 func (i *Instance) logBackoff(upstream string, rest time.Duration) {
 	i.meter.Count(signalCounter("Rest"))
 	i.Log.Log(snipelog.UpstreamRests, snipelog.Fields{upstreamField: upstream, "RestMilliseconds": rest.Milliseconds()})
 }
 
-// logInvalidSignal logs what cannot be understood.
+// logInvalidSignal logs a signal that cannot be parsed.
 func (i *Instance) logInvalidSignal(upstream, text string) {
 	i.meter.Count(signalCounter("Wrong"))
 	i.Log.Log(snipelog.SignalWrong, snipelog.Fields{upstreamField: upstream, "Value": text})
 }
 
-// sendSignals tells other instances what upstreams have said to this one.
+// sendSignals sends the signals that this instance received from upstreams to other instances.
 func (i *Instance) sendSignals(ctx context.Context) {
 	updates := i.signals.News()
 	if len(updates) == 0 {
@@ -107,14 +109,15 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(ctx, signalTimeout)
 			defer cancel()
-			// Whoever is not reached hears of it from the upstream, or is told again.
+			// An instance that is not reached receives the signal from the upstream itself, or with
+			// a later message.
 			_, _ = i.peers.adapters.client(peer).Signal(ctx, r)
 		}()
 	}
 }
 
-// signalPeers returns the instances that are told what upstreams say: all where there are few, else
-// the first ones of each failure domain.
+// signalPeers returns the instances to which signals are sent: all if there are few, otherwise the
+// first ones of each failure domain.
 func (i *Instance) signalPeers() []netip.AddrPort {
 	var all []netip.AddrPort
 	most := len(i.holder.View().Ranked)
--- a/snipeentry/unreachable.go
+++ b/snipeentry/silent.go
@@ -7,17 +7,17 @@
 	"github.com/go-faster/errors"
 )
 
-// errOwnerUnresponsive: an owner does not answer reports of use, so that it will not answer a question
-// either.
+// errOwnerUnresponsive reports that an owner does not answer reports of use, so that it will not
+// answer a pending request either.
 var errOwnerUnresponsive = errors.New("the owner does not answer")
 
-// question is one that is under way.
+// pendingRequest is a request in progress.
 type pendingRequest struct {
 	cancel context.CancelCauseFunc
 }
 
-// trackRequest returns the context of a question to an owner, which also ends when the owner is found not
-// to answer. The returned function ends the question.
+// trackRequest returns the context of a request to an owner. The context also ends when the owner
+// is found to be unreachable. The returned function ends the request.
 func (p *peers) trackRequest(ctx context.Context, owner netip.AddrPort) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	q := &pendingRequest{cancel}
@@ -36,7 +36,7 @@
 	}
 }
 
-// endRequest forgets a question.
+// endRequest drops a finished request.
 func (p *peers) endRequest(owner netip.AddrPort, q *pendingRequest) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// isUnreachable reports whether an instance was found not to answer.
+// isUnreachable reports whether the last report of use did not reach an instance.
 func (p *peers) isUnreachable(to netip.AddrPort) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/snipeentry/unreachable_test.go
+++ b/snipeentry/silent_test.go
@@ -11,9 +11,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestSilentOwner answers the pattern of an owner that stands still while requests wait for
-// loads that it was asked for: once a report finds it silent its questions end, and it is asked
-// for no more until it answers a report.
+// TestSilentOwner covers an owner that hangs while requests wait for loads on its engines. As soon
+// as a report fails to reach the owner, the pending requests to it end, and it is asked for nothing
+// until it answers a report.
 func TestSilentOwner(t *testing.T) {
 	asked := make(chan struct{}, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -47,7 +47,7 @@
 	case err := <-failed:
 		must.Error(t, err)
 	case <-time.After(10 * time.Second):
-		t.Fatal("the question goes on")
+		t.Fatal("the request has not ended")
 	}
 	must.ErrorIs(t, context.Cause(ctx), errOwnerUnresponsive)
 	must.NoError(t, elsewhere.Err())
--- a/snipeentry/snipeentry.go
+++ b/snipeentry/snipeentry.go
@@ -1,14 +1,14 @@
-// Package snipeentry is an entry instance on a platform that keeps routes,
-// upstreams and rows in a store of its own: it puts the duties together and runs
-// them.
+// Package snipeentry implements an entry instance for a platform that keeps routes, upstreams and
+// rows in its own store. It builds the components of the instance and runs them.
 //
-// Duties, each a goroutine of its own: following what operators declared,
-// following the registry of upstreams, keeping the right to order engines, reading
-// engines that were taken, closing idle connections, the four listeners, and the
-// planned stop. Requests run in the goroutines of net/http.
+// Each of these background tasks runs in its own goroutine: following the operators' declarations,
+// following the registry of upstreams, renewing the ownership of engines, reading engines that this
+// instance has taken over, exchanging loads and signals with other instances, closing idle
+// connections, the four listeners, and the planned stop. Requests run in the goroutines of
+// net/http.
 //
-// Nothing on the path of a request asks the store. Losing it leaves the last known
-// routes and upstreams in use; only orders to engines end.
+// The request path never calls the store. If the store is lost, the last known routes and upstreams
+// stay in use; only orders to engines end.
 package snipeentry
 
 import (
@@ -43,51 +43,48 @@
 )
 
 const (
-	// dialTimeout bounds a connection to an upstream or a peer, which are a few
-	// milliseconds away. The first packet is repeated after a second, too late for
-	// most requests.
+	// dialTimeout bounds the time to connect to an upstream or a peer, which are a few milliseconds
+	// away. TCP retransmits the first packet after one second, too late for most requests.
 	dialTimeout = 400 * time.Millisecond
-	// idleConnectionTime is how long an idle connection to an upstream is kept when it does
-	// not say how long it keeps it itself.
+	// idleConnectionTime is how long an idle connection to an upstream is kept if the upstream does
+	// not announce its own keep-alive time.
 	idleConnectionTime = 4 * time.Second
-	// maxIdleConnections bounds the idle connections to one upstream: upstreams take a few
-	// hundred from all instances.
+	// maxIdleConnections bounds the idle connections to one upstream. An upstream accepts a few
+	// hundred connections from all instances together.
 	maxIdleConnections = 16
-	// sweepInterval is the time between two looks for idle connections to close, and for
-	// what is known of upstreams that are gone.
+	// sweepInterval is the time between two sweeps, which close idle connections and drop the state
+	// of upstreams that are gone.
 	sweepInterval = time.Second
-	// takeInterval is the time between two looks for engines that came to be this
-	// instance's.
+	// takeInterval is the time between two checks for engines that this instance has come to own.
 	takeInterval = 500 * time.Millisecond
-	// reportInterval is the time between two reports of use to engines' owners: how soon
-	// an adapter that is suddenly asked for comes onto more engines, and is found there.
+	// reportInterval is the time between two reports of use to the owners of engines. It decides
+	// how soon an adapter whose demand rises suddenly is loaded on more engines, and how soon
+	// requests find it there.
 	reportInterval = 80 * time.Millisecond
-	// registryRecoveryTime is how long after an outage of the registry entries that lapsed
-	// meanwhile may take to come back.
+	// registryRecoveryTime is how long after an outage of the registry the entries that expired
+	// during the outage may take to reappear.
 	registryRecoveryTime = 2500 * time.Millisecond
 )
 
-// Platform is how the instance speaks to what is around it.
+// Platform connects the instance to its environment: callers, engines and the store.
 type Platform struct {
 	Protocol snipegateway.Protocol
-	// ReadyPath is where the balancer asks whether the instance is ready.
+	// ReadyPath is the path on which the balancer checks whether the instance is ready.
 	ReadyPath string
 	Engine    snipeadapter.Engine
-	// Belongs and KeepAlive read answers of upstreams; see snipelink.Pool.
+	// Belongs and KeepAlive interpret answers of upstreams; see snipelink.Pool.
 	Belongs   func(r *http.Request, a *http.Response) bool
 	KeepAlive func(a *http.Response) time.Duration
-	// Source returns how a table of the store is read, Write changes rows; see
-	// snipeowner.Table.
+	// Source returns the reader of a table of the store. Write changes rows; see snipeowner.Table.
 	Source func(table string) snipemirror.Source
 	Write  func(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error)
-	// DeclaredTable holds what operators declare, UpstreamTable the registry. The
-	// errors beside a change tell of rows that could not be understood.
+	// DeclaredTable holds the operators' declarations, UpstreamTable the registry. The errors that
+	// DecodeUpstreams returns beside a change describe the rows that could not be decoded.
 	DeclaredTable   string
 	DecodeDeclared  func(rows []snipemirror.Row, position uint64) snipecatalog.Change
 	UpstreamTable   string
 	DecodeUpstreams func(rows []snipemirror.Row, position uint64) (snipedirectory.Change, []error)
-	// SameUpstream reports whether an entry of the registry says nothing that the one before
-	// it did not.
+	// SameUpstream reports whether a new registry entry carries no information beyond the old one.
 	SameUpstream func(old, now []byte) bool
 }
 
@@ -95,19 +92,19 @@
 type Instance struct {
 	Settings Settings
 	Platform Platform
-	// Incarnation names this start of the process.
+	// Incarnation identifies this start of the process.
 	Incarnation string
 	// Operation returns a new identifier for a write.
 	Operation func() string
 	Log       *snipelog.Logger
-	// LogDropped returns how many log lines were dropped; nil for none.
+	// LogDropped returns the number of dropped log lines; nil means none.
 	LogDropped func() uint64
-	// Reload reads the settings file again; its errors leave all as it is.
+	// Reload reads the settings file again. An error leaves the settings unchanged.
 	Reload func() (Settings, error)
-	// Listen opens a listener; nil for TCP.
+	// Listen opens a listener; nil means TCP.
 	Listen func(ctx context.Context, address netip.AddrPort) (net.Listener, error)
 
-	stopSignalsOnce sync.Once // makes stops
+	stopSignalsOnce sync.Once // makes stopSignals
 	meter           *snipemeter.Meter
 	catalog         *snipecatalog.Keeper
 	directory       *snipedirectory.Keeper
@@ -128,16 +125,18 @@
 	startupGate     *startupGate
 
 	invalidEntries invalidEntries
-	// strange tells that the rows of ownership, by which others are found, cannot be read.
+	// ownershipUnreadable is set while the ownership rows, from which other instances are
+	// discovered, cannot be read.
 	ownershipUnreadable atomic.Bool
-	// evicted is the last eviction of an own engine that the reports' duty has noted.
+	// lastEviction is the number of the last eviction from an own engine that applyOwnLoads has
+	// processed.
 	lastEviction uint64
 
 	tables      tables
 	stopSignals chan os.Signal
 }
 
-// Run serves until a signal ends it, or until ctx ends.
+// Run serves until a signal stops the instance or ctx ends.
 func (i *Instance) Run(ctx context.Context) error {
 	i.build()
 	i.makeStopSignals()
@@ -177,7 +176,7 @@
 	return err
 }
 
-// maxSignals bounds the signals that wait for the stop's duty.
+// maxSignals bounds the signals that wait to be handled by waitStop.
 const maxSignals = 4
 
 func (i *Instance) makeStopSignals() {
@@ -189,11 +188,11 @@
 	i.makeStopSignals()
 	select {
 	case i.stopSignals <- syscall.SIGTERM:
-	default: // a stop waits already
+	default: // a stop is already pending
 	}
 }
 
-// duty adds a loop that ends with the instance.
+// addTask adds a background task that ends with the instance.
 func (i *Instance) addTask(ctx context.Context, g *run.Group, f func(ctx context.Context) error) {
 	ctx, cancel := context.WithCancel(ctx)
 	g.Add(func() error { return f(ctx) }, func(error) { cancel() })
@@ -250,8 +249,8 @@
 	}
 }
 
-// bootClock is a steady clock that also counts the time for which the machine is
-// suspended: a lease lapses meanwhile.
+// bootClock is a monotonic clock that includes the time for which the machine is suspended, since a
+// lease also expires during a suspension.
 func bootClock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -261,7 +260,7 @@
 	return time.Duration(t.Nano())
 }
 
-// peerClient returns the client for questions to other instances.
+// peerClient returns the HTTP client for requests to other instances.
 func peerClient(m *snipemeter.Meter) *http.Client {
 	dial := snipelink.Dialer()
 	return &http.Client{Transport: &countedTransport{meter: m, RoundTripper: &http.Transport{
@@ -280,7 +279,7 @@
 	}}}
 }
 
-// engineAddresses returns the addresses of all engines that stay.
+// engineAddresses returns the addresses of all engines that are not leaving.
 func (i *Instance) engineAddresses() []netip.AddrPort {
 	var all []netip.AddrPort
 	for _, u := range i.engines() {
@@ -315,8 +314,8 @@
 	return c.Services[u.Service].Engine.AdapterSlots
 }
 
-// modelFor returns the base model that an engine without one should hold: that
-// which the fewest engines of its service hold.
+// modelFor returns the base model that an engine without one should load: the model that the fewest
+// engines of its service hold.
 func (i *Instance) modelFor(u *snipedirectory.Upstream) string {
 	c := i.catalog.Catalog()
 	if c == nil || len(u.Models) > 0 || c.Services[u.Service] == nil || c.Services[u.Service].Engine == nil {
@@ -337,7 +336,7 @@
 	return rarest
 }
 
-// readTakenEngines reads the engines that came to be this instance's.
+// readTakenEngines reads the state of engines that this instance has come to own.
 func (i *Instance) readTakenEngines(ctx context.Context) {
 	for _, u := range i.engines() {
 		if !u.Leaving {
@@ -346,22 +345,22 @@
 	}
 }
 
-// owned reports whether an engine has an owner that can be asked for loads.
+// ownerReachable reports whether an engine has an owner that can be asked to load adapters.
 func (i *Instance) ownerReachable(u *snipedirectory.Upstream) bool {
 	owner, ok := i.holder.View().Owners[u.Address]
 	return ok && (owner.Self || !i.peers.isUnreachable(owner.Instance.Peer) && i.peers.ownerMayOrder(u.Address))
 }
 
-// outdated reports whether operators may have declared something that is in force elsewhere and
-// not known here.
+// catalogOutdated reports whether a newer catalog may be in force elsewhere: the copy of the
+// declarations is older than ApplyTime.
 func (i *Instance) catalogOutdated() bool {
 	return i.tables.catalog.Mirror.Age() > i.Settings.ApplyTime.Value()
 }
 
-// instances returns how many instances share the requests.
+// instances returns the number of instances that share the requests.
 func (i *Instance) instances() int { return len(i.holder.View().Live) }
 
-// suspect logs that an upstream is left alone or trusted again.
+// logSuspect logs that an upstream is avoided as suspect, or trusted again.
 func (i *Instance) logSuspect(id string, suspect bool) {
 	if suspect {
 		i.Log.Log(snipelog.UpstreamSuspect, snipelog.Fields{upstreamField: id})
--- a/snipeentry/start_test.go
+++ b/snipeentry/start_test.go
@@ -10,9 +10,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestUpstreamStartsAgain: engines that start again under their names, and whose entries turn
-// bad and good, are given their base model and adapters again; nothing that they held before
-// is thought to be there.
+// TestUpstreamStartsAgain covers engines that restart under the same names, and a registry entry
+// that becomes invalid and valid again. The engines are given their base model and adapters again,
+// and nothing from before the restart is assumed to be loaded.
 func TestUpstreamStartsAgain(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	one := s.start("one")
--- a/snipeentry/stop.go
+++ b/snipeentry/stop.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// stopAcceptTime is how long a stopping instance still takes connections: the
-	// balancer asks once a second and takes it out after two misses.
+	// stopAcceptTime is how long a stopping instance still accepts connections. The balancer checks
+	// readiness once a second and removes the instance after two failed checks.
 	stopAcceptTime = 3 * time.Second
-	// stopReserve is the part of the stop's time that is left for its end.
+	// stopReserve is the part of the stop timeout that is kept for the final shutdown.
 	stopReserve = 500 * time.Millisecond
 )
 
-// phase is how far the instance is in its life.
+// stopState records whether a planned stop has begun.
 type stopState struct{ begun atomic.Bool }
 
 func (s *stopState) stopping() bool { return s.begun.Load() }
 
-// ready reports whether the balancer may send callers: routes and some upstreams
-// are known and no stop has begun.
+// ready reports whether the balancer may send callers to this instance: routes and some upstreams
+// are known, and no stop has begun.
 func (i *Instance) ready() bool {
 	return !i.stopState.stopping() && i.catalog.Catalog() != nil && i.directory.Snapshot().Len() > 0
 }
 
-// waitStop waits for a signal and carries out a planned stop: readiness ends at
-// once, connections are taken until the balancer has noticed, requests in flight
-// end. The servers are shut down one after the other: until its callers' requests have
-// ended the instance answers the others, whose right to order engines in an outage of the
-// store hangs on the word of each instance that lives.
+// waitStop waits for a signal and carries out a planned stop. Readiness ends at once, connections
+// are accepted until the balancer has noticed, and requests in flight run to their end. The servers
+// are shut down one after the other: until its callers' requests have ended, the instance answers
+// other instances, because in an outage of the store an owner's lease extension may need this
+// instance's grant.
 func (i *Instance) waitStop(ctx context.Context, servers []*http.Server) error {
 	for {
 		select {
@@ -56,7 +56,7 @@
 	defer cancel()
 	snipetime.Sleep(limit, stopAcceptTime)
 	for _, s := range servers {
-		// What is still in flight at the limit is cut by the end.
+		// Requests still in flight when limit expires are cut off when the process ends.
 		_ = s.Shutdown(limit)
 	}
 	if n := i.gateway.InFlight(); n > 0 {
@@ -65,8 +65,7 @@
 	return nil
 }
 
-// reload reads the settings file again. What a running instance can change is in
-// force at once; a file that is wrong changes nothing.
+// reload reads the settings file again. An invalid file changes nothing.
 func (i *Instance) reload() {
 	s, err := i.Reload()
 	if err != nil {
--- a/snipeentry/stop_test.go
+++ b/snipeentry/stop_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestStopAnswersPeers answers the pattern of planned stops while the store answers nobody: as
-// long as an instance serves its last requests the others can ask it to leave them their engines;
-// else they take it for one that lives and says no.
+// TestStopAnswersPeers covers planned stops while the store answers no instance. Until its last
+// requests have ended, a stopping instance must answer requests for lease extensions, since the
+// other instances take a missing answer for a refusal.
 func TestStopAnswersPeers(t *testing.T) {
 	s := newTestCluster(t, time.Second)
 	one := s.start("one")
@@ -24,7 +24,7 @@
 	}()
 	time.Sleep(200 * time.Millisecond)
 	one.Stop()
-	time.Sleep(4 * time.Second) // past the notice to the balancer
+	time.Sleep(4 * time.Second) // longer than stopAcceptTime
 	c, err := net.DialTimeout("tcp", one.Settings.Peers.String(), time.Second)
 	must.NoError(t, err)
 	must.NoError(t, c.Close())
--- a/snipeentry/tables.go
+++ b/snipeentry/tables.go
@@ -17,40 +17,40 @@
 )
 
 const (
-	// catalogWait is how long one read waits for a change of what operators
-	// declared. A connection that has gone silent hides changes no longer than
-	// this and the store's timeout, and a copy that others follow is as old as this
-	// when nothing changes.
+	// catalogWait is how long one read waits for a change of the operators' declarations. A broken
+	// connection hides changes for at most this time plus the store's timeout. While nothing
+	// changes, a copy that other instances follow gets as old as this.
 	catalogWait = time.Second
-	// catalogInterval is the least time between two reads, so that a storm of changes
-	// costs ten reads a second at most.
+	// catalogInterval is the least time between two reads, so that a burst of changes costs at most
+	// ten reads a second.
 	catalogInterval = 100 * time.Millisecond
-	// directoryWait and directoryInterval are the same for the registry, whose entries
-	// change all the time: a read seldom waits. Upstreams that leave take new work for
-	// two seconds.
+	// directoryWait and directoryInterval are the same for the registry. Its entries change all the
+	// time, so a read seldom waits. A leaving upstream still accepts new work for two seconds,
+	// which bounds the interval.
 	directoryWait     = 200 * time.Millisecond
 	directoryInterval = 1100 * time.Millisecond
-	// ownershipInterval is the same for the rows of ownership, which change with each
-	// renewal. A dead owner is noticed after its lease, more than two seconds.
+	// ownershipInterval is the same for the ownership rows, which change with each renewal. The
+	// loss of an owner is detected only after its lease of more than two seconds.
 	ownershipInterval = 1500 * time.Millisecond
-	// maxOwnershipAge is how old the rows of ownership may be for it to be judged by
-	// them who lives: two reads.
+	// maxOwnershipAge is the greatest age at which the ownership rows may be used to decide which
+	// instances are live. It allows for two reads.
 	maxOwnershipAge = 4 * time.Second
 )
 
 const (
-	// acquaintance is how long an instance that starts waits at most to know the others,
-	// whose copies it follows, before it reads the store's tables itself: where the store is
-	// silent all that start are without routes meanwhile.
+	// maxDiscoveryWait is how long a starting instance waits at most to discover the others, whose
+	// copies it follows, before it reads the store's tables itself. If the store does not answer,
+	// all starting instances are without routes for this time.
 	maxDiscoveryWait = 400 * time.Millisecond
-	// discoveryInterval is the time between two looks.
+	// discoveryInterval is the time between two checks for other instances.
 	discoveryInterval = 10 * time.Millisecond
-	// startupWindow is how long after its start an instance that knows nobody looks for others
-	// more often: all may have started at once, and have written no row yet.
+	// startupWindow is how long after its start an instance that knows no others reads the
+	// ownership rows more often. All instances may have started at once and not have written their
+	// rows yet.
 	startupWindow = 3 * time.Second
 )
 
-// positionField names the store's position in log lines, upstreamField an upstream.
+// positionField is the log field of the store's position, upstreamField that of an upstream.
 const (
 	positionField = "Position"
 	upstreamField = "Upstream"
@@ -67,7 +67,7 @@
 	return []*snipemirror.Follower{t.catalog, t.directory, t.ownership}
 }
 
-// mirrors returns the copies by the tables' names, for other instances.
+// mirrors returns the copies that are served to other instances, by table name.
 func (i *Instance) mirrors() map[string]*snipemirror.Mirror {
 	return map[string]*snipemirror.Mirror{
 		i.Platform.DeclaredTable: i.tables.catalog.Mirror,
@@ -76,11 +76,12 @@
 	}
 }
 
-// follower returns the follower of a table.
-func (i *Instance) follower(table string, pace, wait time.Duration, ages maxCopyAges) *snipemirror.Follower {
+// follower returns the follower of a table. interval is the least time between two reads of the
+// store, wait how long one read waits for a change.
+func (i *Instance) follower(table string, interval, wait time.Duration, ages maxCopyAges) *snipemirror.Follower {
 	return &snipemirror.Follower{
 		Rare:   i.onStandby,
-		Mirror: snipemirror.New(), Store: i.source(table), Pace: pace, Wait: wait,
+		Mirror: snipemirror.New(), Store: i.source(table), Pace: interval, Wait: wait,
 		MaxAge: func() time.Duration { return i.maxCopyAge(ages) },
 		Near: func(failures int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 			return i.peerCopy(table, failures, lost)
@@ -88,12 +89,13 @@
 	}
 }
 
-// alone reports whether no other instance is known.
+// noPeersKnown reports whether no other instance is known.
 func (i *Instance) noPeersKnown() bool { return i.instances() <= 1 }
 
-// acquaint waits until other instances are known, so that a start of hundreds reads of the
-// store what each needs to find the others, and the rest from these. While the store does not
-// answer nobody can be found by it.
+// waitForPeers waits until other instances are known, at most for maxDiscoveryWait. When hundreds
+// of instances start at once, each then reads from the store only the ownership rows, and all other
+// tables from other instances. It returns at once if the ownership rows cannot be read, since no
+// instance can be discovered without them.
 func (i *Instance) waitForPeers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, maxDiscoveryWait)
 	defer cancel()
@@ -101,7 +103,8 @@
 	}
 }
 
-// onStandby reports whether this instance leaves duties for all to others.
+// onStandby reports whether this instance is on standby, and so leaves the tasks that are done for
+// all instances to others.
 func (i *Instance) onStandby() bool { return i.holder.View().Live[i.Settings.Peers].Standby }
 
 func (i *Instance) buildTables() {
@@ -135,7 +138,7 @@
 	started := time.Now()
 	t.ownership.Hasten = func() bool { return i.noPeersKnown() && time.Since(started) < startupWindow }
 	t.catalog.Begin, t.directory.Begin = i.waitForPeers, i.waitForPeers
-	// The holder tells of the loss of the store itself, by its renewals.
+	// The loss of the store itself is logged by the relay, when renewals fail.
 	t.ownership.Lost = func(error) { i.ownershipUnreadable.Store(true) }
 	t.ownership.Back = func() { i.ownershipUnreadable.Store(false) }
 }
@@ -148,7 +151,7 @@
 	return snipelog.Fields{"Catalog": version}
 }
 
-// applyCatalog puts what operators declared in force.
+// applyCatalog puts the operators' declarations in force.
 func (i *Instance) applyCatalog(c snipecatalog.Change) {
 	for _, err := range c.Wrong {
 		i.Log.Error(snipelog.CatalogWrong, err, i.catalogFields())
@@ -167,14 +170,14 @@
 	}
 }
 
-// openStartupGate lets callers go on that wait for routes and upstreams, if both are known.
+// openStartupGate releases the callers that wait for routes and upstreams, once both are known.
 func (i *Instance) openStartupGate() {
 	if i.catalog.Catalog() != nil && i.directory.Snapshot().Len() > 0 {
 		i.startupGate.release()
 	}
 }
 
-// applyDirectory takes what was read of the registry.
+// applyDirectory applies rows that were read from the registry.
 func (i *Instance) applyDirectory(rows []snipemirror.Row, position uint64) {
 	change, wrong := i.Platform.DecodeUpstreams(rows, position)
 	i.logEntries(change, wrong)
@@ -193,8 +196,8 @@
 	i.openStartupGate()
 }
 
-// forget drops what is known of starts of upstreams that are not in the directory: what
-// others say of one may come after it was forgotten.
+// forgetUnregistered drops the state of upstream starts that are not in the directory. Other
+// instances may report on an upstream after it was dropped here, which creates its state again.
 func (i *Instance) forgetUnregistered() {
 	now := i.directory.Snapshot()
 	registered := func(id string) bool { return now.ByID(id) != nil }
@@ -203,8 +206,8 @@
 	i.signals.Keep(registered)
 }
 
-// logEntries logs which entries of the registry cannot be understood, and which can be
-// again. Each is told once: whoever writes nonsense may do so every second.
+// logEntries logs which registry entries cannot be decoded, and which can be decoded again. Each
+// change is logged once, since an invalid entry may be rewritten every second.
 func (i *Instance) logEntries(c snipedirectory.Change, wrong []error) {
 	for n, key := range c.Wrong {
 		if i.invalidEntries.Add(key) {
@@ -222,7 +225,8 @@
 	}
 }
 
-// ownershipRows returns the rows of ownership that have changed since a mark, as last read.
+// ownershipRows returns the ownership rows that have changed since a mark, as last read, and the
+// next mark.
 func (i *Instance) ownershipRows(_ context.Context, partition string, since uint64) ([]snipeplatform.Row, uint64, error) {
 	rows, mark, err := i.tables.ownership.Mirror.Rows(since)
 	if err != nil {
@@ -239,32 +243,32 @@
 	return all, mark, nil
 }
 
-// noteRenewal is told of each renewal whether the store answered.
+// noteRenewal is called after each renewal with whether the store answered.
 func (i *Instance) noteRenewal(ok bool) {
 	if !ok {
 		i.interruptReads()
 	}
 }
 
-// interruptReads ends the reads of the store that are under way: it does not answer.
+// interruptReads cancels pending reads of the store, because the store does not answer.
 func (i *Instance) interruptReads() {
 	for _, f := range i.tables.all() {
 		f.Interrupt()
 	}
 }
 
-// seen is told of upstreams that are new, leaving or gone.
+// upstreamChanged is called for each upstream that appears, is leaving or is gone.
 func (i *Instance) upstreamChanged(u *snipedirectory.Upstream, e snipedirectory.Event) {
 	fields := snipelog.Fields{upstreamField: u.ID, "Service": u.Service, "Address": u.Address, positionField: u.Position}
 	switch e {
 	case snipedirectory.Appeared:
-		// Those of the first reading are told by their number.
+		// The first read is logged as one line with the number of upstreams.
 		if i.directory.Snapshot() != nil {
 			i.Log.Log(snipelog.UpstreamAppeared, fields)
 		}
 	case snipedirectory.Leaving:
 		if i.signals.Leaving(u.ID) {
-			return // told already
+			return // already logged when the upstream signaled it
 		}
 		fields["RemainingMilliseconds"], fields[sourceField] = u.Remaining.Milliseconds(), "Registry"
 		i.Log.Log(snipelog.UpstreamLeaving, fields)
