--- a/snipeentry/budget.go
+++ b/snipeentry/budget.go
@@ -13,9 +13,9 @@
 	// that ended instances have sent. If all instances are killed at once, the slack may be spent
 	// twice.
 	usedShare = 0.85
-	// fewestInstances is the least number of instances among which the slack is divided. An
+	// minSharingInstances is the least number of instances among which the slack is divided. An
 	// instance that has just started may know no others yet.
-	fewestInstances = 6
+	minSharingInstances = 6
 )
 
 // retryBudgets holds a separate retry budget for each service. All instances together must stay
@@ -47,5 +47,5 @@
 
 // slackShare returns this instance's share of the slack.
 func (b *retryBudgets) slackShare() float64 {
-	return usedShare * b.slack / float64(max(b.instances(), fewestInstances))
+	return usedShare * b.slack / float64(max(b.instances(), minSharingInstances))
 }
--- a/snipeentry/cluster_test.go
+++ b/snipeentry/cluster_test.go
@@ -104,12 +104,12 @@
 
 // declare writes the operators' catalog, with the given workspaces.
 func (s *testCluster) declare(version int, workspaces ...object) {
-	route := func(name, prefix, kind, service string, more object) object {
+	route := func(name, prefix, kind, service string, extra object) object {
 		r := object{
 			"name": name, "host": host, "prefix": prefix, "routeKind": kind, "service": service,
 			"timeoutMs": 8000, "targetLatencyMs": 3000, "maxAttempts": 2,
 		}
-		for k, v := range more {
+		for k, v := range extra {
 			r[k] = v
 		}
 		return r
--- a/snipeentry/entries.go
+++ b/snipeentry/entries.go
@@ -14,31 +14,31 @@
 }
 
 // Add records an invalid entry and reports whether it is new.
-func (w *invalidEntries) Add(key string) bool {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	if w.keys[key] || len(w.keys) >= maxInvalidEntries {
+func (e *invalidEntries) Add(key string) bool {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	if e.keys[key] || len(e.keys) >= maxInvalidEntries {
 		return false
 	}
-	if w.keys == nil {
-		w.keys = make(map[string]bool)
+	if e.keys == nil {
+		e.keys = make(map[string]bool)
 	}
-	w.keys[key] = true
+	e.keys[key] = true
 	return true
 }
 
 // Remove records that an entry is valid and reports whether it was invalid.
-func (w *invalidEntries) Remove(key string) bool {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	was := w.keys[key]
-	delete(w.keys, key)
+func (e *invalidEntries) Remove(key string) bool {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	was := e.keys[key]
+	delete(e.keys, key)
 	return was
 }
 
 // Len returns the number of invalid entries.
-func (w *invalidEntries) Len() int {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	return len(w.keys)
+func (e *invalidEntries) Len() int {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	return len(e.keys)
 }
--- a/snipeentry/listen.go
+++ b/snipeentry/listen.go
@@ -81,14 +81,14 @@
 
 // peerHandler returns the handler for requests of other instances.
 func (i *Instance) peerHandler() http.Handler {
-	controller := snipeproto.NewAdapterServer(&peerServer{controller: i.controller, replicas: i.gateway.Chooser.Replicas, board: i.board, balancer: i.balancer, signals: i.signals})
+	adapters := snipeproto.NewAdapterServer(&peerServer{controller: i.controller, replicas: i.gateway.Chooser.Replicas, board: i.board, balancer: i.balancer, signals: i.signals})
 	mirrors := snipeproto.NewMirrorServer(&mirrorServer{mirrors: i.mirrors()})
 	owners := snipeproto.NewOwnershipServer(&ownershipServer{i.holder, i.relay})
 	quotas := snipeproto.NewQuotaServer(&quotaServer{i.issuer})
 	m := http.NewServeMux()
 	m.Handle(quotas.PathPrefix(), quotas)
 	m.Handle(owners.PathPrefix(), owners)
-	m.Handle(controller.PathPrefix(), controller)
+	m.Handle(adapters.PathPrefix(), adapters)
 	m.Handle(mirrors.PathPrefix(), mirrors)
 	return m
 }
--- a/snipeentry/loads.go
+++ b/snipeentry/loads.go
@@ -30,7 +30,7 @@
 func (i *Instance) gathersLoads() bool { return i.instances() >= minGatherInstances }
 
 // updateLoads updates the loads of all engines, from their owners or from the instance that has
-// gathered them.
+// gathered them. It does nothing if loads are not gathered.
 func (i *Instance) updateLoads(ctx context.Context) {
 	if !i.gathersLoads() {
 		return
--- a/snipeentry/peers_test.go
+++ b/snipeentry/peers_test.go
@@ -84,7 +84,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			heard := func(peer netip.AddrPort) time.Time {
+			answered := func(peer netip.AddrPort) time.Time {
 				for n, age := range tt.ages {
 					if peer == address(n) {
 						return now.Add(-age)
@@ -92,7 +92,7 @@
 				}
 				return time.Time{}
 			}
-			peer, ok := longestUnheardOwner(owners, heard, now.Add(-time.Second))
+			peer, ok := stalestOwner(owners, answered, now.Add(-time.Second))
 			must.Eq(t, tt.want, peer)
 			must.Eq(t, tt.want.IsValid(), ok)
 		})
--- a/snipeentry/quota.go
+++ b/snipeentry/quota.go
@@ -30,8 +30,8 @@
 }
 
 // sharingInstances returns the number of instances that share a limit without an issuer. It is at
-// least fewestInstances, since an instance that has just started may know no others yet.
-func (i *Instance) sharingInstances() int { return max(i.instances(), fewestInstances) }
+// least minSharingInstances, since an instance that has just started may know no others yet.
+func (i *Instance) sharingInstances() int { return max(i.instances(), minSharingInstances) }
 
 // quotaOf returns a workspace's quota in the current catalog.
 func (i *Instance) quotaOf(workspace string) snipecatalog.Quota {
--- a/snipeentry/quota_test.go
+++ b/snipeentry/quota_test.go
@@ -11,5 +11,5 @@
 func TestSharers(t *testing.T) {
 	i := instanceWithRows(t, 0, DefaultFreshness, nil)
 	must.LessEq(t, 1, i.instances())
-	must.GreaterEq(t, fewestInstances, i.sharingInstances())
+	must.GreaterEq(t, minSharingInstances, i.sharingInstances())
 }
--- a/snipeentry/relay.go
+++ b/snipeentry/relay.go
@@ -79,9 +79,9 @@
 	if !r.Owns() {
 		return 0, err
 	}
-	version, relayed := r.writeByPeer(ctx, operation, changes)
-	if snipeplatform.Answered(relayed) {
-		return version, relayed
+	version, relayErr := r.writeByPeer(ctx, operation, changes)
+	if snipeplatform.Answered(relayErr) {
+		return version, relayErr
 	}
 	return 0, err
 }
--- a/snipeentry/report.go
+++ b/snipeentry/report.go
@@ -37,7 +37,7 @@
 		}
 	}
 	if !i.gathersLoads() {
-		i.addLongestUnheardOwner(v.Others, reports)
+		i.addStalestOwner(v.Others, reports)
 	}
 	for peer, r := range reports {
 		go i.sendReport(ctx, peer, r)
@@ -53,16 +53,16 @@
 	}
 }
 
-// ownerUnheardTime is how long an owner may not have answered before it is sent an empty report. A
+// ownerStaleAfter is how long an owner may not have answered before it is sent an empty report. A
 // load that an owner reported is used for two seconds; an engine without a known load seems idle
 // and draws too many requests.
-const ownerUnheardTime = time.Second
+const ownerStaleAfter = time.Second
 
-// addLongestUnheardOwner adds an empty report to the owner that has not answered for the longest
+// addStalestOwner adds an empty report to the owner that has not answered for the longest
 // time, so that it returns the loads of its engines. It adds one owner in each interval, however
 // many there are.
-func (i *Instance) addLongestUnheardOwner(owners []netip.AddrPort, reports map[netip.AddrPort]*snipeproto.AdapterReportRequest) {
-	owner, ok := longestUnheardOwner(owners, i.peers.lastAnswer, time.Now().Add(-ownerUnheardTime))
+func (i *Instance) addStalestOwner(owners []netip.AddrPort, reports map[netip.AddrPort]*snipeproto.AdapterReportRequest) {
+	owner, ok := stalestOwner(owners, i.peers.lastAnswer, time.Now().Add(-ownerStaleAfter))
 	if !ok {
 		return
 	}
@@ -73,12 +73,12 @@
 	}
 }
 
-// longestUnheardOwner returns the owner whose last answer is the oldest, if that is before since.
+// stalestOwner returns the owner whose last answer is the oldest, if that is before since.
 // It returns false if all owners have answered since then.
-func longestUnheardOwner(owners []netip.AddrPort, lastAnswer func(netip.AddrPort) time.Time, since time.Time) (found netip.AddrPort, ok bool) {
+func stalestOwner(owners []netip.AddrPort, lastAnswer func(netip.AddrPort) time.Time, since time.Time) (found netip.AddrPort, ok bool) {
 	for _, owner := range owners {
-		if heard := lastAnswer(owner); heard.Before(since) {
-			found, since, ok = owner, heard, true
+		if answered := lastAnswer(owner); answered.Before(since) {
+			found, since, ok = owner, answered, true
 		}
 	}
 	return found, ok
--- a/snipeentry/signal.go
+++ b/snipeentry/signal.go
@@ -87,9 +87,9 @@
 }
 
 // logBackoff logs that an upstream asked this instance for a backoff.
-func (i *Instance) logBackoff(upstream string, rest time.Duration) {
+func (i *Instance) logBackoff(upstream string, backoff time.Duration) {
 	i.meter.Count(signalCounter("Rest"))
-	i.Log.Log(snipelog.UpstreamRests, snipelog.Fields{upstreamField: upstream, "RestMilliseconds": rest.Milliseconds()})
+	i.Log.Log(snipelog.UpstreamRests, snipelog.Fields{upstreamField: upstream, "RestMilliseconds": backoff.Milliseconds()})
 }
 
 // logInvalidSignal logs a signal that cannot be parsed.
@@ -120,13 +120,13 @@
 // first ones of each failure domain.
 func (i *Instance) signalPeers() []netip.AddrPort {
 	var all []netip.AddrPort
-	most := len(i.holder.View().Ranked)
+	maxPerDomain := len(i.holder.View().Ranked)
 	if i.gathersLoads() {
-		most = signalPeersPerDomain
+		maxPerDomain = signalPeersPerDomain
 	}
 	sent := make(map[string]int)
 	for _, other := range i.holder.View().Ranked {
-		if other.Peer == i.Settings.Peers || other.Leaving || other.Standby && i.gathersLoads() || sent[other.Domain] == most {
+		if other.Peer == i.Settings.Peers || other.Leaving || other.Standby && i.gathersLoads() || sent[other.Domain] == maxPerDomain {
 			continue
 		}
 		sent[other.Domain]++
--- a/snipeentry/tables.go
+++ b/snipeentry/tables.go
@@ -214,11 +214,11 @@
 			i.Log.Error(snipelog.EntryWrong, wrong[n], snipelog.Fields{"Key": key, positionField: c.Position})
 		}
 	}
-	mended := slices.Clone(c.Removed)
+	noLongerInvalid := slices.Clone(c.Removed)
 	for _, u := range c.Changed {
-		mended = append(mended, u.Name)
+		noLongerInvalid = append(noLongerInvalid, u.Name)
 	}
-	for _, key := range mended {
+	for _, key := range noLongerInvalid {
 		if i.invalidEntries.Remove(key) {
 			i.Log.Log(snipelog.EntryMended, snipelog.Fields{"Key": key, positionField: c.Position})
 		}
