--- a/snipeentry/acquaint_test.go
+++ b/snipeentry/acquaint_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestAcquaint answers the pattern of all instances starting at once, also while the store is
-// away: who knows others begins at once, who finds nobody waits a moment, and nobody waits for
-// a store that refuses.
+// TestAcquaint covers a simultaneous start of all instances, also while the store is down. An
+// instance that knows others starts at once, one that discovers none waits for a bounded time, and
+// none waits if the store refuses reads.
 func TestAcquaint(t *testing.T) {
 	tests := map[string]struct {
 		known   int
@@ -18,17 +18,17 @@
 		want    time.Duration
 	}{
 		"KnowsOthers":  {3, false, 0},
-		"FindsNobody":  {0, false, acquaintance},
+		"FindsNobody":  {0, false, maxDiscoveryWait},
 		"StoreRefuses": {0, true, 0},
 	}
 	all := memberRows(t)
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				i := among(t, 0, 2*time.Second, all[:tt.known])
-				i.strange.Store(tt.refused)
+				i := instanceWithRows(t, 0, 2*time.Second, all[:tt.known])
+				i.ownershipUnreadable.Store(tt.refused)
 				begun := time.Now()
-				i.acquaint(t.Context())
+				i.waitForPeers(t.Context())
 				must.Eq(t, tt.want, time.Since(begun))
 			})
 		})
--- a/snipeentry/budget.go
+++ b/snipeentry/budget.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// keptBack is the share of the allowed repeats that is used. The rest is for what
-	// instances do not know: how many they are while some start or end, and what was
-	// repeated by those that ended. All killed at once may spend the slack twice.
-	keptBack = 0.85
-	// fewestInstances is the least number among which the slack is divided: one
-	// that has just started may know of nobody yet.
-	fewestInstances = 6
+	// usedShare is the share of the allowed retries that is used. The remainder covers what
+	// instances cannot know: how many instances there are while some start or end, and the retries
+	// that ended instances have sent. If all instances are killed at once, the slack may be spent
+	// twice.
+	usedShare = 0.85
+	// minSharingInstances is the least number of instances among which the slack is divided. An
+	// instance that has just started may know no others yet.
+	minSharingInstances = 6
 )
 
-// budgets holds what pays for repeats, for each service by itself. All instances
-// together must stay within a share of the requests and a slack; each takes its
-// part of the slack.
-type budgets struct {
+// retryBudgets holds a separate retry budget for each service. All instances together must stay
+// within a share of the requests and a slack; each instance uses its share of the slack.
+type retryBudgets struct {
 	share     float64
 	slack     float64
 	span      time.Duration
@@ -30,8 +30,8 @@
 	all  map[string]*sniperetry.Window
 }
 
-// of returns a service's budget.
-func (b *budgets) of(service string) *sniperetry.Window {
+// budget returns a service's budget.
+func (b *retryBudgets) budget(service string) *sniperetry.Window {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if found := b.all[service]; found != nil {
@@ -40,12 +40,12 @@
 	if b.all == nil {
 		b.all = make(map[string]*sniperetry.Window)
 	}
-	made := &sniperetry.Window{Share: keptBack * b.share, Slack: b.part, Span: b.span}
+	made := &sniperetry.Window{Share: usedShare * b.share, Slack: b.slackShare, Span: b.span}
 	b.all[service] = made
 	return made
 }
 
-// part is this instance's part of the slack.
-func (b *budgets) part() float64 {
-	return keptBack * b.slack / float64(max(b.instances(), fewestInstances))
+// slackShare returns this instance's share of the slack.
+func (b *retryBudgets) slackShare() float64 {
+	return usedShare * b.slack / float64(max(b.instances(), minSharingInstances))
 }
--- a/snipeentry/keys_test.go
+++ b/snipeentry/keys_test.go
@@ -18,13 +18,14 @@
 	workspaceHeader = "X-Snipepitch-Tenant"
 )
 
-// workspace is a workspace without a quota, as operators write it.
+// workspace returns a workspace without a quota, as operators declare it.
 func workspace(name string, keys ...string) object {
 	return object{"name": name, "apiKeys": keys, "unit": "token_rate", "plainTokens": 200}
 }
 
-// seen returns the tokens that upstreams ran for a workspace, and how many keys they saw.
-func (s *stage) seen(workspace string) (tokens, keys int) {
+// workspaceUsage returns the tokens that upstreams counted for a workspace, and the number of keys
+// that reached upstreams.
+func (s *testCluster) workspaceUsage(workspace string) (tokens, keys int) {
 	for _, r := range s.runners {
 		_, n := r.Workspaces()
 		tokens, keys = tokens+r.Tokens()[workspace], keys+n
@@ -32,7 +33,7 @@
 	return tokens, keys
 }
 
-// status sends a request with a key and returns the status that it got.
+// status sends a request with a key and returns the status of the answer.
 func status(t *testing.T, i *instance, key string) int {
 	t.Helper()
 	a, _ := send(t, i.url, http.MethodPost, "/once/x", "", "Authorization", "Bearer "+key)
@@ -40,9 +41,10 @@
 	return a.status
 }
 
-// TestKeys: a request runs for the workspace that holds its key, and not without one.
+// TestKeys checks that a request runs for the workspace that has its key, and is refused without a
+// valid key.
 func TestKeys(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1, workspace("north", "key-n1", "key-n2"), workspace("south", "key-s1"))
 	one := s.start("one")
 	eventually(t, func() bool { return status(t, one, "key-n1") == http.StatusOK })
@@ -50,7 +52,7 @@
 		target string
 		header []string
 		want   int
-		runs   string // the workspace that it runs for
+		runs   string // the workspace that the request runs for
 	}{
 		"Key":              {"/once/x", []string{"Authorization", "Bearer key-n2"}, 200, "north"},
 		"OtherCase":        {"/once/x", []string{"authorization", "BEARER key-s1"}, 200, "south"},
@@ -71,11 +73,11 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			before, _ := s.seen(tt.runs)
+			before, _ := s.workspaceUsage(tt.runs)
 			a, id := send(t, one.url, http.MethodPost, tt.target, "", append(tt.header, tokensHeader, "30,4")...)
 			must.NoError(t, a.err)
 			must.Eq(t, tt.want, a.status, must.Sprint(a.body))
-			after, keys := s.seen(tt.runs)
+			after, keys := s.workspaceUsage(tt.runs)
 			must.Eq(t, 0, keys)
 			if tt.want != http.StatusOK {
 				must.Eq(t, 0, s.total(id))
@@ -88,43 +90,44 @@
 	must.StrNotContains(t, s.logged(), "key-")
 }
 
-// TestKeysChange: keys are in force and void with the catalogs that say so.
+// TestKeysChange checks that keys become valid and invalid with the catalogs that add and remove
+// them.
 func TestKeysChange(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1, workspace("north", "key-1", "key-2"), workspace("south", "key-3"))
 	one := s.start("one")
-	becomes := func(key string, want int) {
+	waitStatus := func(key string, want int) {
 		t.Helper()
 		eventually(t, func() bool { return status(t, one, key) == want })
 	}
-	becomes("key-1", http.StatusOK)
-	// Taken away, and given back.
+	waitStatus("key-1", http.StatusOK)
+	// A key is removed and added again.
 	s.declare(2, workspace("north", "key-2"), workspace("south", "key-3"))
-	becomes("key-1", http.StatusUnauthorized)
-	becomes("key-2", http.StatusOK)
+	waitStatus("key-1", http.StatusUnauthorized)
+	waitStatus("key-2", http.StatusOK)
 	s.declare(3, workspace("north", "key-1", "key-2"), workspace("south", "key-3"))
-	becomes("key-1", http.StatusOK)
-	// All of a workspace's keys at once, and one that moves to another workspace.
+	waitStatus("key-1", http.StatusOK)
+	// All keys of a workspace are removed at once, and one moves to another workspace.
 	s.declare(4, workspace("north"), workspace("south", "key-3", "key-2"))
-	becomes("key-1", http.StatusUnauthorized)
-	before, _ := s.seen("south")
+	waitStatus("key-1", http.StatusUnauthorized)
+	before, _ := s.workspaceUsage("south")
 	_, _ = send(t, one.url, http.MethodPost, "/once/x", "", "Authorization", "Bearer key-2", tokensHeader, "5,5")
-	after, _ := s.seen("south")
+	after, _ := s.workspaceUsage("south")
 	must.Eq(t, before+10, after)
-	// A catalog that is wrong in one workspace changes nothing.
+	// A catalog with one invalid workspace changes nothing.
 	s.declare(5, workspace("north", "key-1"), workspace("south", "key-1"))
 	eventually(t, func() bool { return strings.Contains(s.logged(), `\"south\": has a key of \"north\"`) })
-	becomes("key-3", http.StatusOK)
-	// Without workspaces no request needs a key.
+	waitStatus("key-3", http.StatusOK)
+	// Without workspaces, no request needs a key.
 	s.declare(6)
-	becomes("key-1", http.StatusOK)
+	waitStatus("key-1", http.StatusOK)
 	must.StrNotContains(t, s.logged(), "key-")
 }
 
-// TestKeyTakenWhileWaiting answers the pattern of a request that waits for its adapter when its key
-// is taken away: it goes to no upstream.
+// TestKeyTakenWhileWaiting guards against a request that is still sent to an upstream although its
+// key was removed while the request waited for its adapter.
 func TestKeyTakenWhileWaiting(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	for _, r := range s.runners {
 		r.Load = 1500 * time.Millisecond
 	}
@@ -150,10 +153,10 @@
 	must.Eq(t, 0, s.total(r.id))
 }
 
-// TestKeyWhileBehind: an instance that cannot know whether a newer catalog holds the key does not
-// say that there is none.
+// TestKeyWhileBehind guards against an instance that rejects a key as unknown while its catalog is
+// outdated: a newer catalog may have the key.
 func TestKeyWhileBehind(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1, workspace("north", "key-1"))
 	one := s.start("one")
 	eventually(t, func() bool { return status(t, one, "key-1") == http.StatusOK })
@@ -167,14 +170,15 @@
 	eventually(t, func() bool { return status(t, one, "key-2") == http.StatusUnauthorized })
 }
 
-// TestHostileKeys: headers of ten thousand callers without a key reach no upstream and no log.
+// TestHostileKeys guards against hostile Authorization headers that reach an upstream or the log,
+// with ten thousand requests without a valid key.
 func TestHostileKeys(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1, workspace("north", "key-1"))
 	one := s.start("one")
 	eventually(t, func() bool { return status(t, one, "key-1") == http.StatusOK })
-	ran := func() int { return len(s.runners["p1"].Ran()) + len(s.runners["p2"].Ran()) }
-	before := ran()
+	executions := func() int { return len(s.runners["p1"].Ran()) + len(s.runners["p2"].Ran()) }
+	before := executions()
 	random := rand.New(rand.NewPCG(1, 1))
 	h := &http.Client{}
 	for n := range 10_000 {
@@ -189,11 +193,11 @@
 		must.Less(t, 1000, a.ContentLength)
 		must.NoError(t, a.Body.Close())
 	}
-	must.Eq(t, before, ran())
+	must.Eq(t, before, executions())
 	must.StrNotContains(t, s.logged(), "hidden-")
 }
 
-// hostile returns values of a key's header that hold no key, or that are none.
+// hostile returns values of the Authorization header without a valid key.
 func hostile(random *rand.Rand) []string {
 	junk := make([]byte, random.IntN(200))
 	for n := range junk {
@@ -211,9 +215,10 @@
 	return values
 }
 
-// TestQuota: over the quota callers are told at once when to come back, and what ran is counted.
+// TestQuota checks that callers above their quota are told at once when to retry, and that executed
+// requests are counted.
 func TestQuota(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	limited := workspace("north", "key-1")
 	limited["ratePerS"], limited["burst"] = 1000, 1000
 	s.declare(1, limited, workspace("south", "key-2"))
@@ -221,7 +226,7 @@
 	for _, i := range []*instance{one, two} {
 		eventually(t, func() bool { return status(t, i, "key-2") == http.StatusOK })
 	}
-	// Some seconds at ten times the quota, at both instances.
+	// Send ten times the quota to both instances for a few seconds.
 	began := time.Now()
 	refused := 0
 	for time.Since(began) < 3*time.Second {
@@ -239,8 +244,9 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	must.Positive(t, refused)
-	tokens, _ := s.seen("north")
-	// A burst, and the rate for the time that it took; requests under way may count twice.
+	tokens, _ := s.workspaceUsage("north")
+	// The bound is one burst plus the rate over the elapsed time. Requests in flight may count
+	// twice.
 	must.LessEq(t, int(1000*(1+time.Since(began).Seconds()))+200, tokens)
 	must.GreaterEq(t, 2000, tokens)
 	must.Eq(t, http.StatusOK, status(t, one, "key-2"))
--- a/snipeentry/limit_test.go
+++ b/snipeentry/limit_test.go
@@ -12,15 +12,15 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// senders are the instances that were asked to serve requests, by the requests' identifiers.
+// senders records the instance to which each request was sent, by the request's identifier.
 type senders struct {
 	lock sync.Mutex // guards all
 	all  map[string]string
-	// refused counts the answers other than success.
+	// refused counts the answers with a status other than 200.
 	refused int
 }
 
-func (s *senders) note(id, instance string, status int) {
+func (s *senders) record(id, instance string, status int) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.all[id] = instance
@@ -29,17 +29,18 @@
 	}
 }
 
-func (s *senders) of(id string) string { return s.all[id] }
+func (s *senders) sender(id string) string { return s.all[id] }
 
-// press sends requests to instances in turn, one after each pause, and waits for their answers.
-func press(t *testing.T, instances []*instance, target string, pause, length time.Duration, header ...string) *senders {
+// sendLoad sends requests to the instances in turn with a pause between them, and waits for all
+// answers.
+func sendLoad(t *testing.T, instances []*instance, target string, pause, length time.Duration, header ...string) *senders {
 	s := &senders{all: map[string]string{}}
 	var all sync.WaitGroup
 	for n := range int(length / pause) {
 		i := instances[n%len(instances)]
 		all.Go(func() {
 			a, id := send(t, i.url, http.MethodGet, target, "", header...)
-			s.note(id, i.url, a.status)
+			s.record(id, i.url, a.status)
 		})
 		time.Sleep(pause)
 	}
@@ -47,8 +48,8 @@
 	return s
 }
 
-// TestLimitNamedByUpstream guards against instances that go on sending an upstream what it was sent
-// before, after its answers have told them how many requests a second it takes of all of them.
+// TestLimitNamedByUpstream guards against instances that keep sending at the previous rate to an
+// upstream whose answers have named a limit on the requests per second of all instances together.
 func TestLimitNamedByUpstream(t *testing.T) {
 	tests := map[string]struct {
 		limited, target string
@@ -60,36 +61,37 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, time.Millisecond)
+			s := newTestCluster(t, time.Millisecond)
 			s.declare(1)
 			instances := []*instance{s.start("one"), s.start("two"), s.start("three")}
 			for _, i := range instances {
-				serving(t, i)
+				waitServing(t, i)
 			}
 			s.runners[tt.limited].NameLimit(3)
-			sent := press(t, instances, tt.target, 30*time.Millisecond, 9*time.Second, tt.header...)
-			must.SliceEmpty(t, snipestand.LimitBreaches(s.runners[tt.limited].Arrivals(), sent.of, nil))
+			sent := sendLoad(t, instances, tt.target, 30*time.Millisecond, 9*time.Second, tt.header...)
+			must.SliceEmpty(t, snipestand.LimitBreaches(s.runners[tt.limited].Arrivals(), sent.sender, nil))
 			must.Eq(t, 0, sent.refused, must.Sprint("the other upstream is free"))
 		})
 	}
 }
 
-// TestLimitToldToOthers guards against instances that do not learn from the others that an upstream
-// names a limit, or that it is over: one that sends it nothing hears neither from the upstream.
+// TestLimitToldToOthers guards against instances that do not learn from other instances that an
+// upstream has named a limit or lifted it. An instance that sends no requests to the upstream
+// receives neither from the upstream itself.
 func TestLimitToldToOthers(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
 	instances := []*instance{s.start("one"), s.start("two"), s.start("three")}
 	for _, i := range instances {
-		serving(t, i)
+		waitServing(t, i)
 	}
-	told := func(event string) bool {
+	loggedByAll := func(event string) bool {
 		return strings.Count(s.logged(), `"Name":"`+event+`"`) == len(instances)
 	}
 	s.runners["p1"].NameLimit(100)
-	press(t, instances[:1], "/often/x", 10*time.Millisecond, time.Second)
-	eventually(t, func() bool { return told("UpstreamLimited") })
+	sendLoad(t, instances[:1], "/often/x", 10*time.Millisecond, time.Second)
+	eventually(t, func() bool { return loggedByAll("UpstreamLimited") })
 	s.runners["p1"].NameNoLimit()
-	press(t, instances[:1], "/often/x", 10*time.Millisecond, time.Second)
-	eventually(t, func() bool { return told("UpstreamFree") })
+	sendLoad(t, instances[:1], "/often/x", 10*time.Millisecond, time.Second)
+	eventually(t, func() bool { return loggedByAll("UpstreamFree") })
 }
--- a/snipeentry/near.go
+++ b/snipeentry/near.go
@@ -10,26 +10,26 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// nearSlack is how much longer than its wait a read of another instance's copy may
-// take: both are in one failure domain.
-const nearSlack = 200 * time.Millisecond
+// copyReadSlack is how much longer than its wait a read of another instance's copy may take. Both
+// instances are usually in one failure domain.
+const copyReadSlack = 200 * time.Millisecond
 
-// near returns how to read another instance's copy of a table: that of the instance
-// which reads the store for this failure domain, or of the next one in rank after
-// each failure. It is false when this instance is to read the store itself; when the
-// store does not answer it, any other instance will do.
-func (i *Instance) near(table string, failures int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
+// peerCopy returns a function that reads another instance's copy of a table. That instance is the
+// one that reads the store for this failure domain, or after each failure the next one in rank. If
+// lost is set, because the store does not answer this instance, any other instance will do. It
+// returns false if this instance should read the store itself.
+func (i *Instance) peerCopy(table string, failures int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 	readers := i.readers(lost)
-	reader, ok := leader(readers, i.Settings.Peers, failures, lost)
+	reader, ok := followedReader(readers, i.Settings.Peers, failures, lost)
 	if !ok && !lost && failures == 0 {
-		reader, ok = i.root()
+		reader, ok = i.globalReader()
 	}
 	if !ok {
 		return nil, false
 	}
-	client := i.peers.mirrors.of(reader)
+	client := i.peers.mirrors.client(reader)
 	return func(ctx context.Context, after uint64, wait time.Duration) (snipemirror.Page, error) {
-		ctx, cancel := context.WithTimeout(ctx, wait+nearSlack)
+		ctx, cancel := context.WithTimeout(ctx, wait+copyReadSlack)
 		defer cancel()
 		answer, err := client.Watch(ctx, &snipeproto.MirrorWatchRequest{
 			Table: table, After: after, WaitMilliseconds: wait.Milliseconds(),
@@ -41,37 +41,37 @@
 	}, true
 }
 
-// copyAges are how old a copy may become before the store is read itself: more than a read's
-// wait and pace together.
-type copyAges struct {
-	// Direct is for copies of an instance that reads the store, where each failure domain has
-	// one. Where one instance reads the store for all domains, First is for the first instance
-	// of a domain, which follows it, and Others for those that follow the first: these wait
-	// longer, so that the loss of the one reader makes the first instances read the store and
-	// not all.
+// maxCopyAges are the ages at which a copy is too old, so that the store is read instead. Each is
+// more than the wait and the interval of a read together.
+type maxCopyAges struct {
+	// Direct applies to copies of an instance that reads the store, where each failure domain has
+	// such a reader. Where a single instance reads the store for all domains, First applies to the
+	// first instance of each domain, which follows that reader, and Others to the instances that
+	// follow a first one. Others is longer, so that after the loss of the single reader only the
+	// first instances read the store, and not all.
 	Direct, First, Others time.Duration
 }
 
 var (
-	// feedAges are those of what operators declare and of the registry: so short that what
-	// must be known within two seconds, or within three where one reads for all, is known when
-	// the reader loses the store at the worst moment.
-	feedAges = copyAges{Direct: 1400 * time.Millisecond, First: 1500 * time.Millisecond, Others: 2100 * time.Millisecond}
-	// ownershipAges are those of the rows of ownership, by which nobody's death is told sooner
-	// than by the lease.
-	ownershipAges = copyAges{Direct: 2500 * time.Millisecond, First: 2 * time.Second, Others: 2500 * time.Millisecond}
+	// tableCopyAges apply to the operators' declarations and to the registry. They are short enough
+	// that a change which must be known within two seconds, or within three where a single instance
+	// reads for all, is known in time even if the reader loses the store at the worst moment.
+	tableCopyAges = maxCopyAges{Direct: 1400 * time.Millisecond, First: 1500 * time.Millisecond, Others: 2100 * time.Millisecond}
+	// ownershipCopyAges apply to the ownership rows. The loss of an instance is detected no sooner
+	// than its lease ends, so these copies may be older.
+	ownershipCopyAges = maxCopyAges{Direct: 2500 * time.Millisecond, First: 2 * time.Second, Others: 2500 * time.Millisecond}
 )
 
-// oneReaderFrom is the least time for knowledge to spread with which one instance reads the
-// store for all failure domains.
-const oneReaderFrom = 3 * time.Second
+// singleReaderFreshness is the shortest freshness with which a single instance reads the store for
+// all failure domains.
+const singleReaderFreshness = 3 * time.Second
 
-// oneReader reports whether one instance reads the store for all failure domains.
-func (i *Instance) oneReader() bool { return i.Settings.freshness() >= oneReaderFrom }
+// singleReader reports whether a single instance reads the store for all failure domains.
+func (i *Instance) singleReader() bool { return i.Settings.freshness() >= singleReaderFreshness }
 
-// copyAge returns how old this instance's copy may become.
-func (i *Instance) copyAge(ages copyAges) time.Duration {
-	if !i.oneReader() {
+// maxCopyAge returns how old this instance's copy may become.
+func (i *Instance) maxCopyAge(ages maxCopyAges) time.Duration {
+	if !i.singleReader() {
 		return ages.Direct
 	}
 	if readers := i.readers(false); len(readers) > 0 && readers[0] == i.Settings.Peers {
@@ -80,10 +80,11 @@
 	return ages.Others
 }
 
-// root returns the instance that reads the store for all failure domains, for the first
-// instance of another domain; false where each domain reads for itself.
-func (i *Instance) root() (netip.AddrPort, bool) {
-	if !i.oneReader() {
+// globalReader returns the instance that reads the store for all failure domains, which the first
+// instance of every other domain follows. It returns false if each domain has its own reader, or if
+// this instance is the global reader.
+func (i *Instance) globalReader() (netip.AddrPort, bool) {
+	if !i.singleReader() {
 		return netip.AddrPort{}, false
 	}
 	for _, other := range i.holder.View().Ranked {
@@ -94,10 +95,10 @@
 	return netip.AddrPort{}, false
 }
 
-// leader returns which of the readers an instance follows after so many have failed;
-// false when it is to read the store itself. As long as the store answers nobody follows
-// one that is behind itself in rank: two that follow each other would both grow old.
-func leader(readers []netip.AddrPort, self netip.AddrPort, failures int, lost bool) (netip.AddrPort, bool) {
+// followedReader returns the reader that an instance follows after a number of failures, and false
+// if the instance should read the store itself. As long as the store answers, no instance follows
+// one that ranks below itself: two instances that follow each other would both get stale.
+func followedReader(readers []netip.AddrPort, self netip.AddrPort, failures int, lost bool) (netip.AddrPort, bool) {
 	if lost && len(readers) > 0 {
 		return readers[failures%len(readers)], true
 	}
@@ -108,25 +109,25 @@
 	return readers[failures], true
 }
 
-// readers returns the instances whose copies may be read, the best first: of those
-// that renew their rows and stay, the first in rank of this failure domain reads the
-// store for it. An instance that the store does not answer may ask them all, and
-// those that its settings name when it knows of nobody yet.
+// readers returns the instances whose copies may be read, best first. They renew their rows and are
+// neither leaving nor on standby; the first in rank of this failure domain reads the store for the
+// domain. If lost is set, the instances of other domains follow, and then the seeds of the
+// settings, for an instance that knows no others yet.
 func (i *Instance) readers(lost bool) []netip.AddrPort {
-	var readers, far []netip.AddrPort
+	var readers, remote []netip.AddrPort
 	for _, other := range i.holder.View().Ranked {
 		switch {
 		case other.Leaving || other.Standby, lost && other.Peer == i.Settings.Peers:
 		case other.Domain == i.Settings.Domain:
 			readers = append(readers, other.Peer)
 		case lost:
-			far = append(far, other.Peer)
+			remote = append(remote, other.Peer)
 		}
 	}
 	if !lost {
 		return readers
 	}
-	readers = append(readers, far...)
+	readers = append(readers, remote...)
 	for _, seed := range i.Settings.Seeds {
 		if seed != i.Settings.Peers && !slices.Contains(readers, seed) {
 			readers = append(readers, seed)
--- a/snipeentry/peers_test.go
+++ b/snipeentry/peers_test.go
@@ -16,14 +16,14 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// TestReportOfUse: who reports the use of an engine's adapters learns what the engine
-// no longer holds, and where else the rest is.
+// TestReportOfUse checks that an instance that reports the use of an engine's adapters learns which
+// of them the engine no longer holds and which other engines hold the rest.
 func TestReportOfUse(t *testing.T) {
 	const engine, other, version = "e1", "e2", 7
 	held := snipecatalog.Adapter{Model: "base", Name: "held"}
 	gone := snipecatalog.Adapter{Model: "base", Name: "gone"}
 	u := &snipedirectory.Upstream{ID: engine, Models: []string{"base"}, Address: netip.MustParseAddrPort("10.9.0.1:80")}
-	desk := &snipeadapter.Desk{
+	controller := &snipeadapter.Desk{
 		Engine: snipeadapter.Engine{
 			Order: func(context.Context, *snipedirectory.Upstream, snipeadapter.Order) (snipeadapter.Reply, error) {
 				return snipeadapter.Holds, nil
@@ -39,9 +39,9 @@
 		Newest:   func(snipecatalog.Adapter) int64 { return 0 },
 		Log:      snipelog.Discard(),
 	}
-	_, err := desk.Ensure(t.Context(), engine, held, 0, time.Second)
+	_, err := controller.Ensure(t.Context(), engine, held, 0, time.Second)
 	must.NoError(t, err)
-	server := &peerServer{desk: desk, board: &snipebalance.Board{}, replicas: func(a snipecatalog.Adapter, except string) []snipegateway.Replica {
+	server := &peerServer{controller: controller, board: &snipebalance.Board{}, replicas: func(a snipecatalog.Adapter, except string) []snipegateway.Replica {
 		must.Eq(t, engine, except)
 		if a != held {
 			return nil
@@ -58,7 +58,7 @@
 
 	i := &Instance{residency: &snipeadapter.Residency{}, balancer: &snipebalance.Balancer{}}
 	i.residency.Tell(engine, gone, 1)
-	i.learn(answer)
+	i.applyReport(answer)
 	_, ok := i.residency.Holds(u, gone)
 	must.False(t, ok)
 	learned, ok := i.residency.Holds(&snipedirectory.Upstream{ID: other}, held)
@@ -67,15 +67,15 @@
 	must.Positive(t, i.balancer.Busy(u))
 }
 
-// TestQuietOwner answers the pattern of many instances, few of which use the two engines of
-// one owner: each hears of every owner once a second all the same.
+// TestQuietOwner covers many instances of which few use the two engines of one owner. Each instance
+// still receives the loads of every owner once a second.
 func TestQuietOwner(t *testing.T) {
 	address := func(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 80) }
 	owners := []netip.AddrPort{address(10), address(20)}
 	now := time.Now()
 	tests := map[string]struct {
-		ages map[byte]time.Duration // of the owners' last words; others were never heard
-		want netip.AddrPort         // none when nobody is asked
+		ages map[byte]time.Duration // since the owners' last answers; the others never answered
+		want netip.AddrPort         // invalid if no owner is asked
 	}{
 		"AllHeard":   {map[byte]time.Duration{10: 0, 20: 900 * time.Millisecond}, netip.AddrPort{}},
 		"OneIsQuiet": {map[byte]time.Duration{10: 0, 20: 1100 * time.Millisecond}, address(20)},
@@ -84,7 +84,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			heard := func(peer netip.AddrPort) time.Time {
+			answered := func(peer netip.AddrPort) time.Time {
 				for n, age := range tt.ages {
 					if peer == address(n) {
 						return now.Add(-age)
@@ -92,20 +92,20 @@
 				}
 				return time.Time{}
 			}
-			peer, ok := quietOwner(owners, heard, now.Add(-time.Second))
+			peer, ok := stalestOwner(owners, answered, now.Add(-time.Second))
 			must.Eq(t, tt.want, peer)
 			must.Eq(t, tt.want.IsValid(), ok)
 		})
 	}
 }
 
-// TestReached: each loss and each return of another instance is told once.
+// TestReached checks that each loss and each return of another instance is reported once.
 func TestReached(t *testing.T) {
 	p := &peers{}
 	to := netip.MustParseAddrPort("10.1.0.1:70")
 	for _, tt := range []struct{ ok, changed bool }{
 		{true, false}, {false, true}, {false, false}, {true, true}, {true, false},
 	} {
-		must.Eq(t, tt.changed, p.reached(to, tt.ok))
+		must.Eq(t, tt.changed, p.noteReachability(to, tt.ok))
 	}
 }
--- a/snipeentry/silent.go
+++ b/snipeentry/silent.go
@@ -7,48 +7,48 @@
 	"github.com/go-faster/errors"
 )
 
-// errSilent: an owner does not answer reports of use, so that it will not answer a question
-// either.
-var errSilent = errors.New("the owner does not answer")
+// errOwnerUnresponsive reports that an owner does not answer reports of use, so that it will not
+// answer a pending request either.
+var errOwnerUnresponsive = errors.New("the owner does not answer")
 
-// question is one that is under way.
-type question struct {
+// pendingRequest is a request in progress.
+type pendingRequest struct {
 	cancel context.CancelCauseFunc
 }
 
-// ask returns the context of a question to an owner, which also ends when the owner is found not
-// to answer. The returned function ends the question.
-func (p *peers) ask(ctx context.Context, owner netip.AddrPort) (context.Context, context.CancelFunc) {
+// trackRequest returns the context of a request to an owner. The context also ends when the owner
+// is found to be unreachable. The returned function ends the request.
+func (p *peers) trackRequest(ctx context.Context, owner netip.AddrPort) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	q := &question{cancel}
+	q := &pendingRequest{cancel}
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if p.questions == nil {
-		p.questions = make(map[netip.AddrPort]map[*question]bool)
+	if p.pendingRequests == nil {
+		p.pendingRequests = make(map[netip.AddrPort]map[*pendingRequest]bool)
 	}
-	if p.questions[owner] == nil {
-		p.questions[owner] = make(map[*question]bool)
+	if p.pendingRequests[owner] == nil {
+		p.pendingRequests[owner] = make(map[*pendingRequest]bool)
 	}
-	p.questions[owner][q] = true
+	p.pendingRequests[owner][q] = true
 	return ctx, func() {
 		cancel(nil)
-		p.answered(owner, q)
+		p.endRequest(owner, q)
 	}
 }
 
-// answered forgets a question.
-func (p *peers) answered(owner netip.AddrPort, q *question) {
+// endRequest drops a finished request.
+func (p *peers) endRequest(owner netip.AddrPort, q *pendingRequest) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	delete(p.questions[owner], q)
-	if len(p.questions[owner]) == 0 {
-		delete(p.questions, owner)
+	delete(p.pendingRequests[owner], q)
+	if len(p.pendingRequests[owner]) == 0 {
+		delete(p.pendingRequests, owner)
 	}
 }
 
-// silent reports whether an instance was found not to answer.
-func (p *peers) silent(to netip.AddrPort) bool {
+// isUnreachable reports whether the last report of use did not reach an instance.
+func (p *peers) isUnreachable(to netip.AddrPort) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	return p.lost[to]
+	return p.unreachable[to]
 }
