--- a/snipeslot/alias.go
+++ b/snipeslot/alias.go
@@ -10,39 +10,41 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// ErrBadAlias is returned for a name that is no alias of this project, such as
-// that of a base model.
+// ErrBadAlias is returned for a name that does not have the format of
+// Alias.String, such as the name of a base model.
 var ErrBadAlias = errors.New("not an alias")
 
-// aliasBase is the base of the numbers in an alias.
-const aliasBase = 36
+// pathBase is the numeral base of the path hash in an alias.
+const pathBase = 36
 
 // Alias names one load of an adapter at an engine. No alias is used twice: the
-// fencing number tells the ownership, the number the load during it. An alias
-// that an engine still lists has therefore been there since its only load, and
-// always with the same weights.
+// fencing number identifies the ownership, and the number the load within it.
+// An alias that an engine lists has therefore been loaded exactly once and has
+// always stood for the same weights.
 type Alias struct {
 	// Adapter is the adapter that was loaded.
 	Adapter snipecall.Adapter
 	// Fence is the fencing number of the owner that ordered the load.
 	Fence uint64
-	// Number counts the loads of that ownership.
+	// Number distinguishes the loads of that ownership.
 	Number uint64
-	// Path is the hash of the path that the weights came from, so that a
-	// successor does not serve a version whose path was changed since.
+	// Path is the hash of the path that the weights were loaded from, so that a
+	// later owner does not serve a version whose path has changed since.
 	Path uint64
 }
 
-// HashPath returns the hash of a weight path that an alias carries.
+// HashPath returns the hash of a weight path for Alias.Path.
 func HashPath(path string) uint64 { return sniperoute.Hash(path) }
 
-// String returns team/name@version#fence.number.path.
+// String returns team/name@version#fence.number.path, with the path hash in
+// base 36.
 func (a Alias) String() string {
 	return a.Adapter.String() + "#" + strconv.FormatUint(a.Fence, 10) + "." +
-		strconv.FormatUint(a.Number, 10) + "." + strconv.FormatUint(a.Path, aliasBase)
+		strconv.FormatUint(a.Number, 10) + "." + strconv.FormatUint(a.Path, pathBase)
 }
 
-// ParseAlias reads what String has written, or returns ErrBadAlias.
+// ParseAlias parses the format of Alias.String. The error for any other text
+// wraps ErrBadAlias.
 func ParseAlias(text string) (Alias, error) {
 	var a Alias
 	name, rest, ok := strings.Cut(text, "#")
@@ -56,7 +58,7 @@
 	var errs [3]error
 	a.Fence, errs[0] = strconv.ParseUint(parts[0], 10, 64)
 	a.Number, errs[1] = strconv.ParseUint(parts[1], 10, 64)
-	a.Path, errs[2] = strconv.ParseUint(parts[2], aliasBase, 64)
+	a.Path, errs[2] = strconv.ParseUint(parts[2], pathBase, 64)
 	for _, err := range errs {
 		if err != nil {
 			return a, errors.Wrapf(ErrBadAlias, "%q: %v", text, err)
--- a/snipeslot/audit.go
+++ b/snipeslot/audit.go
@@ -9,14 +9,18 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// attempt is an audit in progress that others wait for.
-type attempt struct {
+// pendingOpen is the first audit of an ownership while it is in progress. All
+// callers of Open wait for the same one.
+type pendingOpen struct {
 	done chan struct{}
 	err  error
 }
 
-// Open takes over what the engine holds, once in an ownership. Acquire calls
-// it; the owner may call it earlier, so that no caller waits for it.
+// Open runs the first audit of the ownership, which adopts or evicts the
+// aliases that the engine holds. Once an audit has succeeded, later calls
+// return nil at once; a failed audit is repeated by the next call. Acquire
+// calls Open; the owner may call it earlier so that no caller waits for the
+// audit. The error wraps ErrClosed or ErrEngine, or is that of ctx.
 func (s *Slots) Open(ctx context.Context) error {
 	s.lock.Lock()
 	if !s.opened.IsZero() {
@@ -30,7 +34,7 @@
 	s.setup()
 	a := s.opening
 	if a == nil {
-		a = &attempt{done: make(chan struct{})}
+		a = &pendingOpen{done: make(chan struct{})}
 		s.opening = a
 		go s.takeOver(a)
 	}
@@ -43,24 +47,26 @@
 	}
 }
 
-// setup makes the maps. The lock is held.
+// setup creates the maps, the channel and the context of the orders, once.
+// s.lock is held.
 func (s *Slots) setup() {
 	if s.slots != nil {
 		return
 	}
 	s.slots = map[string]*entry{}
 	s.serving = map[key]*entry{}
-	s.given = map[string]bool{}
-	s.heats = map[key]heat{}
+	s.retired = map[string]bool{}
+	s.scores = map[key]useScore{}
 	s.changed = make(chan struct{})
 	s.lifetime, s.stop = context.WithCancel(context.Background())
 }
 
-// takeOver runs the first audit of the ownership.
-func (s *Slots) takeOver(a *attempt) {
+// takeOver runs the first audit of the ownership and passes its result to the
+// callers of Open.
+func (s *Slots) takeOver(a *pendingOpen) {
 	ctx, cancel := context.WithTimeout(s.lifetime, s.Timeout)
 	defer cancel()
-	err := s.prepare(ctx)
+	err := s.neutralizeLateOrders(ctx)
 	if err == nil {
 		err = s.audit(ctx)
 	}
@@ -72,14 +78,14 @@
 	} else {
 		s.opened = time.Now()
 		s.Log.Log(snipelog.EngineAudited, snipelog.Fields{
-			"Engine": s.Engine, "Fence": s.Fence, "Adopted": s.residents(), "GivenUp": len(s.slots) - s.residents(),
+			"Engine": s.Engine, "Fence": s.Fence, "Adopted": s.residentCount(), "GivenUp": len(s.slots) - s.residentCount(),
 		})
 	}
 	close(a.done)
 }
 
-// residents returns the number of adapters that serve. The lock is held.
-func (s *Slots) residents() int {
+// residentCount returns the number of resident aliases. s.lock is held.
+func (s *Slots) residentCount() int {
 	n := 0
 	for _, e := range s.slots {
 		if e.state == resident {
@@ -89,38 +95,41 @@
 	return n
 }
 
-// prepare makes late orders of earlier owners harmless. At an engine that
-// refuses them the first order with the new number does it; it names an alias
-// that nobody has. At an engine that ignores the number the committed list
-// tells which aliases they can hit: the last owner cannot add to it any more.
-func (s *Slots) prepare(ctx context.Context) error {
+// neutralizeLateOrders ensures that late orders of earlier owners cannot unload
+// an alias that this owner uses. An engine that checks fencing numbers refuses
+// late orders as soon as it has received an order with the new number; that
+// order is sent here, for an alias that is never loaded. At an engine that
+// ignores fencing numbers, late orders can only unload aliases on the committed
+// list of retired aliases, which the last owner can no longer extend.
+func (s *Slots) neutralizeLateOrders(ctx context.Context) error {
 	if s.GiveUp == nil {
 		barrier := Alias{Fence: s.Fence}
-		err := s.ended(s.Unload(ctx, barrier.String()))
+		err := s.closeIfFenced(s.Unload(ctx, barrier.String()))
 		if err != nil && !errors.Is(err, ErrRefused) {
 			return errors.Wrap(err, "first order of the ownership")
 		}
 		return nil
 	}
-	given, err := s.Inherit(ctx)
+	retired, err := s.Inherit(ctx)
 	if err != nil {
 		return errors.Wrap(err, "read what was given up")
 	}
-	for _, name := range given {
-		s.give(name)
+	for _, name := range retired {
+		s.retire(name)
 	}
 	return nil
 }
 
-// audit reads what the engine holds: entries that are gone are forgotten (an
-// engine that has restarted is empty), aliases that are not known are adopted
-// or given up.
+// audit reads the list of aliases that the engine holds. Entries that are not
+// listed are removed (an engine that has restarted is empty), and unknown
+// aliases are adopted or evicted. Entries that became resident or were removed
+// while the list was read are left as they are.
 func (s *Slots) audit(ctx context.Context) error {
 	s.auditing.Lock()
 	defer s.auditing.Unlock()
 	s.lock.Lock()
 	s.removed = map[string]bool{}
-	mark := s.clock
+	startClock := s.clock
 	s.lock.Unlock()
 	names, err := s.Aliases(ctx)
 	s.lock.Lock()
@@ -134,40 +143,42 @@
 	for _, name := range names {
 		listed[name] = true
 		if _, known := s.slots[name]; !known && !removed[name] {
-			s.meet(name)
+			s.adoptOrEvict(name)
 		}
 	}
-	gone := 0
+	lost := 0
 	for name, e := range s.slots {
-		if e.state == resident && e.since <= mark && !listed[name] {
+		if e.state == resident && e.residentSince <= startClock && !listed[name] {
 			s.remove(e)
-			gone++
+			lost++
 		}
 	}
-	if gone > 1 {
-		s.Log.Log(snipelog.EngineRestarted, snipelog.Fields{"Engine": s.Engine, "Lost": gone})
+	if lost > 1 {
+		s.Log.Log(snipelog.EngineRestarted, snipelog.Fields{"Engine": s.Engine, "Lost": lost})
 	}
 	s.wake()
 	return nil
 }
 
-// meet takes an alias that the engine holds and this owner does not know. It
-// is adopted at the takeover when the earlier owner never gave it up and could
-// not give it up any more. Otherwise it is evicted: it came late, and an order
-// to unload it may follow. The lock is held.
-func (s *Slots) meet(name string) {
+// adoptOrEvict adds an entry for an alias that the engine holds and this owner
+// does not know. The first audit adopts an alias of an earlier owner that is
+// not retired, since earlier owners can no longer retire it, unless another
+// alias already serves the same adapter and path. All other aliases are
+// evicted: one that appears after the first audit was loaded by a late order,
+// and a late order to unload it may follow. s.lock is held.
+func (s *Slots) adoptOrEvict(name string) {
 	a, err := ParseAlias(name)
 	if err != nil {
-		return // not an adapter of ours: the base model, for example
+		return // not loaded under an Alias: the base model, for example
 	}
-	e := &entry{key: key{a.Adapter, a.Path}, alias: a, name: name, state: resident, lastUsed: time.Now(), since: s.clock}
+	e := &entry{key: key{a.Adapter, a.Path}, alias: a, name: name, state: resident, lastUsed: time.Now(), residentSince: s.clock}
 	s.slots[name] = e
-	_, given := s.given[name]
-	_, taken := s.serving[e.key]
+	_, retired := s.retired[name]
+	_, duplicate := s.serving[e.key]
 	late := !s.opened.IsZero() || a.Fence >= s.Fence
-	if given || taken || late {
-		e.condemned = true
-		e.unclear = true
+	if retired || duplicate || late {
+		e.mustEvict = true
+		e.outcomeUnknown = true
 		s.evict(e)
 		return
 	}
--- a/snipeslot/bench_test.go
+++ b/snipeslot/bench_test.go
@@ -8,16 +8,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// filled returns slots in the state of a busy engine: 16 resident adapters and
-// the uses of as many others as are remembered.
-func filled(b *testing.B) *Slots {
+// busySlots returns the Slots of a busy engine: 16 resident adapters and the
+// maximum number of use scores.
+func busySlots(b *testing.B) *Slots {
 	b.Helper()
-	s := newFakeOwners(newFakeEngine(16, true)).take()
+	s := newFakeOwners(newFakeEngine(16, true)).takeOver()
 	s.Budget = nil
 	must.NoError(b, s.Open(b.Context()))
-	for n := range maxHeats * s.Capacity {
+	for n := range maxScores * s.Capacity {
 		k := key{adapter(strconv.Itoa(n)), HashPath("p")}
-		s.warm(k)
+		s.recordUse(k)
 		if n < s.Capacity {
 			e := &entry{key: k, name: strconv.Itoa(n), state: resident}
 			s.slots[e.name], s.serving[k] = e, e
@@ -26,9 +26,9 @@
 	return s
 }
 
-// BenchmarkAcquire is the use of a resident adapter.
+// BenchmarkAcquire measures one use of a resident adapter.
 func BenchmarkAcquire(b *testing.B) {
-	s := filled(b)
+	s := busySlots(b)
 	r := request("3", "p")
 	b.ReportAllocs()
 	for b.Loop() {
@@ -38,14 +38,14 @@
 	}
 }
 
-// BenchmarkState is what one engine's owner keeps, in bytes.
+// BenchmarkState measures the memory of the Slots of one engine, in bytes.
 func BenchmarkState(b *testing.B) {
 	var all []*Slots
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for b.Loop() {
-		all = append(all, filled(b))
+		all = append(all, busySlots(b))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
--- a/snipeslot/counts.go
+++ b/snipeslot/counts.go
@@ -1,7 +1,7 @@
 package snipeslot
 
-// Resize changes the number of slots. What is above a lower number leaves with
-// the next evictions.
+// Resize changes the number of slots. If more slots than the new number are in
+// use, the next loads evict the excess.
 func (s *Slots) Resize(capacity int) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -13,7 +13,7 @@
 	s.wake()
 }
 
-// Idle reports that no use and no load is under way.
+// Idle reports whether no use is in flight and no load order is in progress.
 func (s *Slots) Idle() bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -25,8 +25,8 @@
 	return true
 }
 
-// Orders returns the number of loads in progress. Evictions do not count: a
-// successor need not wait for them.
+// Orders returns the number of load orders in progress. Evictions are not
+// counted, since the next owner does not have to wait for them.
 func (s *Slots) Orders() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/snipeslot/fake_test.go
+++ b/snipeslot/fake_test.go
@@ -16,77 +16,78 @@
 	"snipepitch.example/snipepitch/snipeweight"
 )
 
-const fakeLoad = 100 * time.Millisecond
+// fakeLoadTime is the time that a load takes at a fakeEngine.
+const fakeLoadTime = 100 * time.Millisecond
 
-// fault is what happens to one order.
+// fault is a fault of one order.
 type fault int
 
 const (
-	faultNone     fault = iota
-	faultLost           // carried out, the reply is lost
-	faultVanished       // lost on its way
-	faultLate           // its sender is frozen: carried out much later
-	faultDelayed        // given up by its sender, carried out much later
-	faultFail           // refused for a reason of the engine's own
-	faults
+	faultNone         fault = iota
+	faultReplyLost          // the order is carried out, its reply is lost
+	faultRequestLost        // the order does not reach the engine
+	faultSenderFrozen       // the sender freezes before the order is sent: carried out much later
+	faultDelayed            // the sender stops waiting, the order is carried out much later
+	faultEngineError        // the engine fails the order with an error
+	faultCount
 )
 
-// fakeEngine is an engine that finds out what may never happen.
+// fakeEngine is an engine that detects violations of the invariants.
 type fakeEngine struct {
-	lock      sync.Mutex
-	capacity  int
-	checks    bool // refuses old fencing numbers
-	fence     uint64
-	loaded    map[string]string // path by alias
-	ever      map[string]bool
-	calls     map[string]int
-	loads     int // orders to load, also those for which there was no slot
-	next      func() fault
-	late      time.Duration
-	violation string
+	lock        sync.Mutex
+	capacity    int
+	checksFence bool // refuses old fencing numbers
+	fence       uint64
+	loaded      map[string]string // path by alias
+	everLoaded  map[string]bool
+	calls       map[string]int
+	loads       int // load orders carried out, including those refused for lack of a slot
+	nextFault   func() fault
+	lateDelay   time.Duration
+	violation   string // the first one
 }
 
 func newFakeEngine(capacity int, checks bool) *fakeEngine {
 	return &fakeEngine{
-		capacity: capacity, checks: checks, loaded: map[string]string{}, ever: map[string]bool{},
-		calls: map[string]int{}, next: func() fault { return faultNone }, late: 20 * time.Second,
+		capacity: capacity, checksFence: checks, loaded: map[string]string{}, everLoaded: map[string]bool{},
+		calls: map[string]int{}, nextFault: func() fault { return faultNone }, lateDelay: 20 * time.Second,
 	}
 }
 
-func (f *fakeEngine) violate(what string) {
+func (f *fakeEngine) recordViolation(what string) {
 	if f.violation == "" {
 		f.violation = what
 	}
 }
 
-// order carries out do under the fault that is next.
+// order applies an order under the next fault.
 func (f *fakeEngine) order(fence uint64, do func() error) error {
 	f.lock.Lock()
-	kind := f.next()
-	late := f.late
+	kind := f.nextFault()
+	late := f.lateDelay
 	f.lock.Unlock()
 	switch kind {
-	case faultFail:
+	case faultEngineError:
 		return errors.New("internal error")
-	case faultVanished:
+	case faultRequestLost:
 		return ErrUnclear
 	case faultDelayed:
-		time.AfterFunc(late, func() { _ = f.carryOut(fence, do) })
+		time.AfterFunc(late, func() { _ = f.apply(fence, do) })
 		return ErrUnclear
-	case faultLate:
+	case faultSenderFrozen:
 		time.Sleep(late)
 	}
-	err := f.carryOut(fence, do)
+	err := f.apply(fence, do)
 	if kind != faultNone {
 		return ErrUnclear
 	}
 	return err
 }
 
-func (f *fakeEngine) carryOut(fence uint64, do func() error) error {
+func (f *fakeEngine) apply(fence uint64, do func() error) error {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if f.checks && fence < f.fence {
+	if f.checksFence && fence < f.fence {
 		return ErrFenced
 	}
 	f.fence = max(f.fence, fence)
@@ -94,16 +95,16 @@
 }
 
 func (f *fakeEngine) load(fence uint64, alias, path string) error {
-	time.Sleep(fakeLoad)
+	time.Sleep(fakeLoadTime)
 	return f.order(fence, func() error {
-		if f.ever[alias] {
-			f.violate("alias loaded twice: " + alias)
+		if f.everLoaded[alias] {
+			f.recordViolation("alias loaded twice: " + alias)
 		}
 		f.loads++
 		if len(f.loaded) >= f.capacity {
 			return ErrRefused
 		}
-		f.loaded[alias], f.ever[alias] = path, true
+		f.loaded[alias], f.everLoaded[alias] = path, true
 		return nil
 	})
 }
@@ -111,15 +112,16 @@
 func (f *fakeEngine) unload(fence uint64, alias string) error {
 	return f.order(fence, func() error {
 		if f.calls[alias] > 0 {
-			f.violate("evicted under a call: " + alias)
+			f.recordViolation("evicted under a call: " + alias)
 		}
 		delete(f.loaded, alias)
 		return nil
 	})
 }
 
-// begin starts a call and reports false when the alias is not there.
-func (f *fakeEngine) begin(alias, path string) bool {
+// beginCall starts a call under an alias and reports false if the alias is not
+// loaded.
+func (f *fakeEngine) beginCall(alias, path string) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	got, ok := f.loaded[alias]
@@ -127,13 +129,13 @@
 		return false
 	}
 	if got != path {
-		f.violate("answered by " + got + " for " + path)
+		f.recordViolation("answered by " + got + " for " + path)
 	}
 	f.calls[alias]++
 	return true
 }
 
-func (f *fakeEngine) end(alias string) {
+func (f *fakeEngine) endCall(alias string) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.calls[alias]--
@@ -174,7 +176,7 @@
 	return all, nil
 }
 
-// fakeOwners makes the slots of successive owners of one engine.
+// fakeOwners creates the Slots of successive owners of one engine.
 type fakeOwners struct {
 	engine  *fakeEngine
 	table   *snipestand.Table
@@ -187,8 +189,9 @@
 	return &fakeOwners{engine: f, table: snipestand.NewTable()}
 }
 
-// take changes the owner row and returns the new owner's slots.
-func (o *fakeOwners) take() *Slots {
+// takeOver writes the owner row with the next fencing number and returns the
+// new owner's Slots.
+func (o *fakeOwners) takeOver() *Slots {
 	row := snipeplatform.Key{Partition: "Owners", Sort: "e1"}
 	operation := func() string { return strconv.FormatInt(o.writes.Add(1), 10) }
 	change := snipeplatform.Change{Key: row, Expect: o.fence, Data: []byte("{}")}
@@ -212,7 +215,7 @@
 		},
 		Timeout: time.Minute, Log: snipelog.Discard(),
 	}
-	if !o.engine.checks {
+	if !o.engine.checksFence {
 		r := &Record{
 			Table: o.table.Client(), Engine: "e1", Fence: fence, Operation: operation,
 			Owner: snipeplatform.Change{Key: row, Expect: fence},
--- a/snipeslot/interleaving_test.go
+++ b/snipeslot/interleaving_test.go
@@ -17,142 +17,145 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// play lets callers, three successive owners, a restart, table outages and
-// faults of orders run into each other, as the seed says, and returns what may
-// not happen. Owners that were replaced do not know it: their loads and
-// evictions go on, and so do their calls under way. They start no new calls,
-// as their lease has lapsed.
-type play struct {
-	checks  bool
-	faulty  int // of 100 orders, how many meet a fault
-	restart bool
-	outage  bool
-	source  *rand.Rand
-	lock    sync.Mutex // guards source, owner
-	engine  *fakeEngine
-	owners  *fakeOwners
-	all     []*Slots
-	served  int
+// simulation runs callers, three successive owners, engine restarts, table
+// outages and order faults concurrently, drawn from source. Replaced owners are
+// not closed: their loads, evictions and calls in flight continue. They start
+// no new calls, since their lease has lapsed.
+type simulation struct {
+	checksFence  bool
+	faultPercent int // percentage of orders for which a fault is drawn
+	restart      bool
+	outage       bool
+	source       *rand.Rand
+	lock         sync.Mutex // guards source, slots and served
+	engine       *fakeEngine
+	owners       *fakeOwners
+	slots        []*Slots // of all owners, the current one last
+	served       int      // calls served
 }
 
-func (p *play) draw(n int) int {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return p.source.IntN(n)
+func (sm *simulation) randomN(n int) int {
+	sm.lock.Lock()
+	defer sm.lock.Unlock()
+	return sm.source.IntN(n)
 }
 
-func (p *play) owner() *Slots {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return p.all[len(p.all)-1]
+func (sm *simulation) owner() *Slots {
+	sm.lock.Lock()
+	defer sm.lock.Unlock()
+	return sm.slots[len(sm.slots)-1]
 }
 
-func (p *play) take() {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	p.all = append(p.all, p.owners.take())
+func (sm *simulation) takeOver() {
+	sm.lock.Lock()
+	defer sm.lock.Unlock()
+	sm.slots = append(sm.slots, sm.owners.takeOver())
 }
 
-// call makes one call and reports whether it was served.
-func (p *play) call(ctx context.Context, name string, length time.Duration) bool {
-	s := p.owner()
+// call makes one call at the current owner and reports whether it was served.
+func (sm *simulation) call(ctx context.Context, name string, duration time.Duration) bool {
+	s := sm.owner()
 	u, err := s.Acquire(ctx, request(name, "path-"+name))
 	if err != nil {
 		return false
 	}
 	defer u.Release()
-	if s != p.owner() {
+	if s != sm.owner() {
 		return false
 	}
-	if !p.engine.begin(u.Alias, "path-"+name) {
+	if !sm.engine.beginCall(u.Alias, "path-"+name) {
 		s.Forget(u.Alias)
 		return false
 	}
-	time.Sleep(length)
-	p.engine.end(u.Alias)
+	time.Sleep(duration)
+	sm.engine.endCall(u.Alias)
 	return true
 }
 
-func (p *play) caller() {
+func (sm *simulation) caller() {
 	for range 20 {
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
-		length := time.Duration(p.draw(3000)) * time.Millisecond
-		if p.draw(10) == 0 {
-			length = time.Minute // still streaming when the owner changes
+		duration := time.Duration(sm.randomN(3000)) * time.Millisecond
+		if sm.randomN(10) == 0 {
+			duration = time.Minute // still streaming when the owner changes
 		}
-		if p.call(ctx, fmt.Sprint("a", p.draw(6)), length) {
-			p.lock.Lock()
-			p.served++
-			p.lock.Unlock()
+		if sm.call(ctx, fmt.Sprint("a", sm.randomN(6)), duration) {
+			sm.lock.Lock()
+			sm.served++
+			sm.lock.Unlock()
 		}
 		cancel()
-		time.Sleep(time.Duration(p.draw(2000)) * time.Millisecond)
+		time.Sleep(time.Duration(sm.randomN(2000)) * time.Millisecond)
 	}
 }
 
-// disturb changes owners and brings faults of the table and the engine.
-func (p *play) disturb() {
+// injectFaults changes the owner twice and injects table outages and engine
+// restarts.
+func (sm *simulation) injectFaults() {
 	for range 2 {
-		time.Sleep(time.Duration(p.draw(30_000)) * time.Millisecond)
-		p.take()
-		if p.outage {
-			p.owners.table.SetFault(snipestand.TableFault{Down: p.draw(2) == 0, LoseReplies: p.draw(3)})
-			time.Sleep(time.Duration(p.draw(10_000)) * time.Millisecond)
-			p.owners.table.SetFault(snipestand.TableFault{})
+		time.Sleep(time.Duration(sm.randomN(30_000)) * time.Millisecond)
+		sm.takeOver()
+		if sm.outage {
+			sm.owners.table.SetFault(snipestand.TableFault{Down: sm.randomN(2) == 0, LoseReplies: sm.randomN(3)})
+			time.Sleep(time.Duration(sm.randomN(10_000)) * time.Millisecond)
+			sm.owners.table.SetFault(snipestand.TableFault{})
 		}
-		if p.restart {
-			time.Sleep(time.Duration(p.draw(10_000)) * time.Millisecond)
-			p.engine.restart()
+		if sm.restart {
+			time.Sleep(time.Duration(sm.randomN(10_000)) * time.Millisecond)
+			sm.engine.restart()
 		}
 	}
 }
 
-func (p *play) run() string {
-	p.engine = newFakeEngine(3, p.checks)
-	p.engine.next = func() fault {
-		if p.draw(100) < p.faulty {
-			return fault(p.draw(int(faults)))
+// run runs the simulation and returns the first violation of an invariant, or
+// an adapter that cannot be loaded once all faults have ended, or "".
+func (sm *simulation) run() string {
+	sm.engine = newFakeEngine(3, sm.checksFence)
+	sm.engine.nextFault = func() fault {
+		if sm.randomN(100) < sm.faultPercent {
+			return fault(sm.randomN(int(faultCount)))
 		}
 		return faultNone
 	}
-	p.owners = newFakeOwners(p.engine)
-	p.take()
+	sm.owners = newFakeOwners(sm.engine)
+	sm.takeOver()
 	var all sync.WaitGroup
 	for range 5 {
-		all.Go(p.caller)
+		all.Go(sm.caller)
 	}
-	all.Go(p.disturb)
+	all.Go(sm.injectFaults)
 	all.Wait()
-	p.engine.lock.Lock()
-	p.engine.next = func() fault { return faultNone }
-	p.engine.lock.Unlock()
-	time.Sleep(2 * time.Minute) // late orders arrive, calls end
+	sm.engine.lock.Lock()
+	sm.engine.nextFault = func() fault { return faultNone }
+	sm.engine.lock.Unlock()
+	time.Sleep(2 * time.Minute) // late orders are carried out, calls end
 	stuck := ""
 	for n := range 6 {
-		// The first call may find that the engine has restarted.
+		// The first call may be the one that detects an engine restart.
 		name := fmt.Sprint("a", n)
 		served := false
 		for range 2 {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
-			served = served || p.call(ctx, name, time.Second)
+			served = served || sm.call(ctx, name, time.Second)
 			cancel()
 		}
 		if !served {
 			stuck = "no slot becomes free for " + name
 		}
 	}
-	for _, s := range p.all {
+	for _, s := range sm.slots {
 		s.Close()
 	}
-	p.engine.lock.Lock()
-	defer p.engine.lock.Unlock()
-	if p.engine.violation != "" {
-		return p.engine.violation
+	sm.engine.lock.Lock()
+	defer sm.engine.lock.Unlock()
+	if sm.engine.violation != "" {
+		return sm.engine.violation
 	}
 	return stuck
 }
 
-// TestMain fixes what the randomized tests draw, so that every run is the same.
+// TestMain fixes the seed of the randomized tests, so that every run makes the
+// same draws.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "300", "rapid.nofailfile": "true"} {
@@ -163,17 +166,19 @@
 	os.Exit(m.Run())
 }
 
+// TestInterleavings checks the invariants in 300 simulations, with an engine
+// that refuses old fencing numbers and with one that ignores them.
 func TestInterleavings(t *testing.T) {
 	for kind, checks := range map[string]bool{"engine refuses old numbers": true, "engine ignores numbers": false} {
 		t.Run(kind, func(t *testing.T) {
 			rapid.Check(t, func(rt *rapid.T) {
-				p := &play{
-					checks: checks, faulty: rapid.IntRange(0, 40).Draw(rt, "faulty"),
+				sm := &simulation{
+					checksFence: checks, faultPercent: rapid.IntRange(0, 40).Draw(rt, "faulty"),
 					restart: rapid.Bool().Draw(rt, "restart"), outage: rapid.Bool().Draw(rt, "outage"),
 					source: rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0)),
 				}
 				found := ""
-				synctest.Test(t, func(*testing.T) { found = p.run() })
+				synctest.Test(t, func(*testing.T) { found = sm.run() })
 				if found != "" {
 					rt.Fatal(found)
 				}
@@ -182,9 +187,10 @@
 	}
 }
 
-// TestPlayServes keeps the test above from proving nothing.
+// TestPlayServes checks that a simulation serves calls: without served calls,
+// TestInterleavings would pass without checking anything.
 func TestPlayServes(t *testing.T) {
-	p := &play{faulty: 10, restart: true, outage: true, source: rand.New(rand.NewPCG(1, 0))}
-	synctest.Test(t, func(t *testing.T) { must.Eq(t, "", p.run()) })
-	must.Greater(t, 50, p.served)
+	sm := &simulation{faultPercent: 10, restart: true, outage: true, source: rand.New(rand.NewPCG(1, 0))}
+	synctest.Test(t, func(t *testing.T) { must.Eq(t, "", sm.run()) })
+	must.Greater(t, 50, sm.served)
 }
--- a/snipeslot/orders.go
+++ b/snipeslot/orders.go
@@ -11,24 +11,27 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// Pauses between two tries to evict an alias.
+// Pauses between two attempts to evict an alias. The pause doubles with each
+// attempt.
 const (
-	firstPause = 200 * time.Millisecond
-	lastPause  = 5 * time.Second
+	initialRetryPause = 200 * time.Millisecond
+	maxRetryPause     = 5 * time.Second
 )
 
-// maxGiven bounds the list of aliases that successors must not use. An alias
-// stays on it only while an order for it may still be on its way.
-const maxGiven = 256
+// maxRetired bounds the list of aliases that later owners must not use. An
+// alias stays on the list only while an order for it may still arrive.
+const maxRetired = 256
 
-// load runs on its own: it outlives the caller that asked first, since others
-// may wait for it too. ctx ends when nobody waits before the permission came.
+// load loads an adapter and publishes the result to its waiters. It runs in a
+// goroutine that outlives the caller that started it, since other callers may
+// wait for the same load. ctx is canceled if the last waiter leaves while the
+// load is still queued.
 func (s *Slots) load(ctx context.Context, e *entry, path string) {
 	defer e.cancel()
 	err := s.tryLoad(ctx, e, path)
-	if errors.Is(err, ErrRefused) && s.crowded(s.lifetime) {
-		// Aliases that nobody knew of filled the slots. They are known now:
-		// whoever waits tries again.
+	if errors.Is(err, ErrRefused) && s.overCapacity(s.lifetime) {
+		// Aliases unknown to this owner filled the engine's slots. The audit has
+		// added them to s.slots, so the waiters try again.
 		err = errors.Wrap(ErrRefused, err.Error())
 	} else if err != nil {
 		err = &loadError{adapter: e.key.adapter, engine: s.Engine, cause: err}
@@ -37,26 +40,26 @@
 	defer s.lock.Unlock()
 	s.clock++
 	e.err = err
-	e.since = s.clock
+	e.residentSince = s.clock
 	switch {
 	case err == nil:
 		e.state = resident
-		s.Log.Log(snipelog.AdapterLoaded, s.fields(e))
-	case e.unclear:
-		// The alias may be there, or come: the slot is not free before the
+		s.Log.Log(snipelog.AdapterLoaded, s.logFields(e))
+	case e.outcomeUnknown:
+		// The alias may be loaded now or later: the slot is free only after the
 		// engine has confirmed an order to unload it.
-		s.Log.Error(snipelog.LoadFailed, err, s.fields(e))
-		e.condemned = true
+		s.Log.Error(snipelog.LoadFailed, err, s.logFields(e))
+		e.mustEvict = true
 		s.evict(e)
 	default:
-		s.Log.Error(snipelog.LoadFailed, err, s.fields(e))
+		s.Log.Error(snipelog.LoadFailed, err, s.logFields(e))
 		s.remove(e)
 	}
 	close(e.done)
 	s.wake()
 }
 
-// loadError is an ErrLoad that keeps its cause.
+// loadError wraps both ErrLoad and the cause of a failed load.
 type loadError struct {
 	adapter snipecall.Adapter
 	engine  string
@@ -69,11 +72,12 @@
 
 func (e *loadError) Unwrap() []error { return []error{ErrLoad, e.cause} }
 
-func (s *Slots) fields(e *entry) snipelog.Fields {
+func (s *Slots) logFields(e *entry) snipelog.Fields {
 	return snipelog.Fields{"Engine": s.Engine, "Alias": e.name}
 }
 
-// tryLoad gets permission and a slot, and orders the load.
+// tryLoad waits for the weight store's permission and for a slot, and orders
+// the load.
 func (s *Slots) tryLoad(ctx context.Context, e *entry, path string) error {
 	for {
 		if ctx.Err() != nil {
@@ -84,36 +88,38 @@
 		}
 		release, err := s.Budget(ctx, e.demand)
 		if err != nil {
-			s.unclaim()
+			s.releaseClaim()
 			return errors.Wrap(err, "wait for the weight store")
 		}
 		e.demand.Expect(time.Time{})
 		if !s.reserve(e) {
-			// Whoever else waits for the store goes first.
+			// No slot became free in time. Return the permission, so that other
+			// loads can use the weight store meanwhile.
 			release(false)
-			s.unclaim()
+			s.releaseClaim()
 			continue
 		}
 		bounded, cancel := context.WithTimeout(s.lifetime, s.Timeout)
-		err = s.ended(s.Load(bounded, e.name, path))
+		err = s.closeIfFenced(s.Load(bounded, e.name, path))
 		cancel()
-		e.unclear = errors.Is(err, ErrUnclear) // read by load alone until the entry is evicted
+		e.outcomeUnknown = errors.Is(err, ErrUnclear) // only load reads it before the entry is evicted
 		release(err != nil && !errors.Is(err, ErrRefused))
 		return err
 	}
 }
 
-// ended closes the slots when an order was fenced off.
-func (s *Slots) ended(err error) error {
+// closeIfFenced ends the ownership if the engine refused an order because a
+// later owner exists. It returns err.
+func (s *Slots) closeIfFenced(err error) error {
 	if errors.Is(err, ErrFenced) {
 		s.Close()
 	}
 	return err
 }
 
-// crowded reads what the engine holds and reports whether aliases that were
-// not known fill its slots.
-func (s *Slots) crowded(ctx context.Context) bool {
+// overCapacity audits the engine and reports whether aliases that were unknown
+// until then leave no slot for the load that was refused.
+func (s *Slots) overCapacity(ctx context.Context) bool {
 	if s.audit(ctx) != nil {
 		return false
 	}
@@ -122,11 +128,11 @@
 	return len(s.slots) > s.Capacity
 }
 
-// drop tries until the alias is gone, or takes it back into use when nothing
-// was ordered yet.
-func (s *Slots) drop(e *entry) {
-	pause := firstPause
-	for !s.tryDrop(e) {
+// runEviction tries to unload an alias until the engine confirms it, the
+// eviction is canceled before an order was sent, or the ownership ends.
+func (s *Slots) runEviction(e *entry) {
+	pause := initialRetryPause
+	for !s.tryEvict(e) {
 		t := time.NewTimer(pause)
 		select {
 		case <-s.lifetime.Done():
@@ -134,57 +140,58 @@
 			return
 		case <-t.C:
 		}
-		pause = min(2*pause, lastPause)
+		pause = min(2*pause, maxRetryPause)
 	}
 }
 
-// tryDrop makes one try and reports whether the eviction has ended.
-func (s *Slots) tryDrop(e *entry) bool {
+// tryEvict makes one attempt and reports whether the eviction has ended.
+func (s *Slots) tryEvict(e *entry) bool {
 	ctx, cancel := context.WithTimeout(s.lifetime, s.Timeout)
 	defer cancel()
-	if err := s.commit(ctx, e); err != nil {
-		return s.takeBack(e)
+	if err := s.commitRetired(ctx, e); err != nil {
+		return s.cancelEviction(e)
 	}
-	if e.alias.Fence != s.Fence && !s.idle(ctx, e) {
-		return s.takeBack(e)
+	if e.alias.Fence != s.Fence && !s.aliasIdle(ctx, e) {
+		return s.cancelEviction(e)
 	}
-	err := s.ended(s.Unload(ctx, e.name))
+	err := s.closeIfFenced(s.Unload(ctx, e.name))
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	f := s.fields(e)
+	f := s.logFields(e)
 	if err != nil {
-		// The order may be on its way: nobody uses the alias again.
-		e.condemned = true
-		e.unclear = e.unclear || errors.Is(err, ErrUnclear)
+		// The order may still be carried out, so the alias is not used again.
+		e.mustEvict = true
+		e.outcomeUnknown = e.outcomeUnknown || errors.Is(err, ErrUnclear)
 		s.Log.Error(snipelog.EvictionFailed, err, f)
 		return s.closed
 	}
-	if !e.unclear {
-		s.ungive(e.name)
+	if !e.outcomeUnknown {
+		s.unretire(e.name)
 	}
 	s.remove(e)
 	s.Log.Log(snipelog.AdapterEvicted, f)
 	return true
 }
 
-// takeBack ends an eviction before its order was given. A condemned entry is
-// tried again.
-func (s *Slots) takeBack(e *entry) bool {
+// cancelEviction returns an alias to use before an order to unload it was sent,
+// and reports whether it did. It does not cancel the eviction of an entry that
+// must be evicted; the caller tries again.
+func (s *Slots) cancelEviction(e *entry) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if e.condemned {
+	if e.mustEvict {
 		return false
 	}
 	if s.serving[e.key] != nil {
-		// Another load of the adapter has begun meanwhile.
-		e.condemned = true
+		// Another load of the adapter has started in the meantime.
+		e.mustEvict = true
 		return false
 	}
 	e.state = resident
-	e.notBefore = time.Now().Add(firstPause)
+	e.notBefore = time.Now().Add(initialRetryPause)
 	s.serving[e.key] = e
 	s.wake()
-	time.AfterFunc(firstPause, func() {
+	time.AfterFunc(initialRetryPause, func() {
 		s.lock.Lock()
 		defer s.lock.Unlock()
 		s.wake()
@@ -192,8 +199,10 @@
 	return true
 }
 
-// idle reports that no call of an earlier owner is under way at the alias.
-func (s *Slots) idle(ctx context.Context, e *entry) bool {
+// aliasIdle reports whether no call of an earlier owner runs or waits under the
+// alias. If the engine does not report busy aliases, this is assumed once
+// Settle has passed since the first audit.
+func (s *Slots) aliasIdle(ctx context.Context, e *entry) bool {
 	if s.Busy != nil {
 		busy, err := s.Busy(ctx)
 		return err == nil && !busy[e.name]
@@ -203,55 +212,57 @@
 	return time.Since(s.opened) >= s.Settle
 }
 
-// commit makes sure that successors know that the alias is given up.
-func (s *Slots) commit(ctx context.Context, e *entry) error {
+// commitRetired ensures that the committed list, which the next owner reads,
+// contains the alias.
+func (s *Slots) commitRetired(ctx context.Context, e *entry) error {
 	if s.GiveUp == nil {
 		return nil
 	}
-	s.give(e.name)
-	s.giving.Lock()
-	defer s.giving.Unlock()
+	s.retire(e.name)
+	s.retiring.Lock()
+	defer s.retiring.Unlock()
 	s.lock.Lock()
-	committed := s.given[e.name]
-	list := slices.Clone(s.order)
+	committed := s.retired[e.name]
+	list := slices.Clone(s.retiredOrder)
 	s.lock.Unlock()
 	if committed {
 		return nil
 	}
 	if err := s.GiveUp(ctx, list); err != nil {
-		return errors.Wrapf(err, "commit that %s is given up", e.name)
+		return errors.Wrapf(err, "commit that %s is retired", e.name)
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	for _, name := range list {
-		if _, ok := s.given[name]; ok {
-			s.given[name] = true
+		if _, ok := s.retired[name]; ok {
+			s.retired[name] = true
 		}
 	}
 	return nil
 }
 
-// give puts an alias on the list of those given up.
-func (s *Slots) give(name string) {
+// retire adds an alias to the list of retired aliases, not yet committed. If
+// the list is full, the oldest alias is removed from it.
+func (s *Slots) retire(name string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if _, ok := s.given[name]; ok {
+	if _, ok := s.retired[name]; ok {
 		return
 	}
-	s.given[name] = false
-	s.order = append(s.order, name)
-	if len(s.order) > maxGiven {
-		delete(s.given, s.order[0])
-		s.order = s.order[1:]
+	s.retired[name] = false
+	s.retiredOrder = append(s.retiredOrder, name)
+	if len(s.retiredOrder) > maxRetired {
+		delete(s.retired, s.retiredOrder[0])
+		s.retiredOrder = s.retiredOrder[1:]
 	}
 }
 
-// ungive takes an alias off the list: every order for it has been answered, so
-// that none can come late. The lock is held.
-func (s *Slots) ungive(name string) {
-	if _, ok := s.given[name]; !ok {
+// unretire removes an alias from the list of retired aliases: every order for
+// it has been answered, so none can arrive late. s.lock is held.
+func (s *Slots) unretire(name string) {
+	if _, ok := s.retired[name]; !ok {
 		return
 	}
-	delete(s.given, name)
-	s.order = slices.DeleteFunc(s.order, func(n string) bool { return n == name })
+	delete(s.retired, name)
+	s.retiredOrder = slices.DeleteFunc(s.retiredOrder, func(n string) bool { return n == name })
 }
--- a/snipeslot/record.go
+++ b/snipeslot/record.go
@@ -9,40 +9,43 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// givenPartition holds one row for each engine that ignores fencing numbers.
-const givenPartition = "GivenUp"
+// retiredPartition is the partition that holds one row for each engine that
+// ignores fencing numbers.
+const retiredPartition = "GivenUp"
 
-// given is the document of a row.
-type given struct {
-	// Fence is the fencing number of the owner that wrote it.
+// retiredDocument is the JSON document of a row.
+type retiredDocument struct {
+	// Fence is the fencing number of the owner that wrote the row.
 	Fence uint64
-	// Aliases are those that no successor may use.
+	// Aliases are the retired aliases, which no later owner may use.
 	Aliases []string
 }
 
-// Record keeps the list of given-up aliases of one engine in the table. Its
-// writes check the owner row in the same transaction: an owner that has lost
-// the engine cannot add to the list any more, so that what a successor reads
-// after its takeover is final.
+// Record stores the list of retired aliases of one engine in the table. Each
+// write checks the owner row in the same transaction: an owner that has lost
+// the engine can no longer add to the list, so the list that the next owner
+// reads after its takeover is final.
 type Record struct {
 	// Table is the platform's table.
 	Table snipeplatform.Table
-	// Engine is the engine's name and Fence the ownership.
+	// Engine is the engine's name and Fence the fencing number of the ownership.
 	Engine string
 	Fence  uint64
-	// Owner is the check of the owner row.
+	// Owner is the check of the owner row that each write includes.
 	Owner snipeplatform.Change
-	// Operation returns a new identifier for a write.
+	// Operation returns a unique identifier for a write.
 	Operation func() string
 
 	version uint64
 }
 
 func (r *Record) key() snipeplatform.Key {
-	return snipeplatform.Key{Partition: givenPartition, Sort: r.Engine}
+	return snipeplatform.Key{Partition: retiredPartition, Sort: r.Engine}
 }
 
-// Inherit returns what the last owner has written. It comes before GiveUp.
+// Inherit returns the list that the last owner committed, or nil if there is
+// none. It must be called before GiveUp, which expects the row version read
+// here.
 func (r *Record) Inherit(ctx context.Context) ([]string, error) {
 	row, err := r.Table.Get(ctx, r.key())
 	if errors.Is(err, snipeplatform.ErrNotFound) {
@@ -53,17 +56,17 @@
 		return nil, errors.Wrapf(err, "read given-up aliases of %s", r.Engine)
 	}
 	r.version = row.Version
-	var g given
+	var g retiredDocument
 	if err := json.Unmarshal(row.Data, &g); err != nil {
 		return nil, errors.Wrapf(err, "given-up aliases of %s", r.Engine)
 	}
 	return g.Aliases, nil
 }
 
-// GiveUp writes the list. It returns an error unless the write is known to
-// have taken effect. It is not safe for concurrent use.
+// GiveUp replaces the committed list by aliases. It returns an error unless the
+// write is known to have taken effect. It is not safe for concurrent use.
 func (r *Record) GiveUp(ctx context.Context, aliases []string) error {
-	data, err := json.Marshal(given{Fence: r.Fence, Aliases: aliases})
+	data, err := json.Marshal(retiredDocument{Fence: r.Fence, Aliases: aliases})
 	if err != nil {
 		return errors.Wrap(err, "encode given-up aliases")
 	}
@@ -81,7 +84,8 @@
 }
 
 // confirm reads the row after a write that was refused or whose outcome is
-// unknown. A write of this ownership whose reply was lost is seen here.
+// unknown. It returns nil if the row holds this write, whose reply was lost,
+// and an error that wraps cause otherwise.
 func (r *Record) confirm(ctx context.Context, operation string, cause error) error {
 	row, err := r.Table.Get(ctx, r.key())
 	if err != nil {
--- a/snipeslot/snipeslot.go
+++ b/snipeslot/snipeslot.go
@@ -1,25 +1,27 @@
-// Package snipeslot keeps the adapter slots of one engine during one
-// ownership, on the engine's owner.
+// Package snipeslot manages the adapter slots of one engine during one
+// ownership, on the instance that owns the engine.
 //
-// Design. Every call at an engine passes through its owner, so the in-flight
-// counts here are exact for this owner. What earlier owners left behind is
-// read from the engine before the first load (audit.go): an alias that no
-// order of theirs can still hit is adopted, all others are given up. Orders
-// are carried out in orders.go. Invariants:
+// All calls to an engine pass through its owner, so the in-flight counts kept
+// here are exact for this owner. The aliases that earlier owners left at the
+// engine are read before the first load (audit.go): an alias that no order of
+// theirs can still unload is adopted, all others are evicted. Orders are sent
+// in orders.go; capacity.go decides which load gets a slot and which adapter is
+// evicted for it. Invariants:
 //
 //   - An adapter with a use in flight is never evicted. An alias of an earlier
-//     owner is evicted only after the engine has said, later than the takeover,
-//     that no call runs or waits under it.
+//     owner is evicted only after the engine has reported, later than the
+//     takeover, that no call runs or waits under it; at an engine that does not
+//     report this, only after Settle.
 //   - Every load has an alias that was never used before.
-//   - Before the first order to unload an alias, the intent is committed where
-//     successors find it (GiveUp), or the engine refuses late orders. A
-//     successor never uses an alias that was given up, so a late order hits
-//     only what nobody uses.
+//   - Before the first order to unload an alias is sent, the alias is committed
+//     to the list of retired aliases that later owners read (GiveUp), unless
+//     the engine refuses late orders. A later owner never uses a retired alias,
+//     so a late order can only unload an alias that is not in use.
 //   - A slot counts as free only once the engine has confirmed that the alias
-//     is not there, whatever happened to the replies before.
-//   - One load serves all who wait for it.
-//   - Nothing is evicted before the weight store's permission for the load that
-//     needs the slot is there: until then the victim serves on.
+//     is not loaded, whatever replies were lost before.
+//   - One load serves all callers that wait for it.
+//   - No adapter is evicted before the weight store's permission for the load
+//     that needs the slot has been granted: until then the adapter stays in use.
 package snipeslot
 
 import (
@@ -36,74 +38,76 @@
 
 // Errors of Acquire. All of them mean that no call was sent.
 var (
-	// ErrLoad: the engine could not load the adapter.
+	// ErrLoad means that the adapter was not loaded.
 	ErrLoad = errors.New("adapter load failed")
-	// ErrEngine: the engine's state could not be read.
+	// ErrEngine means that the first audit of the engine failed.
 	ErrEngine = errors.New("engine state unknown")
-	// ErrClosed: the ownership has ended.
+	// ErrClosed means that the ownership has ended.
 	ErrClosed = errors.New("ownership ended")
 )
 
-// Results of orders that the decisions tell apart. The functions Load and
-// Unload wrap them; any other error means that the order was not carried out.
+// Errors of Slots.Load and Slots.Unload that are handled specially. Any other
+// error means that the order was not carried out.
 var (
-	// ErrRefused: the engine refused the order because of its slots.
+	// ErrRefused means that the engine refused the order because of its slots.
 	ErrRefused = errors.New("order refused")
-	// ErrUnclear: the order may have been carried out, or may be later.
+	// ErrUnclear means that the order may have been carried out, or may be later.
 	ErrUnclear = errors.New("order outcome unknown")
-	// ErrFenced: a later owner has given orders.
+	// ErrFenced means that a later owner has sent orders to the engine.
 	ErrFenced = errors.New("a later owner exists")
 )
 
 type state uint8
 
 const (
-	queued state = iota // waits for permission, has no slot
+	queued state = iota // waits for permission or a slot
 	loading
 	resident
 	evicting
 )
 
-// key is what an alias holds: a version, loaded from one path.
+// key identifies loaded weights: an adapter version and the hash of its path.
 type key struct {
 	adapter snipecall.Adapter
 	path    uint64
 }
 
-// entry is an adapter that waits for a load, or one slot in use.
+// entry is an adapter whose load is queued, or an alias that occupies a slot.
 type entry struct {
-	key      key
-	alias    Alias
-	name     string // the alias as text
-	state    state
-	inFlight int
-	lastUsed time.Time
-	since    uint64 // the audit clock when the entry became resident
-	// condemned entries are never used: they are evicted as soon as possible.
-	condemned bool
-	// unclear tells that an order for the alias may still be on its way.
-	unclear bool
-	// notBefore is when the next try to evict is worthwhile.
+	key           key
+	alias         Alias
+	name          string // the alias as text
+	state         state
+	inFlight      int
+	lastUsed      time.Time
+	residentSince uint64 // value of Slots.clock when the entry became resident
+	// mustEvict is set if the alias must not be used any more. It is evicted as
+	// soon as possible, and the eviction cannot be canceled.
+	mustEvict bool
+	// outcomeUnknown is set if an order for the alias may still be carried out.
+	outcomeUnknown bool
+	// notBefore is the earliest time of the next attempt to evict.
 	notBefore time.Time
-	demand    *snipeweight.Demand // what waits for the load
+	demand    *snipeweight.Demand // the calls that wait for the load
 	waiters   int
-	cancel    context.CancelFunc // ends the wait for permission
+	cancel    context.CancelFunc // cancels the load while it is queued
 	done      chan struct{}      // closed when loading ends
 	err       error
 }
 
-// Request asks for an adapter.
+// Request describes the adapter that a call needs.
 type Request struct {
-	// Adapter is the adapter and Path where its weights are.
+	// Adapter is the adapter version and Path the path of its weights.
 	Adapter snipecall.Adapter
 	Path    string
 	// Class is the class of the call that needs it.
 	Class snipecall.Class
 }
 
-// LateError tells that the adapter cannot be there before the call's deadline.
+// LateError is returned if the adapter is not expected to be resident before
+// the call's deadline.
 type LateError struct {
-	// After is when it is expected to be there.
+	// After is the time until the adapter is expected to be resident.
 	After time.Duration
 }
 
@@ -112,8 +116,8 @@
 	return "adapter is expected in " + e.After.Round(time.Millisecond).String() + ", after the deadline"
 }
 
-// Slots are the slots of one engine during one ownership. Exported fields are
-// set before the first call of Acquire.
+// Slots manages the slots of one engine during one ownership. Exported fields
+// must be set before the first call of a method; Resize changes Capacity later.
 type Slots struct {
 	// Engine is the engine's name.
 	Engine string
@@ -121,77 +125,83 @@
 	Capacity int
 	// Fence is the fencing number of the ownership.
 	Fence uint64
-	// Number returns a number that no other load of this process has.
+	// Number returns a number that no other load of this process has; see
+	// Alias.Number.
 	Number func() uint64
-	// Load and Unload give the engine its orders. Unload of an alias that is
-	// not there is no error.
+	// Load and Unload send orders to the engine. Unload returns nil for an alias
+	// that is not loaded.
 	Load   func(ctx context.Context, alias, path string) error
 	Unload func(ctx context.Context, alias string) error
-	// Aliases returns what the engine holds.
+	// Aliases returns the aliases that the engine holds, and may return other
+	// names, such as that of the base model.
 	Aliases func(ctx context.Context) ([]string, error)
-	// Busy returns the aliases under which the engine has calls. It is read
-	// after the takeover, at most the lease margin late. Nil when the engine
-	// does not tell: aliases of earlier owners then stay for Settle.
+	// Busy returns the aliases under which calls run or wait at the engine. It
+	// is called after the takeover, and its result lags by at most the lease
+	// margin. It is nil if the engine does not report busy aliases: aliases of
+	// earlier owners are then kept for Settle.
 	Busy func(ctx context.Context) (map[string]bool, error)
-	// GiveUp commits the list of aliases that successors must not use; nil
-	// when the engine refuses late orders.
+	// GiveUp commits the list of retired aliases, which later owners must not
+	// use. It is nil if the engine refuses late orders.
 	GiveUp func(ctx context.Context, aliases []string) error
-	// Inherit returns the list that the last owner has committed.
+	// Inherit returns the list that the last owner committed. It is called only
+	// if GiveUp is set.
 	Inherit func(ctx context.Context) ([]string, error)
-	// Budget waits for the weight store's permission to load. The function
-	// that it returns ends the load.
+	// Budget waits for the weight store's permission to load. The returned
+	// function must be called when the load has ended.
 	Budget func(ctx context.Context, d *snipeweight.Demand) (func(failed bool), error)
-	// Worth says what keeping an adapter is worth; the one of least worth is
-	// evicted first. Nil is the worth of its recent uses.
+	// Worth returns the value of keeping an adapter; the adapter of lowest value
+	// is evicted first. If it is nil, the value is the score of recent uses.
 	Worth func(a snipecall.Adapter) float64
-	// Timeout bounds each order.
+	// Timeout bounds each order and, except after a refused load, each audit.
 	Timeout time.Duration
-	// Settle is how long calls of an earlier owner may last.
+	// Settle is how long calls of an earlier owner may last after the takeover.
 	Settle time.Duration
-	// Log takes the events.
+	// Log receives the events.
 	Log *snipelog.Logger
 
-	giving   sync.Mutex // serializes GiveUp
+	retiring sync.Mutex // serializes GiveUp
 	auditing sync.Mutex // serializes audits
 
-	lock     sync.Mutex // guards the fields below; never held during an order
-	slots    map[string]*entry
-	serving  map[key]*entry // queued, loading and resident entries
-	heats    map[key]heat
-	clock    uint64             // grows with each change that an audit must notice
-	removed  map[string]bool    // aliases removed during an audit, nil otherwise
-	given    map[string]bool    // given up: true once committed
-	order    []string           // given in the order of insertion
-	claims   int                // loads that have or seek permission and need a slot
-	seeking  int                // loads that have permission and wait for their slot
-	opened   time.Time          // when the ownership's first audit ended
-	opening  *attempt           // the audit in progress
-	closed   bool               // no more orders
-	changed  chan struct{}      // closed and replaced whenever a slot may be free
-	stop     context.CancelFunc // ends the orders in progress
-	lifetime context.Context    //nolint:containedctx // of the orders, which outlive their callers
+	lock         sync.Mutex // guards the fields below; never held during an order
+	slots        map[string]*entry
+	serving      map[key]*entry // queued, loading and resident entries
+	scores       map[key]useScore
+	clock        uint64             // incremented when a load ends, so that audits recognize newer entries
+	removed      map[string]bool    // aliases removed during an audit, nil otherwise
+	retired      map[string]bool    // retired aliases; the value is true once committed
+	retiredOrder []string           // keys of retired in the order of insertion
+	claims       int                // loads that have or wait for permission and need a slot
+	awaitingSlot int                // loads that have permission and wait for a slot
+	opened       time.Time          // when the first audit succeeded; zero before
+	opening      *pendingOpen       // the first audit while it is in progress
+	closed       bool               // the ownership has ended
+	changed      chan struct{}      // closed and replaced whenever a slot may be available
+	stop         context.CancelFunc // cancels lifetime
+	lifetime     context.Context    //nolint:containedctx // of the orders, which outlive their callers
 }
 
-// Use is the right to call a resident adapter. Release must be called once.
+// Use keeps an adapter resident for one call. Release must be called once.
 type Use struct {
 	// Alias is the adapter's name at the engine.
 	Alias string
-	// Stalled is how long the caller waited for the load.
+	// Stalled is how long Acquire took, including the wait for a load.
 	Stalled time.Duration
 	slots   *Slots
 	entry   *entry
 }
 
-// Acquire waits until the adapter is resident and counts a use of it.
+// Acquire waits until the adapter is resident, loading it if necessary, and
+// counts a use of it. The error is a *LateError, wraps ErrLoad, ErrEngine or
+// ErrClosed, or is that of ctx.
 func (s *Slots) Acquire(ctx context.Context, r Request) (*Use, error) {
 	start := time.Now()
 	if err := s.Open(ctx); err != nil {
 		return nil, err
 	}
 	k := key{r.Adapter, HashPath(r.Path)}
-	s.warm(k)
+	s.recordUse(k)
 	for {
-		e, wait := s.find(k, r)
+		e, wait := s.useOrWait(k, r)
 		switch {
 		case e == nil:
 			return nil, errors.Wrap(ErrClosed, s.Engine)
@@ -209,8 +219,9 @@
 	}
 }
 
-// await waits for the end of a load, unless the load is expected to end after
-// the deadline.
+// await waits until a load has ended; the result of the load is in e.err. It
+// returns a *LateError as soon as the load is expected to end after the
+// deadline of ctx.
 func (e *entry) await(ctx context.Context) error {
 	deadline, bounded := ctx.Deadline()
 	for {
@@ -228,9 +239,11 @@
 	}
 }
 
-// find counts a use of a resident adapter, or counts a waiter for its load and
-// returns what to wait for. The entry is nil when the ownership has ended.
-func (s *Slots) find(k key, r Request) (*entry, <-chan struct{}) {
+// useOrWait counts a use of a resident adapter and returns a nil channel.
+// Otherwise it starts a load if none is queued or in progress, counts a waiter
+// for it and returns a channel that is closed when the load ends. The entry is
+// nil if the ownership has ended.
+func (s *Slots) useOrWait(k key, r Request) (*entry, <-chan struct{}) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.closed {
@@ -243,15 +256,14 @@
 		return e, nil
 	}
 	if !ok {
-		e = s.begin(k, r.Path)
+		e = s.startLoad(k, r.Path)
 	}
 	e.waiters++
 	e.demand.Join(r.Class)
 	return e, e.done
 }
 
-// leave ends a wait. A load that has no permission yet and for which nobody
-// waits any more is given up.
+// leave ends a wait. A queued load that has no more waiters is canceled.
 func (s *Slots) leave(e *entry, c snipecall.Class) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -265,8 +277,8 @@
 	}
 }
 
-// begin starts a load. The lock is held.
-func (s *Slots) begin(k key, path string) *entry {
+// startLoad starts a load in the background. s.lock is held.
+func (s *Slots) startLoad(k key, path string) *entry {
 	ctx, cancel := context.WithCancel(s.lifetime)
 	e := &entry{
 		key: k, state: queued, lastUsed: time.Now(), done: make(chan struct{}), cancel: cancel,
@@ -279,23 +291,25 @@
 	return e
 }
 
-// evict takes a resident adapter out of use. The lock is held.
+// evict takes an alias out of use and starts its eviction in the background.
+// s.lock is held.
 func (s *Slots) evict(e *entry) {
 	e.state = evicting
 	if s.serving[e.key] == e {
 		delete(s.serving, e.key)
 	}
-	go s.drop(e)
+	go s.runEviction(e)
 }
 
-// wake lets all who wait for a slot look again. The lock is held.
+// wake wakes all goroutines that wait for a slot, so that they check again.
+// s.lock is held.
 func (s *Slots) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Forget drops a resident alias that the engine says it does not have, and
-// looks in the background what else is gone.
+// Forget removes the entry of a resident alias that the engine has reported
+// missing, and starts an audit in the background to find other missing aliases.
 func (s *Slots) Forget(alias string) {
 	s.lock.Lock()
 	if e, ok := s.slots[alias]; ok && e.state == resident {
@@ -309,12 +323,12 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(s.lifetime, s.Timeout)
 		defer cancel()
-		// The next call notices what this audit could not.
+		// If this audit fails, the next call under a missing alias starts another.
 		_ = s.audit(ctx)
 	}()
 }
 
-// remove forgets an entry whose alias is not at the engine. The lock is held.
+// remove removes an entry whose alias the engine does not hold. s.lock is held.
 func (s *Slots) remove(e *entry) {
 	delete(s.slots, e.name)
 	if s.serving[e.key] == e {
@@ -339,7 +353,7 @@
 	return all
 }
 
-// Uses calls f for each resident adapter with its uses in flight.
+// Uses calls f for each resident adapter with the number of its uses in flight.
 func (s *Slots) Uses(f func(a snipecall.Adapter, inFlight int)) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -350,8 +364,9 @@
 	}
 }
 
-// Close ends the ownership: no order is given any more, and those who wait get
-// ErrClosed. Uses in flight go on.
+// Close ends the ownership: orders in progress are canceled and no more are
+// sent. Calls of Acquire that wait return the error of the canceled load or
+// audit, later calls ErrClosed. Uses in flight continue.
 func (s *Slots) Close() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -365,7 +380,7 @@
 	}
 }
 
-// Release ends the use.
+// Release ends the use; an adapter without uses may be evicted.
 func (u *Use) Release() {
 	u.slots.lock.Lock()
 	defer u.slots.lock.Unlock()
--- a/snipeslot/snipeslot_test.go
+++ b/snipeslot/snipeslot_test.go
@@ -12,7 +12,7 @@
 func TestAcquireNeverEvictsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngine(1, true)
-		s := newFakeOwners(f).take()
+		s := newFakeOwners(f).takeOver()
 		defer s.Close()
 		first, err := s.Acquire(t.Context(), request("a", "p"))
 		must.NoError(t, err)
@@ -34,7 +34,7 @@
 func TestAcquireOneLoadServesAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngine(2, true)
-		s := newFakeOwners(f).take()
+		s := newFakeOwners(f).takeOver()
 		defer s.Close()
 		var all sync.WaitGroup
 		for range 10 {
--- a/snipeslot/takeover_test.go
+++ b/snipeslot/takeover_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// use acquires, calls at the engine and releases.
+// use acquires an adapter, makes a call at the engine and releases the adapter.
 func use(t *testing.T, f *fakeEngine, s *Slots, name, path string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -18,23 +18,23 @@
 	for {
 		u, err := s.Acquire(ctx, request(name, path))
 		must.NoError(t, err)
-		if !f.begin(u.Alias, path) {
+		if !f.beginCall(u.Alias, path) {
 			s.Forget(u.Alias)
 			u.Release()
 			continue
 		}
-		f.end(u.Alias)
+		f.endCall(u.Alias)
 		u.Release()
 		return
 	}
 }
 
-// takeoverCase is one thing that a new owner may find at the engine.
+// takeoverCase is one state in which a new owner may find the engine.
 type takeoverCase struct {
-	// before is done by the old owner, after by the new one.
+	// before runs at the old owner, after at the new one.
 	before func(t *testing.T, f *fakeEngine, old *Slots)
 	after  func(t *testing.T, f *fakeEngine, s *Slots)
-	loads  int // in all
+	loads  int // expected number of load orders; -1 is not checked
 }
 
 var takeovers = map[string]takeoverCase{
@@ -68,7 +68,7 @@
 	"reply of a load lost": {
 		before: func(t *testing.T, f *fakeEngine, old *Slots) {
 			use(t, f, old, "a", "p")
-			once(f, faultLost)
+			injectOnce(f, faultReplyLost)
 			_, err := old.Acquire(t.Context(), request("b", "p"))
 			must.ErrorIs(t, err, ErrLoad)
 			use(t, f, old, "c", "p")
@@ -80,7 +80,7 @@
 		before: func(t *testing.T, f *fakeEngine, old *Slots) {
 			use(t, f, old, "a", "p")
 			use(t, f, old, "b", "p")
-			once(f, faultLost)
+			injectOnce(f, faultReplyLost)
 			use(t, f, old, "c", "p")
 		},
 		after: func(t *testing.T, f *fakeEngine, s *Slots) { use(t, f, s, "c", "p") },
@@ -90,7 +90,7 @@
 		before: func(t *testing.T, f *fakeEngine, old *Slots) {
 			use(t, f, old, "a", "p")
 			use(t, f, old, "b", "p")
-			once(f, faultVanished)
+			injectOnce(f, faultRequestLost)
 			use(t, f, old, "c", "p")
 		},
 		after: func(t *testing.T, f *fakeEngine, s *Slots) { use(t, f, s, "c", "p") },
@@ -99,20 +99,20 @@
 	"given-up orders to load and unload come late": {
 		before: func(t *testing.T, f *fakeEngine, old *Slots) {
 			must.NoError(t, old.Open(t.Context()))
-			once(f, faultDelayed)
-			f.late = 30 * time.Second
+			injectOnce(f, faultDelayed)
+			f.lateDelay = 30 * time.Second
 			go func() { _, _ = old.Acquire(t.Context(), request("b", "p")) }()
-			time.Sleep(fakeLoad + time.Millisecond)
+			time.Sleep(fakeLoadTime + time.Millisecond)
 			use(t, f, old, "a", "p")
 			use(t, f, old, "c", "p")
-			use(t, f, old, "d", "p") // evicts, and commits what is given up anew
+			use(t, f, old, "d", "p") // evicts, and commits the list of retired aliases again
 		},
 		after: func(t *testing.T, f *fakeEngine, s *Slots) {
 			f.restart()
-			time.Sleep(time.Minute) // the load arrives now; an order to unload may follow
+			time.Sleep(time.Minute) // the late load is carried out; an order to unload may follow
 			must.NoError(t, s.Open(t.Context()))
 			synctest.Wait()
-			must.Eq(t, f.checks, slices.Contains(s.Resident(), adapter("b")))
+			must.Eq(t, f.checksFence, slices.Contains(s.Resident(), adapter("b")))
 		},
 		loads: -1,
 	},
@@ -120,17 +120,17 @@
 		before: func(t *testing.T, f *fakeEngine, old *Slots) {
 			use(t, f, old, "a", "p")
 			use(t, f, old, "b", "p")
-			once(f, faultLate) // the old owner freezes in the middle of an eviction
+			injectOnce(f, faultSenderFrozen) // the old owner freezes in the middle of an eviction
 			go func() { _, _ = old.Acquire(t.Context(), request("c", "p")) }()
 			synctest.Wait()
 		},
 		after: func(t *testing.T, f *fakeEngine, s *Slots) {
 			u, err := s.Acquire(t.Context(), request("a", "p"))
 			must.NoError(t, err)
-			must.True(t, f.begin(u.Alias, "p"))
-			time.Sleep(time.Minute) // the late order arrives now
+			must.True(t, f.beginCall(u.Alias, "p"))
+			time.Sleep(time.Minute) // the late order is carried out
 			must.True(t, f.has(u.Alias))
-			f.end(u.Alias)
+			f.endCall(u.Alias)
 			u.Release()
 		},
 		loads: -1,
@@ -139,8 +139,8 @@
 		before: func(t *testing.T, f *fakeEngine, old *Slots) {
 			u, err := old.Acquire(t.Context(), request("a", "p"))
 			must.NoError(t, err)
-			must.True(t, f.begin(u.Alias, "p"))
-			time.AfterFunc(30*time.Second, func() { f.end(u.Alias) })
+			must.True(t, f.beginCall(u.Alias, "p"))
+			time.AfterFunc(30*time.Second, func() { f.endCall(u.Alias) })
 			use(t, f, old, "b", "p")
 		},
 		after: func(t *testing.T, f *fakeEngine, s *Slots) {
@@ -153,7 +153,7 @@
 	"a load of the old owner comes late": {
 		before: func(t *testing.T, f *fakeEngine, old *Slots) {
 			use(t, f, old, "a", "p")
-			once(f, faultLate)
+			injectOnce(f, faultSenderFrozen)
 			go func() { _, _ = old.Acquire(t.Context(), request("b", "p")) }()
 			time.Sleep(time.Second)
 		},
@@ -167,14 +167,16 @@
 	},
 }
 
-// once puts a fault on the next order.
-func once(f *fakeEngine, kind fault) {
-	f.next = func() fault {
-		f.next = func() fault { return faultNone }
+// injectOnce injects a fault into the next order.
+func injectOnce(f *fakeEngine, kind fault) {
+	f.nextFault = func() fault {
+		f.nextFault = func() fault { return faultNone }
 		return kind
 	}
 }
 
+// TestTakeover checks that a new owner neither uses an alias that a late order
+// can unload nor loses slots to the aliases of the old owner.
 func TestTakeover(t *testing.T) {
 	for name, c := range takeovers {
 		for kind, checks := range map[string]bool{"engine refuses old numbers": true, "engine ignores numbers": false} {
@@ -182,9 +184,9 @@
 				synctest.Test(t, func(t *testing.T) {
 					f := newFakeEngine(2, checks)
 					owners := newFakeOwners(f)
-					old := owners.take()
+					old := owners.takeOver()
 					c.before(t, f, old)
-					s := owners.take()
+					s := owners.takeOver()
 					c.after(t, f, s)
 					time.Sleep(time.Hour)
 					old.Close()
@@ -199,19 +201,20 @@
 	}
 }
 
-// TestEditedPath: a version whose path is edited while it is resident is loaded
-// from the new path before the next call; a call under way keeps the old one.
+// TestEditedPath checks that a version whose path changes while it is resident
+// is loaded from the new path before the next call, and that a call in flight
+// keeps the alias of the old path.
 func TestEditedPath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngine(2, true)
-		s := newFakeOwners(f).take()
-		under, err := s.Acquire(t.Context(), request("a", "p"))
+		s := newFakeOwners(f).takeOver()
+		inFlight, err := s.Acquire(t.Context(), request("a", "p"))
 		must.NoError(t, err)
-		must.True(t, f.begin(under.Alias, "p"))
+		must.True(t, f.beginCall(inFlight.Alias, "p"))
 		use(t, f, s, "a", "q")
-		must.True(t, f.has(under.Alias))
-		f.end(under.Alias)
-		under.Release()
+		must.True(t, f.has(inFlight.Alias))
+		f.endCall(inFlight.Alias)
+		inFlight.Release()
 		use(t, f, s, "a", "q")
 		s.Close()
 		must.Eq(t, "", f.violation)
--- a/snipeslot/wait_test.go
+++ b/snipeslot/wait_test.go
@@ -13,13 +13,14 @@
 	"snipepitch.example/snipepitch/snipeweight"
 )
 
-// waiting makes slots whose permissions come from the test.
-func waiting(f *fakeEngine) (*Slots, chan error, *int) {
-	s := newFakeOwners(f).take()
+// slotsAwaitingPermission returns Slots whose loads wait for the result that
+// the test sends on the channel, and the number of calls of Budget.
+func slotsAwaitingPermission(f *fakeEngine) (*Slots, chan error, *int) {
+	s := newFakeOwners(f).takeOver()
 	permission := make(chan error)
-	asked := 0
+	budgetCalls := 0
 	s.Budget = func(ctx context.Context, d *snipeweight.Demand) (func(bool), error) {
-		asked++
+		budgetCalls++
 		d.Expect(time.Now().Add(10 * time.Second))
 		select {
 		case err := <-permission:
@@ -28,32 +29,33 @@
 			return nil, ctx.Err()
 		}
 	}
-	return s, permission, &asked
+	return s, permission, &budgetCalls
 }
 
-// TestResidentServesWhileAnotherWaits: the slot is freed only once the store
-// permits the load that needs it.
+// TestResidentServesWhileAnotherWaits checks that a slot is freed only after
+// the weight store has granted permission for the load that needs it.
 func TestResidentServesWhileAnotherWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngine(1, true)
-		s, permission, _ := waiting(f)
+		s, permission, _ := slotsAwaitingPermission(f)
 		defer s.Close()
 		go func() { permission <- nil }()
 		use(t, f, s, "a", "p")
 		go use(t, f, s, "b", "p")
 		time.Sleep(5 * time.Second)
-		use(t, f, s, "a", "p") // would wait for a permission if it were gone
+		use(t, f, s, "a", "p") // would wait for permission if it had been evicted
 		permission <- nil
 		time.Sleep(time.Second)
 		must.Eq(t, []snipecall.Adapter{adapter("b")}, s.Resident())
 	})
 }
 
-// TestLateIsToldAtOnce: a deadline before the expected end of the load ends
-// the wait, with the time to come back, and the load that nobody waits for.
+// TestLateIsToldAtOnce checks that a call whose deadline is before the expected
+// end of the load fails at once with the expected time, and that the queued
+// load is canceled when its last waiter has left.
 func TestLateIsToldAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _, asked := waiting(newFakeEngine(1, true))
+		s, _, budgetCalls := slotsAwaitingPermission(newFakeEngine(1, true))
 		defer s.Close()
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
@@ -64,15 +66,16 @@
 		must.Eq(t, 10*time.Second, late.After)
 		must.Eq(t, 0, time.Since(start))
 		synctest.Wait()
-		must.Eq(t, 1, *asked)
+		must.Eq(t, 1, *budgetCalls)
 		must.Eq(t, 0, len(s.serving))
 	})
 }
 
-// TestBackoffReachesCallers: the cause of a load that was not tried is kept.
+// TestBackoffReachesCallers checks that the error of a load that was not
+// attempted because of a backoff wraps the BackoffError.
 func TestBackoffReachesCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, permission, _ := waiting(newFakeEngine(1, true))
+		s, permission, _ := slotsAwaitingPermission(newFakeEngine(1, true))
 		defer s.Close()
 		go func() { permission <- &snipeweight.BackoffError{After: time.Second} }()
 		_, err := s.Acquire(t.Context(), request("a", "p"))
@@ -82,12 +85,12 @@
 	})
 }
 
-// TestOneOffDoesNotPushOutHot: the adapter of least worth goes, not the one
-// that was used longest ago.
+// TestOneOffDoesNotPushOutHot checks that the adapter of lowest value is
+// evicted, not the least recently used one.
 func TestOneOffDoesNotPushOutHot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngine(2, true)
-		s := newFakeOwners(f).take()
+		s := newFakeOwners(f).takeOver()
 		defer s.Close()
 		for range 10 {
 			use(t, f, s, "hot", "p")
