--- a/snipeweight/bench_test.go
+++ b/snipeweight/bench_test.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// BenchmarkAsk is a repeated ask with 1,000 others of 100 teams waiting.
+// BenchmarkAsk measures one poll of a queued request while 1,000 requests of
+// 100 teams wait.
 func BenchmarkAsk(b *testing.B) {
 	q := newQueue(1e-9, 1)
-	gone, cancel := context.WithCancel(b.Context())
+	ended, cancel := context.WithCancel(b.Context())
 	cancel()
 	ask := func(n int) {
-		q.Ask(gone, Ask{
+		q.Ask(ended, Ask{
 			ID: ID{"asker", uint64(n)}, Path: fmt.Sprint(n), Team: fmt.Sprint(n % 100),
 			Weight: float64(n%7 + 1), Hold: time.Minute,
 		})
--- a/snipeweight/demand.go
+++ b/snipeweight/demand.go
@@ -7,13 +7,14 @@
 	"snipepitch.example/snipepitch/snipecall"
 )
 
-// classWeights say what a second of waiting costs in each class.
+// classWeights is the cost of a second of waiting of a call in each class.
 var classWeights = [snipecall.Classes]float64{16, 4, 1}
 
-// Demand is what waits for one load, on the owner of the engine. It is safe
-// for concurrent use. Path, Engine and Team are set before the first call.
+// Demand counts the calls that wait for one load, on the owner of the engine.
+// It is safe for concurrent use. Exported fields are set before the first call.
 type Demand struct {
-	// Engine is where the load goes, Path what is loaded, Team whose it is.
+	// Engine is the engine that loads, Path the path of the weights and Team the
+	// team that owns the adapter.
 	Engine string
 	Path   string
 	Team   string
@@ -24,10 +25,10 @@
 	changed chan struct{}
 }
 
-// Join counts a waiting call; Leave ends its wait.
+// Join adds a waiting call.
 func (d *Demand) Join(c snipecall.Class) { d.add(c, 1) }
 
-// Leave ends the wait of a call that joined.
+// Leave removes a waiting call that Join added.
 func (d *Demand) Leave(c snipecall.Class) { d.add(c, -1) }
 
 func (d *Demand) add(c snipecall.Class, n int) {
@@ -36,7 +37,7 @@
 	d.waiting[c] += n
 }
 
-// Weight is what a second of waiting costs all that wait.
+// Weight returns the cost of a second of waiting, summed over all waiting calls.
 func (d *Demand) Weight() float64 {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -47,7 +48,7 @@
 	return sum
 }
 
-// Expect notes when the load is expected to end.
+// Expect sets the time at which the load is expected to end, zero if unknown.
 func (d *Demand) Expect(t time.Time) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -58,8 +59,8 @@
 	}
 }
 
-// Expected returns when the load is expected to end, and a channel that is
-// closed when the expectation changes.
+// Expected returns the time at which the load is expected to end, zero if
+// unknown, and a channel that is closed by the next call of Expect.
 func (d *Demand) Expected() (time.Time, <-chan struct{}) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
--- a/snipeweight/queue.go
+++ b/snipeweight/queue.go
@@ -8,96 +8,105 @@
 )
 
 const (
-	// agingTime is the wait that doubles the weight of an ask: the small are
-	// not passed over for good.
+	// agingTime is the wait after which the weight of a request has doubled, so
+	// that requests of low weight are not passed over forever.
 	agingTime = 10 * time.Second
-	// shareTime is the time in which a team's past loads fall to 1/e.
-	shareTime = 30 * time.Second
-	// minShare is what is forgotten of a team's past loads.
-	minShare = 0.05
-	// fairExcess is how many times its even share of the loads a team may have
-	// before its asks count less; fairPower says how much less.
-	fairExcess = 1.5
-	fairPower  = 4
-	// keepAsk is how long an ask stays queued without its asker.
-	keepAsk = 3 * time.Second
-	// firstBackoff doubles with each failed load of a path, up to lastBackoff.
-	firstBackoff = time.Second
-	lastBackoff  = time.Minute
-	// forgetFailure is how long after its last failure a path is remembered.
-	forgetFailure = 5 * time.Minute
-	// maxFailures bounds the paths that are remembered.
-	maxFailures = 10000
-	// smoothing is the part of a new measurement in the mean load time.
+	// loadDecayTime is the time in which a team's load count falls to 1/e.
+	loadDecayTime = 30 * time.Second
+	// minTeamLoads is the load count below which a team is removed.
+	minTeamLoads = 0.05
+	// fairExcess is the multiple of its even share of the loads that a team may
+	// have before the cost of its requests is reduced. Above it, the cost falls
+	// with that multiple to the power of fairExponent.
+	fairExcess   = 1.5
+	fairExponent = 4
+	// askTimeout is how long a request stays queued without an open poll.
+	askTimeout = 3 * time.Second
+	// initialBackoff is the backoff after the first failed load of a path. It
+	// doubles with each further failure, up to maxBackoff.
+	initialBackoff = time.Second
+	maxBackoff     = time.Minute
+	// failureTTL is how long the failures of a path are kept after the last one.
+	failureTTL = 5 * time.Minute
+	// maxFailedPaths bounds the number of paths whose failures are kept.
+	maxFailedPaths = 10000
+	// smoothing is the weight of a new measurement in the mean load time.
 	smoothing = 0.2
 )
 
-// ID names one ask: its asker and the asker's number for it.
+// ID identifies a request across its polls: the name of the requester and the
+// requester's number for the request.
 type ID struct {
 	Asker  string
 	Number uint64
 }
 
-// Ask is a request for permission to load.
+// Ask is a request for permission to load an adapter, or to renew a permission.
 type Ask struct {
 	ID ID
-	// Path is what is to be loaded, Team whose it is.
+	// Path is the path of the weights to load, Team the team that owns the
+	// adapter.
 	Path string
 	Team string
-	// Weight is what a second of waiting costs.
+	// Weight is the cost of a second of waiting.
 	Weight float64
-	// Hold is how long a permission counts when it is not renewed.
+	// Hold is the time after which a permission expires if it is not renewed.
 	Hold time.Duration
-	// Renew tells that the load runs by an earlier permission, perhaps another
-	// holder's.
+	// Renew is set if the load runs under an earlier permission, which another
+	// holder may have granted.
 	Renew bool
 }
 
-// Answer is what the queue says to an ask.
+// Answer is the queue's response to an Ask.
 type Answer struct {
-	// Granted is the permission to load.
+	// Granted reports that the load is permitted.
 	Granted bool
-	// Wait is the expected time until the load ends.
+	// Wait is the expected time until the load ends or, if Backoff is set, the
+	// time until the path may be requested again.
 	Wait time.Duration
-	// Backoff tells that the path's loads failed; it is not queued before Wait.
+	// Backoff reports that earlier loads of the path failed. The request is not
+	// queued.
 	Backoff bool
 }
 
-type queued struct {
-	ask     Ask
-	since   time.Time
-	seen    time.Time     // when the asker was last here
-	granted chan struct{} // closed by the grant; nil when the asker is away
+type queuedAsk struct {
+	ask        Ask
+	since      time.Time
+	lastActive time.Time     // when the last poll began or ended
+	granted    chan struct{} // closed when permission is granted; nil if no poll is open
 }
 
-type failure struct {
-	count  int
-	last   time.Time
-	before time.Time // no load before
+type failedPath struct {
+	count     int
+	last      time.Time
+	notBefore time.Time
 }
 
-// Queue is the one queue for the weight store, on the instance that holds it.
-// Its exported fields are set before the first call.
+// Queue is the queue of loads from the weight store, on the instance that holds
+// it. Exported fields are set before the first call.
 type Queue struct {
-	// Limits returns the loads that may start in a second and run at once:
-	// the store's budget, or this side's share while the instances are split.
+	// Limits returns how many loads may start per second and how many may run at
+	// once: the weight store's budget or, during a network partition, the share
+	// of this side.
 	Limits func() (perSecond float64, concurrent int)
 
-	lock     sync.Mutex // guards the fields below
-	waiting  map[ID]*queued
-	running  map[ID]time.Time // the end of each permission that is not renewed
-	started  map[ID]time.Time
-	failures map[string]failure
-	shares   map[string]float64 // loads of each team, decaying with shareTime
-	charged  float64            // sum of shares
-	shared   time.Time          // when shares were decayed last
-	next     time.Time          // the earliest start of the next load
-	length   time.Duration
-	timer    *time.Timer
+	lock       sync.Mutex // guards the fields below
+	waiting    map[ID]*queuedAsk
+	running    map[ID]time.Time // when each permission expires unless renewed
+	started    map[ID]time.Time // when each permission was granted by this queue
+	failures   map[string]failedPath
+	teamLoads  map[string]float64 // loads of each team, decaying with loadDecayTime
+	totalLoads float64            // sum of teamLoads
+	lastDecay  time.Time          // when teamLoads were last decayed
+	nextStart  time.Time          // the earliest start of the next load
+	loadTime   time.Duration      // smoothed mean duration of successful loads
+	timer      *time.Timer        // runs schedule
 }
 
-// Ask queues or renews an ask and waits for the permission until ctx ends. The
-// answer then says how long it will take.
+// Ask is one poll of a request: it queues the request, if necessary, and waits
+// for permission until ctx ends. If permission is not granted by then, the
+// answer contains the expected wait. A renewal is granted at once, and a path
+// in backoff is refused at once.
 func (q *Queue) Ask(ctx context.Context, a Ask) Answer {
 	q.lock.Lock()
 	now := time.Now()
@@ -107,25 +116,25 @@
 		q.lock.Unlock()
 		return Answer{Granted: true}
 	}
-	if f, ok := q.failures[a.Path]; ok && now.Before(f.before) {
+	if f, ok := q.failures[a.Path]; ok && now.Before(f.notBefore) {
 		delete(q.waiting, a.ID)
 		q.lock.Unlock()
-		return Answer{Backoff: true, Wait: f.before.Sub(now)}
+		return Answer{Backoff: true, Wait: f.notBefore.Sub(now)}
 	}
 	if _, ok := q.running[a.ID]; ok {
-		// The answer to an earlier ask was lost.
+		// The answer to an earlier poll of this request was lost.
 		q.lock.Unlock()
 		return Answer{Granted: true}
 	}
-	if _, ok := q.shares[a.Team]; !ok {
-		q.shares[a.Team] = 0 // counts as one that shares until the next load
+	if _, ok := q.teamLoads[a.Team]; !ok {
+		q.teamLoads[a.Team] = 0 // the team counts in the even share until the next load
 	}
 	w, ok := q.waiting[a.ID]
 	if !ok {
-		w = &queued{since: now}
+		w = &queuedAsk{since: now}
 		q.waiting[a.ID] = w
 	}
-	w.ask, w.seen, w.granted = a, now, make(chan struct{})
+	w.ask, w.lastActive, w.granted = a, now, make(chan struct{})
 	granted := w.granted
 	q.schedule(now)
 	q.lock.Unlock()
@@ -134,11 +143,12 @@
 		return Answer{Granted: true}
 	case <-ctx.Done():
 	}
-	return q.away(a.ID, granted)
+	return q.endPoll(a.ID, granted)
 }
 
-// away ends the stay of an asker, which may have been granted meanwhile.
-func (q *Queue) away(id ID, granted <-chan struct{}) Answer {
+// endPoll returns the answer to a poll whose context has ended. Permission may
+// have been granted in the meantime.
+func (q *Queue) endPoll(id ID, granted <-chan struct{}) Answer {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	select {
@@ -150,28 +160,29 @@
 	if !ok || w.granted != granted {
 		return Answer{}
 	}
-	w.granted, w.seen = nil, time.Now()
-	return Answer{Wait: q.expect(w)}
+	w.granted, w.lastActive = nil, time.Now()
+	return Answer{Wait: q.expectedWait(w)}
 }
 
 func (q *Queue) setup() {
 	if q.waiting == nil {
-		q.waiting = map[ID]*queued{}
+		q.waiting = map[ID]*queuedAsk{}
 		q.running = map[ID]time.Time{}
 		q.started = map[ID]time.Time{}
-		q.failures = map[string]failure{}
-		q.shares = map[string]float64{}
+		q.failures = map[string]failedPath{}
+		q.teamLoads = map[string]float64{}
 	}
 }
 
-// Leave takes an ask out of the queue.
+// Leave removes a request from the queue.
 func (q *Queue) Leave(id ID) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	delete(q.waiting, id)
 }
 
-// Done ends a permission. A failed load keeps its path back for a while.
+// Done ends a permission. A failed load starts or extends the backoff of its
+// path, a successful one clears it.
 func (q *Queue) Done(id ID, path string, failed bool) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -179,67 +190,68 @@
 	now := time.Now()
 	if start, ok := q.started[id]; ok && !failed {
 		took := now.Sub(start)
-		q.length += time.Duration(smoothing * float64(took-q.length))
+		q.loadTime += time.Duration(smoothing * float64(took-q.loadTime))
 	}
-	q.end(id)
+	q.endPermission(id)
 	if failed {
-		q.fail(path, now)
+		q.recordFailure(path, now)
 	} else {
 		delete(q.failures, path)
 	}
 	q.schedule(now)
 }
 
-func (q *Queue) end(id ID) {
+func (q *Queue) endPermission(id ID) {
 	delete(q.running, id)
 	delete(q.started, id)
 }
 
-func (q *Queue) fail(path string, now time.Time) {
+func (q *Queue) recordFailure(path string, now time.Time) {
 	for p, f := range q.failures {
-		if len(q.failures) < maxFailures && now.Sub(f.last) < forgetFailure {
+		if len(q.failures) < maxFailedPaths && now.Sub(f.last) < failureTTL {
 			continue
 		}
 		delete(q.failures, p)
 	}
 	f := q.failures[path]
-	pause := min(firstBackoff<<min(f.count, 10), lastBackoff)
-	q.failures[path] = failure{count: f.count + 1, last: now, before: now.Add(pause)}
+	pause := min(initialBackoff<<min(f.count, 10), maxBackoff)
+	q.failures[path] = failedPath{count: f.count + 1, last: now, notBefore: now.Add(pause)}
 }
 
-// schedule grants what the budget allows, and wakes itself when that may be
-// more. The lock is held.
+// schedule ends expired permissions, grants as many new ones as the limits
+// allow and sets the timer for its next run. q.lock is held.
 func (q *Queue) schedule(now time.Time) {
 	perSecond, concurrent := q.Limits()
 	for id, end := range q.running {
 		if !now.Before(end) {
-			q.end(id)
+			q.endPermission(id)
 		}
 	}
-	for perSecond > 0 && len(q.running) < max(concurrent, 1) && !now.Before(q.next) {
-		w := q.first(now)
+	for perSecond > 0 && len(q.running) < max(concurrent, 1) && !now.Before(q.nextStart) {
+		w := q.nextAsk(now)
 		if w == nil {
 			return
 		}
 		delete(q.waiting, w.ask.ID)
 		q.running[w.ask.ID] = now.Add(w.ask.Hold)
 		q.started[w.ask.ID] = now
-		q.charge(w.ask.Team, now)
-		q.next = now.Add(time.Duration(float64(time.Second) / perSecond))
+		q.countLoad(w.ask.Team, now)
+		q.nextStart = now.Add(time.Duration(float64(time.Second) / perSecond))
 		close(w.granted)
 	}
-	q.wake(now)
+	q.resetTimer(now)
 }
 
-// wake runs schedule again when the rate allows the next load, or after a
-// while when a permission may have run out. The lock is held.
-func (q *Queue) wake(now time.Time) {
+// resetTimer sets the timer to run schedule once the rate allows the next load.
+// If the rate allows it now, the timer runs after askTimeout, when a permission
+// may have expired. Without waiting requests, no timer is set. q.lock is held.
+func (q *Queue) resetTimer(now time.Time) {
 	if len(q.waiting) == 0 {
 		return
 	}
-	pause := keepAsk
-	if now.Before(q.next) {
-		pause = q.next.Sub(now)
+	pause := askTimeout
+	if now.Before(q.nextStart) {
+		pause = q.nextStart.Sub(now)
 	}
 	if q.timer != nil {
 		q.timer.Stop()
@@ -251,26 +263,28 @@
 	})
 }
 
-// first returns the ask whose wait costs most, of those whose asker is here,
-// and forgets those whose asker does not come back. The lock is held.
-func (q *Queue) first(now time.Time) *queued {
-	var best *queued
+// nextAsk returns the request with the highest cost of waiting among those with
+// an open poll, or nil if there is none. It removes requests without an open
+// poll after askTimeout. q.lock is held.
+func (q *Queue) nextAsk(now time.Time) *queuedAsk {
+	var best *queuedAsk
 	for id, w := range q.waiting {
 		if w.granted == nil {
-			if now.Sub(w.seen) > keepAsk {
+			if now.Sub(w.lastActive) > askTimeout {
 				delete(q.waiting, id)
 			}
 			continue
 		}
-		if best == nil || q.before(w, best, now) {
+		if best == nil || q.precedes(w, best, now) {
 			best = w
 		}
 	}
 	return best
 }
 
-// before orders two asks; equal ones by their age and name.
-func (q *Queue) before(a, b *queued, now time.Time) bool {
+// precedes reports whether a is granted before b: the request of higher cost
+// first, equal ones by age, requester and number. q.lock is held.
+func (q *Queue) precedes(a, b *queuedAsk, now time.Time) bool {
 	x, y := q.cost(a, now), q.cost(b, now)
 	switch {
 	case x != y:
@@ -283,48 +297,51 @@
 	return a.ask.ID.Number < b.ask.ID.Number
 }
 
-// cost is what a second of the ask's wait costs, less for a team that has had
-// more than its fair share of the loads of late.
-func (q *Queue) cost(w *queued, now time.Time) float64 {
+// cost returns the cost of a second of waiting. It grows with the age of the
+// request, and is reduced if the team's part of the recent loads exceeds
+// fairExcess times its even share. q.lock is held.
+func (q *Queue) cost(w *queuedAsk, now time.Time) float64 {
 	aged := w.ask.Weight * (1 + float64(now.Sub(w.since))/float64(agingTime))
-	excess := q.shares[w.ask.Team] * float64(len(q.shares)) / max(q.charged, 1)
+	excess := q.teamLoads[w.ask.Team] * float64(len(q.teamLoads)) / max(q.totalLoads, 1)
 	if excess <= fairExcess {
 		return aged
 	}
-	return aged * math.Pow(fairExcess/excess, fairPower)
+	return aged * math.Pow(fairExcess/excess, fairExponent)
 }
 
-// charge counts a load for its team. The lock is held.
-func (q *Queue) charge(team string, now time.Time) {
-	decay := math.Exp(-float64(now.Sub(q.shared)) / float64(shareTime))
-	q.shared = now
-	for t := range q.shares {
-		if q.shares[t] *= decay; q.shares[t] < minShare {
-			delete(q.shares, t)
+// countLoad decays the load counts of all teams and adds one load to that of
+// team. q.lock is held.
+func (q *Queue) countLoad(team string, now time.Time) {
+	decay := math.Exp(-float64(now.Sub(q.lastDecay)) / float64(loadDecayTime))
+	q.lastDecay = now
+	for t := range q.teamLoads {
+		if q.teamLoads[t] *= decay; q.teamLoads[t] < minTeamLoads {
+			delete(q.teamLoads, t)
 		}
 	}
-	q.shares[team]++
-	q.charged = 0
-	for _, n := range q.shares {
-		q.charged += n
+	q.teamLoads[team]++
+	q.totalLoads = 0
+	for _, n := range q.teamLoads {
+		q.totalLoads += n
 	}
 }
 
-// expect returns the time until the ask's load ends: those before it at the
-// budget's pace, and its own load. The lock is held.
-func (q *Queue) expect(w *queued) time.Duration {
+// expectedWait returns the expected time until the request's load ends: one
+// interval for each request ahead of it and for itself, and the load itself.
+// The interval follows from the limits and the mean load time. q.lock is held.
+func (q *Queue) expectedWait(w *queuedAsk) time.Duration {
 	perSecond, concurrent := q.Limits()
 	now := time.Now()
 	ahead := 0
 	for _, o := range q.waiting {
-		if o != w && q.before(o, w, now) {
+		if o != w && q.precedes(o, w, now) {
 			ahead++
 		}
 	}
 	if perSecond <= 0 {
-		return keepAsk
+		return askTimeout
 	}
-	pace := time.Duration(float64(time.Second) / perSecond)
-	pace = max(pace, q.length/time.Duration(max(concurrent, 1)))
-	return time.Duration(ahead+1)*pace + q.length
+	interval := time.Duration(float64(time.Second) / perSecond)
+	interval = max(interval, q.loadTime/time.Duration(max(concurrent, 1)))
+	return time.Duration(ahead+1)*interval + q.loadTime
 }
--- a/snipeweight/queue_test.go
+++ b/snipeweight/queue_test.go
@@ -19,18 +19,19 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-const testLoad = 600 * time.Millisecond
+// testLoadTime is the time that a load of the tests takes.
+const testLoadTime = 600 * time.Millisecond
 
 func newQueue(perSecond float64, concurrent int) *Queue {
 	return &Queue{Limits: func() (float64, int) { return perSecond, concurrent }}
 }
 
-// store counts loads and finds out how many ran at once.
+// store records the order of loads and the most that ran at once.
 type store struct {
-	lock    sync.Mutex
-	running int
-	most    int
-	order   []string
+	lock       sync.Mutex
+	running    int
+	maxRunning int
+	order      []string
 }
 
 func (s *store) load(t *testing.T, p *Permits, path string, c snipecall.Class, failed bool) error {
@@ -43,10 +44,10 @@
 	}
 	s.lock.Lock()
 	s.running++
-	s.most = max(s.most, s.running)
+	s.maxRunning = max(s.maxRunning, s.running)
 	s.order = append(s.order, path)
 	s.lock.Unlock()
-	time.Sleep(testLoad)
+	time.Sleep(testLoadTime)
 	s.lock.Lock()
 	s.running--
 	s.lock.Unlock()
@@ -54,33 +55,36 @@
 	return nil
 }
 
-func permits(name string, holders ...Holder) *Permits {
+func newPermits(name string, holders ...Holder) *Permits {
 	return &Permits{Self: name, Holders: func() []Holder { return holders }}
 }
 
-// TestBudgetAcrossInstances: however many instances ask, rate and number hold.
+// TestBudgetAcrossInstances checks that the loads of many instances together
+// keep within the rate and the number of loads at once.
 func TestBudgetAcrossInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(4.5, 3)
 		s := &store{}
 		var all sync.WaitGroup
 		start := time.Now()
-		askers := map[int]*Permits{}
+		requesters := map[int]*Permits{}
 		for n := range 9 {
-			askers[n] = permits(fmt.Sprint("i", n), Local("i0", q))
+			requesters[n] = newPermits(fmt.Sprint("i", n), Local("i0", q))
 		}
 		for n := range 45 {
 			all.Go(func() {
-				must.NoError(t, s.load(t, askers[n%9], fmt.Sprint(n), snipecall.Standard, false))
+				must.NoError(t, s.load(t, requesters[n%9], fmt.Sprint(n), snipecall.Standard, false))
 			})
 		}
 		all.Wait()
-		must.Eq(t, 3, s.most)
+		must.Eq(t, 3, s.maxRunning)
 		must.GreaterEq(t, 44*time.Second*10/45, time.Since(start))
 		must.Less(t, 12*time.Second, time.Since(start))
 	})
 }
 
+// TestOrder checks that requests of a higher class are granted first, and
+// requests of the same class by age.
 func TestOrder(t *testing.T) {
 	for name, c := range map[string]struct {
 		first, second snipecall.Class
@@ -91,7 +95,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := permits("i1", Local("i0", newQueue(1000, 1)))
+				p := newPermits("i1", Local("i0", newQueue(1000, 1)))
 				s := &store{}
 				var all sync.WaitGroup
 				for n, class := range []snipecall.Class{snipecall.Bulk, c.first, c.second} {
@@ -105,11 +109,11 @@
 	}
 }
 
-// TestStormingTeam: a team that floods the queue does not keep another one
-// waiting behind all its loads.
+// TestStormingTeam checks that the load of one team does not wait behind all
+// loads of another team that floods the queue.
 func TestStormingTeam(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := permits("i1", Local("i0", newQueue(1000, 1)))
+		p := newPermits("i1", Local("i0", newQueue(1000, 1)))
 		var all sync.WaitGroup
 		order := make(chan string, 100)
 		load := func(team string, n int) {
@@ -118,57 +122,58 @@
 			release, err := p.Acquire(t.Context(), d)
 			must.NoError(t, err)
 			order <- team
-			time.Sleep(testLoad)
+			time.Sleep(testLoadTime)
 			release(false)
 		}
 		for n := range 40 {
 			all.Go(func() { load("storm", n) })
 		}
-		time.Sleep(20 * testLoad)
-		all.Go(func() { load("calm", 0) })
-		time.Sleep(2 * testLoad)
-		calm := false
+		time.Sleep(20 * testLoadTime)
+		all.Go(func() { load("other", 0) })
+		time.Sleep(2 * testLoadTime)
+		otherLoaded := false
 		for range len(order) {
-			calm = <-order == "calm" || calm
+			otherLoaded = <-order == "other" || otherLoaded
 		}
-		must.True(t, calm)
+		must.True(t, otherLoaded)
 		all.Wait()
 	})
 }
 
-// TestFailedLoadsBackOff: a path that fails is refused at once, and others go on.
+// TestFailedLoadsBackOff checks that requests for a path whose load failed are
+// refused at once while other paths are loaded, and that the backoff doubles.
 func TestFailedLoadsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := permits("i1", Local("i0", newQueue(1000, 1)))
+		p := newPermits("i1", Local("i0", newQueue(1000, 1)))
 		s := &store{}
 		must.NoError(t, s.load(t, p, "bad", snipecall.Status, true))
 		synctest.Wait()
 		var backoff *BackoffError
 		must.True(t, errors.As(s.load(t, p, "bad", snipecall.Status, true), &backoff))
-		must.Eq(t, firstBackoff, backoff.After)
+		must.Eq(t, initialBackoff, backoff.After)
 		must.NoError(t, s.load(t, p, "good", snipecall.Bulk, false))
-		time.Sleep(firstBackoff)
+		time.Sleep(initialBackoff)
 		must.NoError(t, s.load(t, p, "bad", snipecall.Status, true))
 		synctest.Wait()
 		must.True(t, errors.As(s.load(t, p, "bad", snipecall.Status, true), &backoff))
-		must.Eq(t, 2*firstBackoff, backoff.After)
+		must.Eq(t, 2*initialBackoff, backoff.After)
 	})
 }
 
-// TestHolderGone: requesters turn to the next holder, also in the middle of a
-// wait.
+// TestHolderGone checks that a requester uses the next holder when the current
+// one stops answering in the middle of a wait.
 func TestHolderGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var gone atomic.Bool
 		local := Local("i0", newQueue(1000, 1))
-		dying := local
-		dying.Ask = func(ctx context.Context, a Ask) (Answer, error) {
+		failing := local
+		failing.Ask = func(ctx context.Context, a Ask) (Answer, error) {
 			if gone.Load() {
 				return Answer{}, errors.New("gone")
 			}
 			return local.Ask(ctx, a)
 		}
-		p := permits("i1", dying, Local("i2", newQueue(1000, 1)))
+		p := newPermits("i1", failing, Local("i2", newQueue(1000, 1)))
 		s := &store{}
 		blocker, err := p.Acquire(t.Context(), &Demand{Path: "a"})
 		must.NoError(t, err)
@@ -180,8 +185,8 @@
 	})
 }
 
-// TestPermissionRunsOut: an asker that dies with a permission does not block
-// the store for good, nor one that dies in the queue.
+// TestPermissionRunsOut checks that loads continue after a requester has died
+// with a permission or with a queued request of high weight.
 func TestPermissionRunsOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(1000, 1)
@@ -192,16 +197,17 @@
 		must.False(t, q.Ask(ctx, Ask{ID: ID{"dead", 2}, Path: "a", Weight: 1000, Hold: time.Minute}).Granted)
 		s := &store{}
 		start := time.Now()
-		must.NoError(t, s.load(t, permits("i1", Local("i0", q)), "b", snipecall.Bulk, false))
-		must.Less(t, time.Minute+2*keepAsk, time.Since(start))
+		must.NoError(t, s.load(t, newPermits("i1", Local("i0", q)), "b", snipecall.Bulk, false))
+		must.Less(t, time.Minute+2*askTimeout, time.Since(start))
 	})
 }
 
-// TestExpectation: whoever waits learns how long.
+// TestExpectation checks that the expected wait is set soon after a request is
+// queued, and covers the loads ahead of it.
 func TestExpectation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(1, 1)
-		p := permits("i1", Local("i0", q))
+		p := newPermits("i1", Local("i0", q))
 		s := &store{}
 		var all sync.WaitGroup
 		for n := range 10 {
@@ -233,7 +239,7 @@
 		return a
 	}
 	must.True(t, ask(1, "a").Granted)
-	must.True(t, ask(1, "a").Granted) // the answer may have been lost
+	must.True(t, ask(1, "a").Granted) // repeated as if the answer had been lost
 	must.False(t, ask(2, "b").Granted)
 	must.NoError(t, h.Leave(t.Context(), ID{"i1", 2}))
 	must.NoError(t, h.Done(t.Context(), ID{"i1", 1}, "a", true))
@@ -242,8 +248,8 @@
 	must.Error(t, err)
 }
 
-// TestLostGrant: a grant whose reply is lost, and a load whose end is not told,
-// once stopped all loads for the time that a load may take.
+// TestLostGrant checks that a permission whose answer is lost, or whose end is
+// not reported, does not stop all other loads for the time of the longest load.
 func TestLostGrant(t *testing.T) {
 	tests := map[string]func(h *Holder){
 		"reply lost": func(h *Holder) {
@@ -267,20 +273,20 @@
 				defer cancel()
 				d := &Demand{Path: "a"}
 				d.Join(snipecall.Standard)
-				release, err := permits("cut", cut).Acquire(ctx, d)
+				release, err := newPermits("cut", cut).Acquire(ctx, d)
 				if err == nil {
 					release(false)
 				}
 				start := time.Now()
-				must.NoError(t, (&store{}).load(t, permits("other", Local("i0", q)), "b", snipecall.Standard, false))
+				must.NoError(t, (&store{}).load(t, newPermits("other", Local("i0", q)), "b", snipecall.Standard, false))
 				must.Less(t, 10*time.Second, time.Since(start))
 			})
 		})
 	}
 }
 
-// TestLongLoadKeepsItsPermission: a load that lasts long is renewed, also at a
-// holder that comes later.
+// TestLongLoadKeepsItsPermission checks that the permission of a long load is
+// renewed, also at a holder that replaces the one that granted it.
 func TestLongLoadKeepsItsPermission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second := newQueue(100, 1), newQueue(100, 1)
@@ -303,7 +309,7 @@
 	})
 }
 
-// granted reports whether a queue gives permission to one more load.
+// granted reports whether a queue grants permission for one more load.
 func granted(t *testing.T, q *Queue) bool {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
--- a/snipeweight/remote.go
+++ b/snipeweight/remote.go
@@ -12,13 +12,13 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// maxPoll and maxHold bound what an asker may claim.
+// maxPoll and maxHold bound the times that a requester may set.
 const (
 	maxPoll = 10 * time.Second
 	maxHold = time.Minute
 )
 
-// Remote returns the queue of another instance as a holder.
+// Remote returns the Holder for the queue of another instance.
 func Remote(name string, address netip.AddrPort, client snipeproto.HTTPClient) Holder {
 	service := snipeproto.NewWeightProtobufClient("http://"+address.String(), client)
 	return Holder{
@@ -28,26 +28,27 @@
 		},
 		Leave: func(ctx context.Context, id ID) error {
 			_, err := service.Leave(ctx, &snipeproto.WeightLeaveRequest{Asker: id.Asker, Number: id.Number})
-			return wrap(err, "leave the queue of "+name)
+			return wrapError(err, "leave the queue of "+name)
 		},
 		Done: func(ctx context.Context, id ID, path string, failed bool) error {
 			_, err := service.Done(ctx, &snipeproto.WeightDoneRequest{
 				Asker: id.Asker, Number: id.Number, Path: path, Failed: failed,
 			})
-			return wrap(err, "end a load at "+name)
+			return wrapError(err, "end a load at "+name)
 		},
 	}
 }
 
-func wrap(err error, tried string) error {
+func wrapError(err error, operation string) error {
 	if err == nil {
 		return nil
 	}
-	return errors.Wrap(err, tried)
+	return errors.Wrap(err, operation)
 }
 
-// askRemote lets the other side end the poll: ctx would cut off an answer that
-// is a permission.
+// askRemote sends the length of the poll to the holder, which ends the poll,
+// and waits answerSlack longer for the answer. Ending the call with ctx instead
+// could discard an answer that grants permission.
 func askRemote(ctx context.Context, service snipeproto.Weight, a Ask) (Answer, error) {
 	length := poll
 	if end, ok := ctx.Deadline(); ok {
--- a/snipeweight/snipeweight.go
+++ b/snipeweight/snipeweight.go
@@ -1,25 +1,27 @@
 // Package snipeweight keeps the loads of all instances within the weight
-// store's budget: a rate at which loads may start and a number that may run at
-// once.
+// store's budget: a rate at which loads may start and a number of loads that
+// may run at once.
 //
-// Design. One instance holds the one queue (Queue); which one follows from the
-// live instances by rendezvous hash, without an agreement. Every owner asks it
-// for permission before each load (Permits), with the weighted wait that the
-// load would end, and repeats the ask every second with the current weight; a
-// queue entry whose asker does not come back is forgotten. The queue is soft
-// state:
+// One instance holds the queue of loads (Queue). Each instance finds the holder
+// by rendezvous hashing over the live instances, without consensus. Before each
+// load, the engine's owner requests permission from the holder (Permits), with
+// the summed cost of the calls that wait for the load. It repeats the request
+// every second with the current cost; the queue removes a request that is not
+// repeated. The queue is soft state:
 //
-//   - Two holders at once cost speed of the store, not safety: each keeps
-//     within the limits it believes in. When the instances are split, each
-//     side takes the share of the budget of its live instances.
-//   - When the holder does not answer, the asker turns to the next in rank;
-//     its entry there starts anew.
-//   - A permission counts while it is renewed, every second, at whoever holds
-//     the queue. One whose reply was lost, or whose end was not told, counts for
-//     three seconds: while it counted for the longest load, a cut of one
-//     instance stopped the loads of all.
-//   - A path whose load failed is kept back for a while that doubles; asks for
-//     it are answered at once, and stand in nobody's way.
+//   - Two holders at the same time can exceed the budget and slow the weight
+//     store down, but this is safe: each keeps within the limits it computes.
+//     During a network partition, each side uses a share of the budget in
+//     proportion to its live instances.
+//   - When the holder does not answer, the requester uses the next instance of
+//     the ranking, where its request is queued as a new one.
+//   - While a load runs, its permission is renewed every second at the current
+//     holder. A permission whose answer or end was lost expires after three
+//     seconds: if it lasted for the longest load, the loss of the connection to
+//     one instance would stop the loads of all instances.
+//   - A path whose load failed is not loaded again before a backoff, which
+//     doubles with each failure. Requests for the path are answered at once and
+//     do not delay others.
 package snipeweight
 
 import (
@@ -34,26 +36,27 @@
 )
 
 const (
-	// firstPoll is the length of the first ask, so that the expectation comes
-	// back at once; poll is that of the later ones.
+	// firstPoll is the length of the first poll at a holder, short so that the
+	// expected wait is known soon; poll is the length of later ones.
 	firstPoll = 20 * time.Millisecond
 	poll      = time.Second
-	// answerSlack is what an answer may take beyond the poll.
+	// answerSlack is how much longer than the poll an answer may take.
 	answerSlack = time.Second
-	// avoidHolder is how long a holder that did not answer is passed over.
-	avoidHolder = 5 * time.Second
-	// holdTime is how long a permission counts that is not renewed, renewEvery
-	// the time between renewals.
+	// holderSkipTime is how long a holder that did not answer is skipped.
+	holderSkipTime = 5 * time.Second
+	// holdTime is the time after which a permission expires if it is not
+	// renewed, renewEvery the interval between renewals.
 	holdTime   = 3 * time.Second
 	renewEvery = time.Second
-	// noHolderPause is the pause when no holder answers.
+	// noHolderPause is the pause before the next attempt while all holders are
+	// skipped.
 	noHolderPause = 200 * time.Millisecond
 )
 
-// BackoffError tells that the loads of a path have failed and that it will not
-// be loaded before a while.
+// BackoffError is returned if earlier loads of a path failed and the path is in
+// backoff.
 type BackoffError struct {
-	// After is the time until the next load is tried.
+	// After is the time until the path may be loaded again.
 	After time.Duration
 }
 
@@ -62,17 +65,18 @@
 	return "loads of the adapter failed; next try in " + e.After.Round(time.Millisecond).String()
 }
 
-// Holder is an instance that may hold the queue.
+// Holder gives access to the queue of an instance that may hold it.
 type Holder struct {
 	// Name is the instance's name.
 	Name string
-	// Ask, Leave and Done are those of its Queue, perhaps over the network.
+	// Ask, Leave and Done call the methods of the instance's Queue, over the
+	// network for another instance.
 	Ask   func(ctx context.Context, a Ask) (Answer, error)
 	Leave func(ctx context.Context, id ID) error
 	Done  func(ctx context.Context, id ID, path string, failed bool) error
 }
 
-// Local returns this instance itself as a holder.
+// Local returns the Holder for this instance's own queue.
 func Local(name string, q *Queue) Holder {
 	return Holder{
 		Name:  name,
@@ -85,23 +89,25 @@
 	}
 }
 
-// Permits asks for permissions on behalf of one instance. Exported fields are
-// set before the first call.
+// Permits requests permissions for the loads of one instance. Exported fields
+// are set before the first call.
 type Permits struct {
-	// Self is the instance's name, unique among its starts.
+	// Self identifies the instance as a requester. It is unique to each start of
+	// the process.
 	Self string
-	// Holders returns the live instances, the one that should hold the queue
-	// first.
+	// Holders returns the live instances in the order of the ranking: the first
+	// one should hold the queue.
 	Holders func() []Holder
 
-	number atomic.Uint64
-	lock   sync.Mutex // guards avoid
-	avoid  map[string]time.Time
+	number    atomic.Uint64
+	lock      sync.Mutex // guards skipUntil
+	skipUntil map[string]time.Time
 }
 
-// Acquire waits for permission to load what d waits for. The returned function
-// ends the load and must be called once. While it waits, d learns when the load
-// is expected to end.
+// Acquire waits for permission for the load that d waits for, and passes the
+// expected end of the load to d.Expect after each poll. The returned function
+// reports the end of the load and must be called once. The error is a
+// *BackoffError or that of ctx.
 func (p *Permits) Acquire(ctx context.Context, d *Demand) (func(failed bool), error) {
 	id := ID{Asker: p.Self, Number: p.number.Add(1)}
 	length := firstPoll
@@ -121,13 +127,13 @@
 		answer, err := p.ask(ctx, h, ask, length)
 		switch {
 		case ctx.Err() != nil:
-			p.leave(h, id, d.Path, answer)
+			p.withdraw(h, id, d.Path, answer)
 			return nil, ctx.Err()
 		case err != nil:
-			p.shun(h.Name)
+			p.skip(h.Name)
 			continue
 		case answer.Granted:
-			return p.keep(h, ask), nil
+			return p.startRenewal(h, ask), nil
 		case answer.Backoff:
 			return nil, &BackoffError{After: answer.Wait}
 		}
@@ -136,7 +142,7 @@
 	}
 }
 
-// ask makes one poll.
+// ask makes one poll at a holder.
 func (p *Permits) ask(ctx context.Context, h Holder, a Ask, length time.Duration) (Answer, error) {
 	bounded, cancel := context.WithTimeout(ctx, length+answerSlack)
 	defer cancel()
@@ -149,77 +155,78 @@
 	return answer, nil
 }
 
-// holder returns the first holder that is not passed over.
+// holder returns the first holder that is not skipped.
 func (p *Permits) holder() (Holder, bool) {
 	all := p.Holders()
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	now := time.Now()
 	for _, h := range all {
-		if now.After(p.avoid[h.Name]) {
+		if now.After(p.skipUntil[h.Name]) {
 			return h, true
 		}
 	}
 	return Holder{}, false
 }
 
-func (p *Permits) shun(name string) {
+func (p *Permits) skip(name string) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if p.avoid == nil {
-		p.avoid = map[string]time.Time{}
+	if p.skipUntil == nil {
+		p.skipUntil = map[string]time.Time{}
 	}
-	p.avoid[name] = time.Now().Add(avoidHolder)
+	p.skipUntil[name] = time.Now().Add(holderSkipTime)
 }
 
-// leave gives an ask up; its own context has ended.
-func (p *Permits) leave(h Holder, id ID, path string, answer Answer) {
+// withdraw withdraws a request, or returns the permission if it was granted,
+// after the context of Acquire has ended.
+func (p *Permits) withdraw(h Holder, id ID, path string, answer Answer) {
 	if answer.Granted {
-		p.done(h, id, path, false)
+		p.reportDone(h, id, path, false)
 		return
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), answerSlack)
 		defer cancel()
-		// Without it the queue forgets the ask by itself.
+		// If this fails, the queue removes the request after askTimeout.
 		_ = h.Leave(ctx, id)
 	}()
 }
 
-// keep renews a permission until the returned function is called, which tells
-// the holder that the load has ended.
-func (p *Permits) keep(h Holder, a Ask) func(failed bool) {
+// startRenewal renews a permission in the background until the returned
+// function is called, which reports the end of the load to the holder.
+func (p *Permits) startRenewal(h Holder, a Ask) func(failed bool) {
 	a.Renew = true
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		for snipetime.Sleep(ctx, renewEvery) {
-			now, ok := p.holder()
+			current, ok := p.holder()
 			if !ok {
 				continue
 			}
-			h = now
-			if _, err := p.ask(ctx, now, a, firstPoll); err != nil {
-				p.shun(now.Name)
+			h = current
+			if _, err := p.ask(ctx, current, a, firstPoll); err != nil {
+				p.skip(current.Name)
 			}
 		}
 	}()
 	return func(failed bool) {
 		cancel()
 		go func() {
-			// A renewal after the end would count as a load that runs.
+			// A renewal that arrives after the end would count as a running load.
 			<-ended
-			p.done(h, a.ID, a.Path, failed)
+			p.reportDone(h, a.ID, a.Path, failed)
 		}()
 	}
 }
 
-func (p *Permits) done(h Holder, id ID, path string, failed bool) {
+func (p *Permits) reportDone(h Holder, id ID, path string, failed bool) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), answerSlack)
 		defer cancel()
-		// Without it the permission runs out by itself.
+		// If this fails, the permission expires by itself.
 		_ = h.Done(ctx, id, path, failed)
 	}()
 }
