--- a/snipeslot/fake_test.go
+++ b/snipeslot/fake_test.go
@@ -19,7 +19,7 @@
 // fakeLoadTime is the time that a load takes at a fakeEngine.
 const fakeLoadTime = 100 * time.Millisecond
 
-// fault is a fault of one order.
+// fault is the way in which one order fails.
 type fault int
 
 const (
--- a/snipeweight/queue_test.go
+++ b/snipeweight/queue_test.go
@@ -164,11 +164,11 @@
 // one stops answering in the middle of a wait.
 func TestHolderGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var gone atomic.Bool
+		var stopped atomic.Bool
 		local := Local("i0", newQueue(1000, 1))
 		failing := local
 		failing.Ask = func(ctx context.Context, a Ask) (Answer, error) {
-			if gone.Load() {
+			if stopped.Load() {
 				return Answer{}, errors.New("gone")
 			}
 			return local.Ask(ctx, a)
@@ -177,7 +177,7 @@
 		s := &store{}
 		blocker, err := p.Acquire(t.Context(), &Demand{Path: "a"})
 		must.NoError(t, err)
-		time.AfterFunc(5*time.Second, func() { gone.Store(true) })
+		time.AfterFunc(5*time.Second, func() { stopped.Store(true) })
 		start := time.Now()
 		must.NoError(t, s.load(t, p, "b", snipecall.Status, false))
 		must.Less(t, 8*time.Second, time.Since(start))
