--- a/snipelimit/adaptive.go
+++ b/snipelimit/adaptive.go
@@ -9,95 +9,104 @@
 )
 
 const (
-	// decrease is the factor of the limit after a refusal, slowDecrease after a
-	// call that took much longer than usual.
-	decrease, slowDecrease = 0.7, 0.98
-	// slowCall is how many times the usual time a call takes that shows an
-	// overload.
-	slowCall = 3
-	// shrinkPause is the shortest time between two decreases after refusals:
-	// refusals of one moment are one sign.
-	shrinkPause = 200 * time.Millisecond
-	// batchSpare is the part of a batch that may wait at the upstream, so that a
-	// place that gets free is filled at once.
-	batchSpare = 8
-	// unknownStart and unknownTop are the first and the highest limit of an
-	// upstream that states no batch.
-	unknownStart, unknownTop = 16, 512
-	// usualWeight is the weight of the last call in the usual time.
-	usualWeight = 0.01
+	// refusalDecrease is the factor by which the limit falls after the upstream
+	// refused a call, slowDecrease after a slow call.
+	refusalDecrease, slowDecrease = 0.7, 0.98
+	// slowFactor defines a slow call, which indicates an overload: it takes more
+	// than slowFactor times the typical duration.
+	slowFactor = 3
+	// minDecreaseInterval is the shortest time between two decreases after
+	// refusals. Refusals within it have the same cause and count once.
+	minDecreaseInterval = 200 * time.Millisecond
+	// batchHeadroom is the divisor of the batch that gives the number of calls, at
+	// least one, by which the limit may exceed the batch. These calls wait at the
+	// upstream, so that it fills a free batch slot at once.
+	batchHeadroom = 8
+	// unknownBatchLimit and unknownBatchMax are the initial and the highest limit
+	// of an upstream whose batch size is unknown.
+	unknownBatchLimit, unknownBatchMax = 16, 512
+	// typicalWeight is the weight of the latest call in the typical duration.
+	typicalWeight = 0.01
 )
 
-// verdict is what a call has shown of its upstream's load.
-type verdict uint8
+// loadResult is what the end of a call indicates about the load of its upstream.
+type loadResult uint8
 
 const (
-	served verdict = iota
+	// served: the call succeeded.
+	served loadResult = iota
+	// refused: the upstream refused the call as overloaded.
 	refused
-	nothing
+	// inconclusive: the call failed for a reason other than load.
+	inconclusive
 )
 
-// verdictOf reads a call's failure.
-func verdictOf(err error) verdict {
+// classify returns the loadResult of a call that ended with err.
+func classify(err error) loadResult {
 	switch {
 	case err == nil:
 		return served
 	case errors.Is(err, snipeerror.ErrOverloaded):
 		return refused
 	}
-	return nothing
+	return inconclusive
 }
 
-// adaptive is a limit of concurrent calls: additive increase while it is used,
-// multiplicative decrease at refusals, and slowly at calls that take long.
+// adaptive is a limit on concurrent calls. It increases additively while it is
+// fully used, and decreases multiplicatively, strongly after refusals and
+// slightly after slow calls.
 type adaptive struct {
-	batch      int
-	value, top float64
-	usual      time.Duration
-	shrunk     time.Time
+	batch           int
+	value, maxValue float64
+	typical         time.Duration // moving average of the duration of a call
+	decreased       time.Time     // the last decrease after a refusal
 }
 
+// newAdaptive returns the initial limit of an upstream that executes batch calls
+// at once; a batch below 1 is unknown.
 func newAdaptive(batch int) adaptive {
 	if batch < 1 {
-		return adaptive{batch: batch, value: unknownStart, top: unknownTop}
+		return adaptive{batch: batch, value: unknownBatchLimit, maxValue: unknownBatchMax}
 	}
-	return adaptive{batch: batch, value: float64(batch), top: float64(batch + max(batch/batchSpare, 1))}
+	return adaptive{batch: batch, value: float64(batch), maxValue: float64(batch + max(batch/batchHeadroom, 1))}
 }
 
-// resize starts anew for another batch; the usual time of a call stays.
+// resize resets the limit if the batch has changed. It keeps the typical
+// duration of a call.
 func (a *adaptive) resize(batch int) {
 	if batch == a.batch {
 		return
 	}
-	usual := a.usual
+	typical := a.typical
 	*a = newAdaptive(batch)
-	a.usual = usual
+	a.typical = typical
 }
 
-// calls returns how many calls may run at once.
-func (a *adaptive) calls() int { return max(int(a.value), 1) }
+// maxCalls returns how many calls may run at once, at least 1.
+func (a *adaptive) maxCalls() int { return max(int(a.value), 1) }
 
-// observe takes the end of a call with so many under way.
-func (a *adaptive) observe(v verdict, took time.Duration, running int) {
+// observe adjusts the limit after a call that took the given time and ended while
+// running calls, itself included, were running.
+func (a *adaptive) observe(r loadResult, took time.Duration, running int) {
 	now := time.Now()
-	switch v {
+	switch r {
 	case refused:
-		if now.Sub(a.shrunk) >= shrinkPause {
-			a.value = max(a.value*decrease, 1)
-			a.shrunk = now
+		if now.Sub(a.decreased) >= minDecreaseInterval {
+			a.value = max(a.value*refusalDecrease, 1)
+			a.decreased = now
 		}
 		return
-	case nothing:
+	case inconclusive:
 		return
 	}
-	if a.usual == 0 {
-		a.usual = took
+	if a.typical == 0 {
+		a.typical = took
 	}
-	a.usual += time.Duration(usualWeight * float64(min(took, slowCall*a.usual)-a.usual))
+	a.typical += time.Duration(typicalWeight * float64(min(took, slowFactor*a.typical)-a.typical))
 	switch {
-	case took > slowCall*a.usual:
+	case took > slowFactor*a.typical:
 		a.value = max(a.value*slowDecrease, 1)
-	case running >= a.calls():
-		a.value = min(a.value+1/a.value, a.top)
+	case running >= a.maxCalls():
+		a.value = min(a.value+1/a.value, a.maxValue)
 	}
 }
--- a/snipelimit/bench_test.go
+++ b/snipelimit/bench_test.go
@@ -9,7 +9,7 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// BenchmarkQueueFree is a call at an upstream that has room.
+// BenchmarkQueueFree measures a call to an upstream that has a free slot.
 func BenchmarkQueueFree(b *testing.B) {
 	q := NewQueue(32)
 	c := newCall("a", snipecall.Standard, time.Hour)
@@ -23,27 +23,28 @@
 	}
 }
 
-// BenchmarkQueueFull is the choice of the next call among 100 teams that wait.
+// BenchmarkQueueFull measures the choice of the next call among 100 teams that
+// have a waiting call.
 func BenchmarkQueueFull(b *testing.B) {
 	q := NewQueue(32)
 	q.limit.value = 0
 	for n := range 100 {
-		w := &waiter{call: newCall(strconv.Itoa(n), snipecall.Standard, time.Hour), turn: make(chan error, 1)}
+		w := &waiter{call: newCall(strconv.Itoa(n), snipecall.Standard, time.Hour), decision: make(chan error, 1)}
 		q.push(w)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		q.fairest(snipecall.Standard)
+		q.nextTeam(snipecall.Standard)
 	}
 }
 
-// BenchmarkAdmit is a call of a limited team.
+// BenchmarkAdmit measures the admission of a call of a limited team.
 func BenchmarkAdmit(b *testing.B) {
-	k := &Teams{Limit: fixed(snipetree.Limit{Concurrent: 10}), Instances: func() int { return 340 }}
+	teams := &Teams{Limit: fixed(snipetree.Limit{Concurrent: 10}), Instances: func() int { return 340 }}
 	c := newCall("a", snipecall.Standard, time.Hour)
 	b.ReportAllocs()
 	for b.Loop() {
-		release, err := k.Admit(c)
+		release, err := teams.Admit(c)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/snipelimit/queue.go
+++ b/snipelimit/queue.go
@@ -12,109 +12,116 @@
 )
 
 const (
-	// queueFactor and queueSpare bound a queue: so many times the limit, and so
-	// many more.
-	queueFactor, queueSpare = 4, 16
-	// passEvery is how often the class that is not the most urgent comes first,
-	// so that none waits for good.
-	passEvery = 8
-	// holdWeight is the weight of the last call in the average time that a call
-	// takes.
-	holdWeight = 0.1
+	// queueFactor and queueExtra bound the length of a queue: queueFactor times
+	// the limit, plus queueExtra.
+	queueFactor, queueExtra = 4, 16
+	// leastUrgentEvery is the interval, in grants, at which the least urgent
+	// waiting class is served first, so that urgent classes cannot starve it.
+	leastUrgentEvery = 8
+	// meanWeight is the weight of the latest call in the mean duration of calls.
+	meanWeight = 0.1
 )
 
-// Queue admits calls to one upstream. It is safe for concurrent use.
+// Queue admits calls to one upstream: some run, others wait. It is safe for
+// concurrent use.
 type Queue struct {
 	lock    sync.Mutex // guards the fields below
 	limit   adaptive
 	running int
 	waiting int
 	grants  int
-	hold    time.Duration // average time that a call takes
-	teams   map[string]*team
-	classes [snipecall.Classes]int // calls that wait
+	mean    time.Duration // moving average of the duration of a call
+	teams   map[string]*teamQueue
+	classes [snipecall.Classes]int // waiting calls by class
 }
 
-// team is what a team has at the upstream.
-type team struct {
-	running int
-	last    int // the number of the last grant
-	waiting [snipecall.Classes][]*waiter
+// teamQueue holds the running and waiting calls of one team.
+type teamQueue struct {
+	running   int
+	lastGrant int // value of Queue.grants at the team's last grant
+	waiting   [snipecall.Classes][]*waiter
 }
 
-// waiter is a call that waits for its turn.
+// waiter is a call that waits for a send slot.
 type waiter struct {
-	call *snipecall.Call
-	turn chan error // takes nil for the turn, or why the call is refused
+	call     *snipecall.Call
+	decision chan error // receives nil when the call is admitted, or its refusal
 }
 
-// NewQueue returns the queue of an upstream that executes so many calls at once;
-// zero when it is not known.
+// NewQueue returns the queue of an upstream that executes batch calls at once;
+// zero means that the number is unknown.
 func NewQueue(batch int) *Queue {
-	return &Queue{limit: newAdaptive(batch), teams: map[string]*team{}}
+	return &Queue{limit: newAdaptive(batch), teams: map[string]*teamQueue{}}
 }
 
-// Resize tells the queue that its upstream executes so many calls at once now.
+// Resize sets the number of calls that the upstream executes at once.
 func (q *Queue) Resize(batch int) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.limit.resize(batch)
-	q.next()
+	q.admitWaiting()
 }
 
-// Enter waits for the call's turn. The caller calls done with its failure.
+// Enter waits until the call may run. If the call is admitted, the caller must
+// call done once when the call ends, with the error of the call or nil. Enter
+// fails with ErrLimited if the call may not wait or is evicted, and with
+// ErrDeadline or ErrCanceled if ctx ends first.
 func (q *Queue) Enter(ctx context.Context, c *snipecall.Call) (done func(error), err error) {
 	q.lock.Lock()
-	if q.running < q.limit.calls() && q.waiting == 0 {
+	if q.running < q.limit.maxCalls() && q.waiting == 0 {
 		q.grant(c)
 		q.lock.Unlock()
-		return q.leaver(c), nil
+		return q.doneFunc(c), nil
 	}
-	if err := q.refuse(c); err != nil {
+	if err := q.checkCapacity(c); err != nil {
 		q.lock.Unlock()
 		return nil, err
 	}
-	w := &waiter{call: c, turn: make(chan error, 1)}
+	w := &waiter{call: c, decision: make(chan error, 1)}
 	q.push(w)
 	q.lock.Unlock()
 	select {
-	case err := <-w.turn:
+	case err := <-w.decision:
 		if err != nil {
 			return nil, err
 		}
-		return q.leaver(c), nil
+		return q.doneFunc(c), nil
 	case <-ctx.Done():
 		return q.abandon(ctx, w)
 	}
 }
 
-// refuse returns why a call is not to wait, or nil. It may push another call
-// out of the queue. The lock is held.
-func (q *Queue) refuse(c *snipecall.Call) error {
-	wait := q.expected(c)
+// checkCapacity returns nil if the call may wait, and its refusal otherwise. If
+// the queue is full, checkCapacity refuses the call or makes a free slot: it
+// evicts the newest call of the least urgent class of the team with the most
+// waiting calls. The lock is held.
+func (q *Queue) checkCapacity(c *snipecall.Call) error {
+	wait := q.expectedWait(c)
 	if left := time.Until(c.Deadline); wait > left {
 		return limited(c, "the queue is longer than the deadline", wait-left)
 	}
-	if q.waiting < queueFactor*q.limit.calls()+queueSpare {
+	if q.waiting < queueFactor*q.limit.maxCalls()+queueExtra {
 		return nil
 	}
-	longest, name := 0, ""
+	most, name := 0, ""
 	for n, t := range q.teams {
-		if l := t.queued(); l > longest || l == longest && n < name {
-			longest, name = l, n
+		if l := t.queued(); l > most || l == most && n < name {
+			most, name = l, n
 		}
 	}
-	if t := q.teams[c.Team]; name == c.Team || t != nil && t.queued() >= longest {
+	if t := q.teams[c.Team]; name == c.Team || t != nil && t.queued() >= most {
 		return limited(c, "the queue is full", wait)
 	}
 	w := q.pop(q.teams[name], name, true)
-	w.turn <- limited(w.call, "pushed out of a full queue", wait)
+	w.decision <- limited(w.call, "pushed out of a full queue", wait)
 	return nil
 }
 
-// expected returns how long a call would wait. Of its own class each team has
-// as many calls before it as the call's own team, of more urgent ones all.
-func (q *Queue) expected(c *snipecall.Call) time.Duration {
+// expectedWait estimates how long a new call would wait. The calls ahead of it
+// are all waiting calls of more urgent classes, those of its own team and class,
+// and of each other team at most one more than those, because teams of one class
+// alternate. The lock is held.
+func (q *Queue) expectedWait(c *snipecall.Call) time.Duration {
 	ahead := 1
 	for class := range c.Class {
 		ahead += q.classes[class]
@@ -128,27 +135,29 @@
 			ahead += min(len(t.waiting[c.Class]), own+1)
 		}
 	}
-	return time.Duration(ahead+own) * q.hold / time.Duration(q.limit.calls())
+	return time.Duration(ahead+own) * q.mean / time.Duration(q.limit.maxCalls())
 }
 
-// grant counts a call as running. The lock is held.
+// grant records that a call starts to run. The lock is held.
 func (q *Queue) grant(c *snipecall.Call) {
 	t := q.team(c.Team)
 	t.running++
 	q.grants++
-	t.last = q.grants
+	t.lastGrant = q.grants
 	q.running++
 }
 
-func (q *Queue) team(name string) *team {
+// team returns the entry of a team, and adds it if necessary. The lock is held.
+func (q *Queue) team(name string) *teamQueue {
 	t, ok := q.teams[name]
 	if !ok {
-		t = &team{}
+		t = &teamQueue{}
 		q.teams[name] = t
 	}
 	return t
 }
 
+// push appends a call to the queue. The lock is held.
 func (q *Queue) push(w *waiter) {
 	t := q.team(w.call.Team)
 	t.waiting[w.call.Class] = append(t.waiting[w.call.Class], w)
@@ -156,8 +165,8 @@
 	q.waiting++
 }
 
-// queued returns how many calls of the team wait.
-func (t *team) queued() int {
+// queued returns the number of waiting calls of the team.
+func (t *teamQueue) queued() int {
 	n := 0
 	for _, w := range t.waiting {
 		n += len(w)
@@ -165,71 +174,76 @@
 	return n
 }
 
-// pop takes a call of a team out of the queue: the oldest of the most urgent
-// class, or the newest of the least urgent one. The lock is held.
-func (q *Queue) pop(t *team, name string, newest bool) *waiter {
+// pop removes and returns a waiting call of a team: the newest call of its least
+// urgent class if newest is set, and the oldest call of its most urgent class
+// otherwise. It returns nil if the team has none. The lock is held.
+func (q *Queue) pop(t *teamQueue, name string, newest bool) *waiter {
 	for i := range snipecall.Classes {
 		class := i
 		if newest {
 			class = snipecall.Classes - 1 - i
 		}
 		if w := t.take(class, newest); w != nil {
-			q.removed(name, t, class)
+			q.recordRemoval(name, t, class)
 			return w
 		}
 	}
 	return nil
 }
 
-// take removes the oldest or newest waiter of a class.
-func (t *team) take(class snipecall.Class, newest bool) *waiter {
+// take removes and returns the newest waiter of a class if newest is set, and the
+// oldest one otherwise. It returns nil if there is none.
+func (t *teamQueue) take(class snipecall.Class, newest bool) *waiter {
 	list := t.waiting[class]
 	if len(list) == 0 {
 		return nil
 	}
-	at := 0
+	i := 0
 	if newest {
-		at = len(list) - 1
+		i = len(list) - 1
 	}
-	w := list[at]
-	list[at] = nil
+	w := list[i]
+	list[i] = nil
 	if newest {
-		t.waiting[class] = list[:at]
+		t.waiting[class] = list[:i]
 	} else {
 		t.waiting[class] = list[1:]
 	}
 	return w
 }
 
-// removed counts a call that left the queue, and forgets a team that has
-// nothing here any more. The lock is held.
-func (q *Queue) removed(name string, t *team, class snipecall.Class) {
+// recordRemoval updates the counts after a waiting call was removed, and deletes
+// the team if it has no calls left. The lock is held.
+func (q *Queue) recordRemoval(name string, t *teamQueue, class snipecall.Class) {
 	q.classes[class]--
 	q.waiting--
-	q.forget(name, t)
+	q.deleteIdle(name, t)
 }
 
-func (q *Queue) forget(name string, t *team) {
+// deleteIdle deletes a team that has neither running nor waiting calls, which
+// bounds the size of the map. The lock is held.
+func (q *Queue) deleteIdle(name string, t *teamQueue) {
 	if t.running == 0 && t.queued() == 0 {
 		delete(q.teams, name)
 	}
 }
 
-// next gives turns while there is room. The lock is held.
-func (q *Queue) next() {
-	for q.running < q.limit.calls() && q.waiting > 0 {
-		class := q.class()
-		name, t := q.fairest(class)
+// admitWaiting admits waiting calls while fewer calls run than the limit allows.
+// The lock is held.
+func (q *Queue) admitWaiting() {
+	for q.running < q.limit.maxCalls() && q.waiting > 0 {
+		class := q.nextClass()
+		name, t := q.nextTeam(class)
 		w := t.take(class, false)
 		q.grant(w.call)
-		q.removed(name, t, class)
-		w.turn <- nil
+		q.recordRemoval(name, t, class)
+		w.decision <- nil
 	}
 }
 
-// class returns the class whose turn it is: the most urgent one that waits, and
-// now and then the least urgent one. The lock is held.
-func (q *Queue) class() snipecall.Class {
+// nextClass returns the class to serve next: the most urgent waiting class, but
+// the least urgent one at every leastUrgentEvery-th grant. The lock is held.
+func (q *Queue) nextClass() snipecall.Class {
 	first, last := snipecall.Classes, snipecall.Class(0)
 	for class, n := range q.classes {
 		if n == 0 {
@@ -238,57 +252,59 @@
 		first = min(first, snipecall.Class(class))
 		last = max(last, snipecall.Class(class))
 	}
-	if (q.grants+1)%passEvery == 0 {
+	if (q.grants+1)%leastUrgentEvery == 0 {
 		return last
 	}
 	return first
 }
 
-// fairest returns the team with the fewest calls under way among those that
-// wait in a class; among equals the one whose last turn is longest ago.
-func (q *Queue) fairest(class snipecall.Class) (string, *team) {
-	var best *team
+// nextTeam returns the team to serve next in a class: among the teams with
+// waiting calls in that class, the one with the fewest running calls, and among
+// equals the one whose last grant is the oldest. The lock is held.
+func (q *Queue) nextTeam(class snipecall.Class) (string, *teamQueue) {
+	var best *teamQueue
 	var name string
 	for n, t := range q.teams {
 		switch {
 		case len(t.waiting[class]) == 0:
 		case best == nil, t.running < best.running,
-			t.running == best.running && t.last < best.last,
-			t.running == best.running && t.last == best.last && n < name:
+			t.running == best.running && t.lastGrant < best.lastGrant,
+			t.running == best.running && t.lastGrant == best.lastGrant && n < name:
 			best, name = t, n
 		}
 	}
 	return name, best
 }
 
-// leaver returns what ends a call that has had its turn.
-func (q *Queue) leaver(c *snipecall.Call) func(error) {
+// doneFunc returns the function that ends an admitted call, given its error.
+func (q *Queue) doneFunc(c *snipecall.Call) func(error) {
 	start := time.Now()
 	return func(err error) {
 		q.lock.Lock()
 		defer q.lock.Unlock()
-		took := time.Since(start)
-		q.hold += time.Duration(holdWeight * float64(took-q.hold))
-		q.limit.observe(verdictOf(err), took, q.running)
+		elapsed := time.Since(start)
+		q.mean += time.Duration(meanWeight * float64(elapsed-q.mean))
+		q.limit.observe(classify(err), elapsed, q.running)
 		q.running--
 		t := q.teams[c.Team]
 		t.running--
-		q.forget(c.Team, t)
-		q.next()
+		q.deleteIdle(c.Team, t)
+		q.admitWaiting()
 	}
 }
 
-// abandon takes a call out of the queue whose context has ended.
+// abandon removes a waiting call whose context has ended. If the call was
+// admitted or refused at the same time, it returns that decision.
 func (q *Queue) abandon(ctx context.Context, w *waiter) (func(error), error) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	select {
-	case err := <-w.turn:
-		// The turn came at the same moment.
+	case err := <-w.decision:
+		// The decision and the end of the context were concurrent.
 		if err != nil {
 			return nil, err
 		}
-		return q.leaver(w.call), nil
+		return q.doneFunc(w.call), nil
 	default:
 	}
 	t := q.teams[w.call.Team]
@@ -296,7 +312,7 @@
 	for i := range list {
 		if list[i] == w {
 			t.waiting[w.call.Class] = append(list[:i:i], list[i+1:]...)
-			q.removed(w.call.Team, t, w.call.Class)
+			q.recordRemoval(w.call.Team, t, w.call.Class)
 			break
 		}
 	}
@@ -307,9 +323,9 @@
 	return nil, snipeerror.New(kind, snipeerror.NotRun, "while waiting for upstream "+w.call.Upstream)
 }
 
-// Load returns the calls under way, those that wait, and the limit.
+// Load returns the number of running calls, of waiting calls, and the limit.
 func (q *Queue) Load() (running, waiting, limit int) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	return q.running, q.waiting, q.limit.calls()
+	return q.running, q.waiting, q.limit.maxCalls()
 }
--- a/snipelimit/queue_test.go
+++ b/snipelimit/queue_test.go
@@ -15,20 +15,23 @@
 	"snipepitch.example/snipepitch/snipeerror"
 )
 
-func newCall(team string, class snipecall.Class, left time.Duration) *snipecall.Call {
-	return &snipecall.Call{Team: team, Class: class, Upstream: "e", Deadline: time.Now().Add(left)}
+// newCall returns a call whose deadline is after the given timeout.
+func newCall(team string, class snipecall.Class, timeout time.Duration) *snipecall.Call {
+	return &snipecall.Call{Team: team, Class: class, Upstream: "e", Deadline: time.Now().Add(timeout)}
 }
 
-// order runs calls of the given teams and classes, all waiting behind one call
-// at a queue of one, and returns the order in which they had their turns.
-type order struct {
+// grantOrder runs calls through a queue and records the order in which they are
+// admitted.
+type grantOrder struct {
 	lock  sync.Mutex
 	names []string
-	all   sync.WaitGroup
+	calls sync.WaitGroup
 }
 
-func (o *order) start(t *testing.T, q *Queue, name string, c *snipecall.Call) {
-	o.all.Go(func() {
+// start enters a call, which runs for a second once it is admitted, and returns
+// when the call runs or waits.
+func (o *grantOrder) start(t *testing.T, q *Queue, name string, c *snipecall.Call) {
+	o.calls.Go(func() {
 		done, err := q.Enter(t.Context(), c)
 		if err != nil {
 			return
@@ -42,13 +45,17 @@
 	synctest.Wait()
 }
 
-func (o *order) seen() []string {
+// granted returns the names of the calls admitted so far, in order.
+func (o *grantOrder) granted() []string {
 	synctest.Wait()
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	return slices.Clone(o.names)
 }
 
+// TestOrder guards against a wrong order of the waiting calls: urgent classes
+// first, teams in rotation, and no class starved. All calls wait behind one
+// running call at a queue whose limit is 1.
 func TestOrder(t *testing.T) {
 	type item struct {
 		team  string
@@ -75,13 +82,13 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				q := NewQueue(1)
-				q.limit.top = 1
-				var o order
+				q.limit.maxValue = 1
+				var o grantOrder
 				o.start(t, q, "first", newCall("a", 1, time.Hour))
 				for n, i := range test.items {
 					o.start(t, q, strconv.Itoa(n), newCall(i.team, i.class, time.Hour))
 				}
-				o.all.Wait()
+				o.calls.Wait()
 				must.Eq(t, append([]string{"first"}, test.want...), o.names)
 				must.MapEmpty(t, q.teams)
 			})
@@ -89,57 +96,61 @@
 	}
 }
 
-// TestRefusals: what cannot wait is told so at once, with when to come back.
+// TestRefusals guards against calls that wait in a full queue or past their
+// deadline instead of being refused at once with a retry delay, and against one
+// team that fills the queue and so shuts out the others.
 func TestRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := NewQueue(1)
-		q.limit.top = 1
-		q.hold = time.Second
-		var o order
-		for n := range queueFactor + queueSpare + 1 {
-			o.start(t, q, strconv.Itoa(n), newCall("storm", 1, time.Hour))
+		q.limit.maxValue = 1
+		q.mean = time.Second
+		var o grantOrder
+		for n := range queueFactor + queueExtra + 1 {
+			o.start(t, q, strconv.Itoa(n), newCall("noisy", 1, time.Hour))
 		}
 		start := time.Now()
-		_, err := q.Enter(t.Context(), newCall("storm", 1, time.Hour))
+		_, err := q.Enter(t.Context(), newCall("noisy", 1, time.Hour))
 		must.ErrorIs(t, err, snipeerror.ErrLimited)
 		must.Eq(t, snipeerror.NotRun, snipeerror.From(err).Outcome)
 		must.Between(t, 15*time.Second, snipeerror.From(err).RetryAfter, 30*time.Second)
-		_, err = q.Enter(t.Context(), newCall("storm", 1, 3*time.Second))
+		_, err = q.Enter(t.Context(), newCall("noisy", 1, 3*time.Second))
 		must.ErrorIs(t, err, snipeerror.ErrLimited, must.Sprint("the deadline cannot be met"))
-		must.Eq(t, start, time.Now(), must.Sprint("a refusal was held back"))
-		// Another team finds room in the full queue, and comes next.
+		must.Eq(t, start, time.Now(), must.Sprint("the refusal was delayed"))
+		// A call of another team evicts one of the full queue, and is admitted next.
 		o.start(t, q, "other", newCall("other", 1, 3*time.Second))
 		time.Sleep(1500 * time.Millisecond)
-		must.Eq(t, []string{"0", "other"}, o.seen())
-		o.all.Wait()
-		must.Len(t, queueFactor+queueSpare+1, o.names, must.Sprint("one of the storm was pushed out"))
+		must.Eq(t, []string{"0", "other"}, o.granted())
+		o.calls.Wait()
+		must.Len(t, queueFactor+queueExtra+1, o.names, must.Sprint("one call of the noisy team was evicted"))
 	})
 }
 
-// TestRefusesDeadline: a call whose deadline the queue cannot meet is refused
-// although there is room in the queue.
+// TestRefusesDeadline guards against a call that joins a queue with free capacity
+// although its deadline is earlier than its expected wait.
 func TestRefusesDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := NewQueue(1)
-		q.limit.top = 1
-		q.hold = time.Second
-		var o order
+		q.limit.maxValue = 1
+		q.mean = time.Second
+		var o grantOrder
 		for n := range 6 {
 			o.start(t, q, strconv.Itoa(n), newCall("a", 1, time.Hour))
 		}
 		_, err := q.Enter(t.Context(), newCall("a", 1, 3*time.Second))
 		must.ErrorIs(t, err, snipeerror.ErrLimited)
 		must.Between(t, time.Second, snipeerror.From(err).RetryAfter, 10*time.Second)
-		o.start(t, q, "patient", newCall("a", 1, time.Minute))
-		o.all.Wait()
+		o.start(t, q, "long deadline", newCall("a", 1, time.Minute))
+		o.calls.Wait()
 		must.Len(t, 7, o.names)
 	})
 }
 
+// TestEnterCanceled guards against a call that stays in the queue, or in its
+// counts, after its context has ended.
 func TestEnterCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := NewQueue(1)
-		q.limit.top = 1
+		q.limit.maxValue = 1
 		done, err := q.Enter(t.Context(), newCall("a", 1, time.Hour))
 		must.NoError(t, err)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -153,39 +164,42 @@
 	})
 }
 
-// TestAdaptive: refusals and long calls lower the limit, use raises it.
+// TestAdaptive guards against an adaptive limit that does not fall after refusals
+// and slow calls, falls once for each of several simultaneous refusals, or grows
+// while it is not fully used.
 func TestAdaptive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		overloaded := snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "test")
+		refusal := snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "test")
 		a := newAdaptive(0)
-		must.Eq(t, unknownStart, a.calls())
+		must.Eq(t, unknownBatchLimit, a.maxCalls())
 		for range 100 {
-			a.observe(verdictOf(overloaded), time.Second, 1)
+			a.observe(classify(refusal), time.Second, 1)
 		}
-		must.Eq(t, 11, a.calls(), must.Sprint("refusals of one moment are one sign"))
+		must.Eq(t, 11, a.maxCalls(), must.Sprint("simultaneous refusals count once"))
 		for range 20 {
 			time.Sleep(time.Second)
-			a.observe(verdictOf(overloaded), time.Second, 1)
+			a.observe(classify(refusal), time.Second, 1)
 		}
-		must.Eq(t, 1, a.calls())
+		must.Eq(t, 1, a.maxCalls())
 		for range 100 {
-			a.observe(verdictOf(nil), time.Second, a.calls())
+			a.observe(classify(nil), time.Second, a.maxCalls())
 		}
-		high := a.calls()
+		high := a.maxCalls()
 		must.Between(t, 10, high, 20)
 		for range 100 {
-			a.observe(verdictOf(nil), time.Second, 0)
+			a.observe(classify(nil), time.Second, 0)
 		}
-		must.Eq(t, high, a.calls(), must.Sprint("a limit that is not used does not grow"))
+		must.Eq(t, high, a.maxCalls(), must.Sprint("a limit that is not fully used does not grow"))
 		for range 50 {
-			a.observe(verdictOf(nil), 10*time.Second, a.calls())
+			a.observe(classify(nil), 10*time.Second, a.maxCalls())
 		}
-		must.Less(t, high, a.calls())
+		must.Less(t, high, a.maxCalls())
 	})
 }
 
-// TestResize: an edit of the batch of an upstream in use applies to the next
-// call.
+// TestResize guards against an edit of the batch size that does not apply to the
+// next call of an upstream in use, and against a Resize to the same size that admits
+// further calls.
 func TestResize(t *testing.T) {
 	q := NewQueue(1)
 	enter := func(id string) error {
--- a/snipelimit/snipelimit.go
+++ b/snipelimit/snipelimit.go
@@ -1,23 +1,26 @@
-// Package snipelimit decides how much work is admitted: of a team at an
-// instance (Teams), and of all teams at an upstream (Queue).
+// Package snipelimit implements admission control: Teams limits the calls that
+// an instance accepts from each team, and Queue limits the calls that run at an
+// upstream.
 //
-// Design. A team's limit holds for the deployment; each instance enforces a
-// share of it, by the demand that the instances announce. At an upstream, on
-// the instance that owns it, calls beyond a limit that adapts itself wait in a
-// queue that is fair among teams and lets urgent classes pass.
+// Design. A team's limit applies to the whole deployment. Each instance enforces
+// a share of it, in proportion to the demand that the instances announce. At an
+// upstream, on the instance that owns it, an adaptive limit bounds the running
+// calls. Further calls wait in a queue that is fair among teams and admits
+// urgent classes first.
 //
 // Invariants:
 //
-//   - Nothing waits without bound: queues are bounded, and a call that cannot
-//     be served before its deadline is refused at once, as NotRun, with the time
-//     in which the queue ahead of it drains.
-//   - Where calls of several teams wait in one class, the team with the fewest
-//     calls under way comes next: a storm of one team fills what the others
-//     leave free and no more.
-//   - A full queue refuses, or pushes out, the newest call of the team that
-//     waits with the most.
-//   - A refusal for a team's own excess is ErrLimited, never ErrOverloaded: it
-//     must not make others leave the upstream alone.
+//   - No call waits without bound: queues are bounded, and a call that is not
+//     expected to start before its deadline is refused at once. The refusal is
+//     NotRun, and its retry delay follows from the time in which the queue ahead
+//     of the call drains.
+//   - If calls of several teams wait in one class, the team with the fewest
+//     running calls is served next, so a team that sends too many calls gets
+//     only the capacity that the other teams leave unused.
+//   - A full queue refuses the new call, or evicts the newest call of the team
+//     with the most waiting calls.
+//   - A refusal because of a team's own excess is ErrLimited, never
+//     ErrOverloaded: it must not make instances avoid the upstream.
 package snipelimit
 
 import (
@@ -27,13 +30,14 @@
 	"snipepitch.example/snipepitch/snipeerror"
 )
 
-// Bounds of what a refused caller is told to wait.
+// Bounds of the retry delay in a refusal.
 const (
 	minRetry = time.Second
 	maxRetry = time.Minute
 )
 
-// limited returns the refusal of a call for its team's excess.
+// limited returns the ErrLimited refusal of a call. It states retry, clamped to
+// [minRetry, maxRetry], as the time after which a retry is worthwhile.
 func limited(c *snipecall.Call, reason string, retry time.Duration) error {
 	reason = "team " + c.Team + ", class " + c.Class.String() + ": " + reason
 	return snipeerror.New(snipeerror.ErrLimited, snipeerror.NotRun, reason).After(min(max(retry, minRetry), maxRetry))
--- a/snipelimit/teams.go
+++ b/snipelimit/teams.go
@@ -10,68 +10,77 @@
 )
 
 const (
-	// demandTime is the time constant of the demand, in seconds.
+	// demandTime is the time constant, in seconds, with which the demand decays.
 	demandTime = 5.0
-	// noDemand is a demand that is none any more.
-	noDemand = 1e-3
-	// announceShare is the part of an even share from which on a demand is
-	// announced. What is not announced counts as none, so that all instances
-	// together admit at most this part too much.
+	// idleDemand is the demand, in calls per second, below which a team is idle.
+	idleDemand = 1e-3
+	// announceShare is the fraction of an even share of the limit from which on
+	// a demand is announced. Other instances count a demand that is not announced
+	// as zero, so all instances together exceed the limit by at most this
+	// fraction.
 	announceShare = 0.1
-	// announceBytes is what an announcement costs each instance, announceBudget
-	// what all of them may cost in a second.
+	// announceBytes is the cost of one announcement for each instance, in bytes,
+	// and announceBudget what all announcements may cost it, in bytes per second.
 	announceBytes, announceBudget = 70, 500
-	// announceLives is how many intervals an announcement counts.
-	announceLives = 3
-	// burstTime is the time for which a rate's share can be saved up.
+	// announceIntervals is the number of announcement intervals after which an
+	// announcement expires.
+	announceIntervals = 3
+	// burstTime is the time for which the unused share of a rate accumulates.
 	burstTime = time.Second
-	// concurrentRetry is when a call is worthwhile again that was one too many
-	// at once.
+	// concurrentRetry is the retry delay of a call refused by a limit on
+	// concurrent calls.
 	concurrentRetry = time.Second
 )
 
-// Teams enforces this instance's share of the limits of teams. Exported fields
-// are set before the first call. It is safe for concurrent use.
+// Teams enforces this instance's share of the limits of teams. The exported
+// fields must be set before the first call. Teams is safe for concurrent use.
 type Teams struct {
-	// Limit returns the limit of a team; the zero Limit is none.
+	// Limit returns the limit of a team; the zero Limit means no limit.
 	Limit func(team string) snipetree.Limit
 	// Instances returns the number of live instances.
 	Instances func() int
-	// Announce tells all instances this one's demand of a team, in calls a
-	// second, for a time; nil for none.
+	// Announce sends this instance's demand of a team, in calls per second, to all
+	// other instances. The announcement expires after ttl. Announce may be nil if
+	// Step is never called.
 	Announce func(team string, demand float64, ttl time.Duration)
 
 	lock     sync.Mutex // guards accounts; not held during Announce
 	accounts map[string]*account
 }
 
-// account is a limited team.
+// account is the state of one limited team.
 type account struct {
 	total   bucket
 	classes [snipecall.Classes]bucket
-	// demand is what arrives here in a second, admitted or not.
-	demand float64
-	seen   time.Time
-	// others is the announced demand of other instances by name.
-	others map[string]announced
-	told   float64
-	when   time.Time
-	born   time.Time
+	// demand is the moving average of the calls per second that arrive at this
+	// instance, admitted or not, as of updated.
+	demand  float64
+	updated time.Time
+	// others holds the demand announced by other instances, by instance name.
+	others map[string]announcement
+	// announced is the demand that this instance announced last, at announcedAt.
+	announced   float64
+	announcedAt time.Time
+	created     time.Time
 }
 
-type announced struct {
-	demand float64
-	until  time.Time
+// announcement is the demand announced by another instance.
+type announcement struct {
+	demand  float64
+	expires time.Time
 }
 
-// bucket counts what runs and what may start.
+// bucket counts the running calls, and the tokens of the rate limit: one call
+// may start for each token.
 type bucket struct {
-	running int
-	tokens  float64
-	seen    time.Time
+	running  int
+	tokens   float64
+	refilled time.Time
 }
 
-// Admit counts a call against its team's limits; release ends it.
+// Admit counts a call against its team's limits, and fails with ErrLimited if it
+// exceeds this instance's share of one. If the call is admitted, the caller must
+// call release once when the call ends.
 func (t *Teams) Admit(c *snipecall.Call) (release func(), err error) {
 	limit := t.Limit(c.Team)
 	if limit.Concurrent == 0 && limit.PerSecond == 0 && len(limit.Classes) == 0 {
@@ -101,48 +110,55 @@
 	}, nil
 }
 
+// account returns the account of a team, and adds it if necessary. The lock is
+// held.
 func (t *Teams) account(name string) *account {
 	a, ok := t.accounts[name]
 	if !ok {
 		if t.accounts == nil {
 			t.accounts = map[string]*account{}
 		}
-		a = &account{others: map[string]announced{}, born: time.Now()}
+		a = &account{others: map[string]announcement{}, created: time.Now()}
 		t.accounts[name] = a
 	}
 	return a
 }
 
-// arrive counts a call into the demand.
+// arrive adds a call to the demand.
 func (a *account) arrive(now time.Time) {
 	a.decay(now)
 	a.demand += 1 / demandTime
 }
 
+// decay applies the exponential decay of the demand for the time since the last
+// update.
 func (a *account) decay(now time.Time) {
-	if passed := now.Sub(a.seen).Seconds(); passed > 0 {
+	if passed := now.Sub(a.updated).Seconds(); passed > 0 {
 		a.demand *= math.Exp(-passed / demandTime)
 	}
-	a.seen = now
+	a.updated = now
 }
 
-// share returns this instance's part of the limit: that of the demand it has
-// announced in all that were announced, so that all divide by the same numbers;
-// before it has announced any an even part at most.
+// share returns this instance's share of the limit, from 0 to 1: its announced
+// demand divided by the announced demand of all instances. It uses the announced
+// value, not the current one, so that all instances calculate with the same
+// numbers. Before this instance has announced a demand, share uses the current
+// one, and returns at most an even share.
 func (a *account) share(now time.Time, instances int) float64 {
-	sum := a.heard(now)
+	sum := a.othersDemand(now)
 	even := 1 / float64(max(instances, 1))
-	if a.told == 0 {
+	if a.announced == 0 {
 		return min(even, a.demand/(a.demand+sum))
 	}
-	return a.told / (a.told + sum)
+	return a.announced / (a.announced + sum)
 }
 
-// heard returns the demand that others have announced and that still counts.
-func (a *account) heard(now time.Time) float64 {
+// othersDemand returns the sum of the demands that other instances have
+// announced, and deletes expired announcements.
+func (a *account) othersDemand(now time.Time) float64 {
 	sum := 0.0
 	for name, o := range a.others {
-		if now.After(o.until) {
+		if now.After(o.expires) {
 			delete(a.others, name)
 			continue
 		}
@@ -151,7 +167,8 @@
 	return sum
 }
 
-// check returns why a call may not start, or nil. It earns the time's tokens.
+// check returns nil if a call may start, and its refusal otherwise. It adds the
+// tokens for the time since the last check.
 func (b *bucket) check(c *snipecall.Call, limit snipetree.ClassLimit, share float64, now time.Time) error {
 	if limit.Concurrent > 0 && b.running >= max(int(share*float64(limit.Concurrent)+0.5), 1) {
 		return limited(c, "too many calls at once", concurrentRetry)
@@ -161,12 +178,12 @@
 	}
 	rate := share * limit.PerSecond
 	burst := max(rate*burstTime.Seconds(), 1)
-	if b.seen.IsZero() {
+	if b.refilled.IsZero() {
 		b.tokens = burst
 	} else {
-		b.tokens = min(b.tokens+rate*now.Sub(b.seen).Seconds(), burst)
+		b.tokens = min(b.tokens+rate*now.Sub(b.refilled).Seconds(), burst)
 	}
-	b.seen = now
+	b.refilled = now
 	if b.tokens < 1 {
 		wait := time.Duration((1 - b.tokens) / rate * float64(time.Second))
 		return limited(c, "too many calls a second", wait)
@@ -182,56 +199,64 @@
 	}
 }
 
-// Hear takes the demand that another instance has announced.
+// Hear records the demand, in calls per second, that another instance has
+// announced. The record expires after ttl.
 func (t *Teams) Hear(team, instance string, demand float64, ttl time.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.account(team).others[instance] = announced{demand, time.Now().Add(ttl)}
+	t.account(team).others[instance] = announcement{demand, time.Now().Add(ttl)}
 }
 
-// due is a demand to announce.
-type due struct {
+// dueAnnouncement is a demand that is to be announced.
+type dueAnnouncement struct {
 	team   string
 	demand float64
 }
 
-// Step announces demands that have changed, and forgets teams that have none.
-// The more instances and limited teams there are, the more seldom.
+// Step announces demands that have changed, and deletes the accounts of idle
+// teams. The more instances and limited teams there are, the longer is the
+// interval between two announcements of one team, at least a second.
 func (t *Teams) Step() {
-	all, ttl := t.due(time.Now())
+	all, ttl := t.dueAnnouncements(time.Now())
 	for _, d := range all {
 		t.Announce(d.team, d.demand, ttl)
 	}
 }
 
-func (t *Teams) due(now time.Time) ([]due, time.Duration) {
+// dueAnnouncements returns the demands to announce and the time after which these
+// announcements expire. It deletes the accounts of idle teams.
+func (t *Teams) dueAnnouncements(now time.Time) ([]dueAnnouncement, time.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	n := max(t.Instances(), 1)
 	cost := float64(n*len(t.accounts)*announceBytes) / announceBudget
 	interval := max(time.Second, time.Duration(cost*float64(time.Second)))
-	var all []due
+	var all []dueAnnouncement
 	for name, a := range t.accounts {
 		a.decay(now)
-		a.heard(now)
-		// A demand that has just begun says too little to keep for an interval.
-		grown := now.Sub(a.born) >= min(interval, demandTime*time.Second)
-		if grown && now.Sub(a.when) >= interval && a.changed(t.Limit(name), n, now.Sub(a.when) >= 2*interval) {
-			a.told, a.when = a.demand, now
-			all = append(all, due{name, a.demand})
+		a.othersDemand(now)
+		// The moving average of a new account starts at zero. An announcement of
+		// it would be too low, and would stay in force for a whole interval.
+		averaged := now.Sub(a.created) >= min(interval, demandTime*time.Second)
+		if averaged && now.Sub(a.announcedAt) >= interval && a.changed(t.Limit(name), n, now.Sub(a.announcedAt) >= 2*interval) {
+			a.announced, a.announcedAt = a.demand, now
+			all = append(all, dueAnnouncement{name, a.demand})
 		}
-		if a.demand < noDemand && a.total.running == 0 && len(a.others) == 0 {
+		if a.demand < idleDemand && a.total.running == 0 && len(a.others) == 0 {
 			delete(t.accounts, name)
 		}
 	}
-	return all, announceLives * interval
+	return all, announceIntervals * interval
 }
 
-// changed reports whether the demand is worth telling, again when old.
+// changed reports whether the demand is to be announced: when it has fallen below
+// the announcement threshold since the last announcement, or when it is above the
+// threshold and differs by more than 20% from the announced demand. Above the
+// threshold, old forces a new announcement.
 func (a *account) changed(l snipetree.Limit, instances int, old bool) bool {
-	least := announceShare * max(l.PerSecond, float64(l.Concurrent)) / float64(instances)
-	if a.demand < least {
-		return a.told >= least
+	threshold := announceShare * max(l.PerSecond, float64(l.Concurrent)) / float64(instances)
+	if a.demand < threshold {
+		return a.announced >= threshold
 	}
-	return old || a.demand > 1.2*a.told || a.demand < 0.8*a.told
+	return old || a.demand > 1.2*a.announced || a.demand < 0.8*a.announced
 }
--- a/snipelimit/teams_test.go
+++ b/snipelimit/teams_test.go
@@ -13,10 +13,13 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
+// fixed returns a Teams.Limit function that returns l for every team.
 func fixed(l snipetree.Limit) func(string) snipetree.Limit {
 	return func(string) snipetree.Limit { return l }
 }
 
+// TestAdmit guards against calls admitted above a limit, refusals below one, and
+// refusals without a retry delay.
 func TestAdmit(t *testing.T) {
 	bulk := map[snipecall.Class]snipetree.ClassLimit{snipecall.Bulk: {Concurrent: 1}}
 	tests := map[string]struct {
@@ -35,10 +38,10 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := &Teams{Limit: fixed(test.limit), Instances: func() int { return 1 }}
+				teams := &Teams{Limit: fixed(test.limit), Instances: func() int { return 1 }}
 				admitted := 0
 				for range test.calls {
-					_, err := k.Admit(newCall("a", test.class, time.Minute))
+					_, err := teams.Admit(newCall("a", test.class, time.Minute))
 					if err == nil {
 						admitted++
 						continue
@@ -52,35 +55,39 @@
 	}
 }
 
+// TestAdmitReleases guards against calls that count after their release, and
+// against accounts that are kept after their team has become idle.
 func TestAdmitReleases(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := &Teams{Limit: fixed(snipetree.Limit{Concurrent: 1}), Instances: func() int { return 1 }}
-		k.Announce = func(string, float64, time.Duration) {}
+		teams := &Teams{Limit: fixed(snipetree.Limit{Concurrent: 1}), Instances: func() int { return 1 }}
+		teams.Announce = func(string, float64, time.Duration) {}
 		for range 3 {
-			release, err := k.Admit(newCall("a", snipecall.Standard, time.Minute))
+			release, err := teams.Admit(newCall("a", snipecall.Standard, time.Minute))
 			must.NoError(t, err)
 			release()
 		}
 		time.Sleep(10 * time.Minute)
-		k.Step()
-		must.MapEmpty(t, k.accounts, must.Sprint("a team without demand is kept"))
+		teams.Step()
+		must.MapEmpty(t, teams.accounts, must.Sprint("a team without demand is kept"))
 	})
 }
 
-// deployment is some instances that enforce one limit.
+// deployment is a set of instances that enforce one limit. They receive each
+// other's announcements after a second.
 type deployment struct {
-	all      []*Teams
-	owed     []float64
-	admitted []int // by second
+	instances []*Teams
+	pending   []float64 // fractional calls not yet sent, by instance
+	admitted  []int     // admitted calls of all instances, by second
 }
 
+// newDeployment returns n instances that enforce limit calls per second.
 func newDeployment(n int, limit float64, seconds int) *deployment {
-	d := &deployment{all: make([]*Teams, n), owed: make([]float64, n), admitted: make([]int, seconds)}
-	for i := range d.all {
-		d.all[i] = &Teams{Limit: fixed(snipetree.Limit{PerSecond: limit}), Instances: func() int { return n }}
-		d.all[i].Announce = func(team string, demand float64, ttl time.Duration) {
+	d := &deployment{instances: make([]*Teams, n), pending: make([]float64, n), admitted: make([]int, seconds)}
+	for i := range d.instances {
+		d.instances[i] = &Teams{Limit: fixed(snipetree.Limit{PerSecond: limit}), Instances: func() int { return n }}
+		d.instances[i].Announce = func(team string, demand float64, ttl time.Duration) {
 			time.AfterFunc(time.Second, func() {
-				for j, o := range d.all {
+				for j, o := range d.instances {
 					if j != i {
 						o.Hear(team, strconv.Itoa(i), demand, ttl)
 					}
@@ -91,11 +98,12 @@
 	return d
 }
 
-// arrive sends the calls that are due at an instance.
+// arrive adds calls, which may be fractional, to the pending calls of instance i,
+// and sends the whole ones.
 func (d *deployment) arrive(i, second int, calls float64) {
-	d.owed[i] += calls
-	for ; d.owed[i] >= 1; d.owed[i]-- {
-		release, err := d.all[i].Admit(newCall("a", snipecall.Standard, time.Minute))
+	d.pending[i] += calls
+	for ; d.pending[i] >= 1; d.pending[i]-- {
+		release, err := d.instances[i].Admit(newCall("a", snipecall.Standard, time.Minute))
 		if err == nil {
 			d.admitted[second]++
 			release()
@@ -103,31 +111,34 @@
 	}
 }
 
-// sharing runs n instances with the given demand of each, in calls a second at
-// a time, and returns what all admitted in a second of the limit, in percent,
-// from second 20 on: the mean, the least and the most in any 10 s.
+// sharing runs n instances for 100 s on a simulated clock, with the demand, in
+// calls per second, that demand returns for an instance and a time. It returns the
+// admitted calls of all instances as a percentage of the limit, from second 20 on:
+// the mean, and the minimum and maximum of any 10 s. The instances announce their
+// demand only if announce is set.
 func sharing(t *testing.T, n int, limit float64, announce bool, demand func(instance int, at time.Duration) float64) (mean, least, most float64) {
 	const length = 100
 	const tick = 50 * time.Millisecond
 	synctest.Test(t, func(*testing.T) {
 		d := newDeployment(n, limit, length)
 		for at := time.Duration(0); at < length*time.Second; at += tick {
-			for i, k := range d.all {
+			for i, teams := range d.instances {
 				d.arrive(i, int(at/time.Second), demand(i, at)*tick.Seconds())
 				if announce && at%time.Second == 0 {
-					k.Step()
+					teams.Step()
 				}
 			}
 			time.Sleep(tick)
 		}
 		time.Sleep(time.Minute)
-		mean, least, most = d.parts(20, limit)
+		mean, least, most = d.percentages(20, limit)
 	})
 	return mean, least, most
 }
 
-// parts returns what was admitted of the limit from a second on, in percent.
-func (d *deployment) parts(from int, limit float64) (mean, least, most float64) {
+// percentages returns the admitted calls as a percentage of the limit, from
+// second from on: the mean, and the minimum and maximum of any 10 s.
+func (d *deployment) percentages(from int, limit float64) (mean, least, most float64) {
 	const window = 10
 	least = 1e9
 	total := 0
@@ -140,22 +151,24 @@
 		for _, a := range d.admitted[s : s+window] {
 			sum += a
 		}
-		part := 100 * float64(sum) / (window * limit)
-		least, most = min(least, part), max(most, part)
+		percent := 100 * float64(sum) / (window * limit)
+		least, most = min(least, percent), max(most, percent)
 	}
 	return 100 * float64(total) / (float64(len(d.admitted)-from) * limit), least, most
 }
 
-// TestMeasureSharing is the error of a limit that many instances enforce.
+// TestMeasureSharing measures how far the calls that all instances admit deviate
+// from their common limit. It guards against shares that do not follow the demand,
+// so that the instances together admit too little or too much.
 func TestMeasureSharing(t *testing.T) {
 	even := func(int, time.Duration) float64 { return 40 }
-	one := func(i int, _ time.Duration) float64 {
+	single := func(i int, _ time.Duration) float64 {
 		if i == 0 {
 			return 300
 		}
 		return 0
 	}
-	moves := func(i int, at time.Duration) float64 {
+	moving := func(i int, at time.Duration) float64 {
 		if i == 0 && at < 40*time.Second || i == 7 && at >= 40*time.Second {
 			return 300
 		}
@@ -166,11 +179,11 @@
 		n      int
 		limit  float64
 		demand func(int, time.Duration) float64
-		low    float64 // the least mean
+		low    float64 // lower bound of the mean
 	}{
 		{"8 instances, even", 8, 100, even, 95},
-		{"8 instances, all at one", 8, 100, one, 95},
-		{"8 instances, moves from one to another", 8, 100, moves, 85},
+		{"8 instances, all at one", 8, 100, single, 95},
+		{"8 instances, moves from one to another", 8, 100, moving, 85},
 		{"8 instances, even, limit 4/s", 8, 4, even, 90},
 		{"340 instances, even, limit 1000/s", 340, 1000, func(int, time.Duration) float64 { return 8 }, 95},
 	}
