--- a/sniperetry/bench_test.go
+++ b/sniperetry/bench_test.go
@@ -7,7 +7,7 @@
 	"snipepitch.example/snipepitch/snipeerror"
 )
 
-// BenchmarkBudget is the cost of one answered call and one retry.
+// BenchmarkBudget measures the accounting of one answered call and one retry.
 func BenchmarkBudget(b *testing.B) {
 	budget := DefaultBudget()
 	b.ReportAllocs()
@@ -17,12 +17,12 @@
 	}
 }
 
-// BenchmarkRepeatable is the cost of the decision whether to start again.
+// BenchmarkRepeatable measures the decision whether a call may be retried.
 func BenchmarkRepeatable(b *testing.B) {
 	c := &snipecall.Call{ID: "call", Idempotent: true}
 	var err error = snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, "test")
 	b.ReportAllocs()
 	for b.Loop() {
-		repeatable(c, err)
+		retryable(c, err)
 	}
 }
--- a/sniperetry/budget.go
+++ b/sniperetry/budget.go
@@ -5,48 +5,53 @@
 	"time"
 )
 
-// Budget bounds retries to a share of the answered calls, in all and for each
-// team, so that an outage is not followed by a storm of retries and one team's
-// failures do not use up what the others may need. A nil Budget is no bound.
+// Budget is a token bucket that bounds retries to a share of the answered calls,
+// in total and for each team. It prevents a retry storm after an outage, and the
+// failures of one team from using up the retries of the others. A nil Budget means
+// no bound. Budget is safe for concurrent use.
 //
-// Answered calls earn and retries spend. Failed calls earn nothing: in an
-// outage the budget runs out after its burst. Trickle keeps a few retries
-// possible, so that a team all of whose first choices fail is not cut off.
+// Answered calls add to the budget and retries consume it. Failed calls add
+// nothing, so the budget is exhausted after Burst retries in an outage.
+// RefillPerSecond still permits a few retries, so that a team whose calls all fail
+// at their first upstream can get answers from others.
 type Budget struct {
 	// Share is the number of retries that one answered call earns.
 	Share float64
-	// Burst is the most that can be saved up in all, TeamBurst by one team.
+	// Burst is the highest number of retries that can accumulate in total,
+	// TeamBurst the highest number for one team.
 	Burst, TeamBurst float64
-	// Trickle is the number of retries a second that are earned by waiting.
-	Trickle float64
+	// RefillPerSecond is the number of retries per second that are earned without
+	// an answered call.
+	RefillPerSecond float64
 
 	lock  sync.Mutex // guards the fields below
 	total bucket
-	// teams holds only teams whose savings are below TeamBurst.
+	// teams holds only the buckets from which something has been spent.
 	teams map[string]bucket
 }
 
-// DefaultBudget returns the budget of one instance: retries for a fifth of the
-// answered calls.
+// DefaultBudget returns the budget of one instance, which permits one retry for
+// every five answered calls.
 func DefaultBudget() *Budget {
-	return &Budget{Share: 0.2, Burst: 100, TeamBurst: 20, Trickle: 1}
+	return &Budget{Share: 0.2, Burst: 100, TeamBurst: 20, RefillPerSecond: 1}
 }
 
-// bucket holds what has been spent of the burst and not earned back.
+// bucket holds the number of retries that were spent and not yet earned back.
 type bucket struct {
-	spent float64
-	seen  time.Time
+	spent   float64
+	updated time.Time
 }
 
-// settle returns the bucket after the time since it was last seen.
-func (b bucket) settle(now time.Time, trickle, earned float64) bucket {
-	if !b.seen.IsZero() {
-		earned += trickle * now.Sub(b.seen).Seconds()
+// refill returns the bucket at the time now, after it has earned the given number
+// of retries, and perSecond retries for each second since its last update.
+func (b bucket) refill(now time.Time, perSecond, earned float64) bucket {
+	if !b.updated.IsZero() {
+		earned += perSecond * now.Sub(b.updated).Seconds()
 	}
-	return bucket{spent: max(b.spent-earned, 0), seen: now}
+	return bucket{spent: max(b.spent-earned, 0), updated: now}
 }
 
-// Earn counts an answered call.
+// Earn adds the Share of an answered call of a team.
 func (b *Budget) Earn(team string) {
 	if b == nil {
 		return
@@ -54,13 +59,14 @@
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
-	b.total = b.total.settle(now, b.Trickle, b.Share)
+	b.total = b.total.refill(now, b.RefillPerSecond, b.Share)
 	if t, ok := b.teams[team]; ok {
-		b.keep(team, t.settle(now, b.Trickle, b.Share))
+		b.store(team, t.refill(now, b.RefillPerSecond, b.Share))
 	}
 }
 
-// Spend pays for one retry and reports false when there is nothing left.
+// Spend consumes one retry of a team. It reports false, and consumes nothing, if
+// the total budget or that of the team is exhausted.
 func (b *Budget) Spend(team string) bool {
 	if b == nil {
 		return true
@@ -68,20 +74,20 @@
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
-	b.total = b.total.settle(now, b.Trickle, 0)
-	t := b.teams[team].settle(now, b.Trickle, 0)
-	paid := b.total.spent+1 <= b.Burst && t.spent+1 <= b.TeamBurst
-	if paid {
+	b.total = b.total.refill(now, b.RefillPerSecond, 0)
+	t := b.teams[team].refill(now, b.RefillPerSecond, 0)
+	allowed := b.total.spent+1 <= b.Burst && t.spent+1 <= b.TeamBurst
+	if allowed {
 		b.total.spent++
 		t.spent++
 	}
-	b.keep(team, t)
-	return paid
+	b.store(team, t)
+	return allowed
 }
 
-// keep stores a team's bucket, or forgets it when nothing is spent. The lock
-// is held.
-func (b *Budget) keep(team string, t bucket) {
+// store stores a team's bucket, or deletes it if nothing is spent. The lock is
+// held.
+func (b *Budget) store(team string, t bucket) {
 	if t.spent == 0 {
 		delete(b.teams, team)
 		return
--- a/sniperetry/outage_test.go
+++ b/sniperetry/outage_test.go
@@ -18,8 +18,8 @@
 	"snipepitch.example/snipepitch/snipetime"
 )
 
-// The fleet of the outage: 12 engines that answer 10 calls at once in a second
-// each, at 5/6 of what they can do.
+// The simulated cluster: 12 engines, each of which executes 10 calls at once in a
+// second, at 5/6 of their capacity. All engines fail from outageStart to outageEnd.
 const (
 	outageEngines  = 12
 	outageBatch    = 10
@@ -32,11 +32,11 @@
 	outageWindow   = 30 * time.Second
 )
 
-// fleet is a set of engines that slow down above their batch: each call costs
-// the engine its work even when its caller has given up.
-type fleet struct {
+// cluster simulates a set of engines that slow down above their batch. An engine
+// executes each call to its end, even if the call has failed at its caller before.
+type cluster struct {
 	start time.Time
-	// admitted is how many calls an engine takes at once; it refuses more.
+	// admitted is how many calls an engine accepts at once; it refuses more.
 	admitted int
 
 	lock     sync.Mutex // guards the fields below
@@ -45,45 +45,50 @@
 	answered map[int]int // by second
 }
 
-func (f *fleet) second() int { return int(time.Since(f.start) / time.Second) }
+// second returns the current second of the simulation.
+func (k *cluster) second() int { return int(time.Since(k.start) / time.Second) }
 
-func (f *fleet) execute(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
+// execute executes one attempt at an engine. An attempt that would take longer than
+// half the deadline fails after that time.
+func (k *cluster) execute(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	n, err := strconv.Atoi(c.Upstream)
 	if err != nil {
 		return err
 	}
-	f.lock.Lock()
-	f.attempts[f.second()]++
-	since := time.Since(f.start)
+	k.lock.Lock()
+	k.attempts[k.second()]++
+	since := time.Since(k.start)
 	if since >= outageStart && since < outageEnd {
-		f.lock.Unlock()
+		k.lock.Unlock()
 		return snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "does not answer")
 	}
-	if f.inFlight[n] >= f.admitted {
-		f.lock.Unlock()
+	if k.inFlight[n] >= k.admitted {
+		k.lock.Unlock()
 		return snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "full")
 	}
-	f.inFlight[n]++
-	work := outageAnswer * time.Duration(max(f.inFlight[n], outageBatch)) / outageBatch
-	// No two events at one instant: their order would be the scheduler's.
-	work += time.Duration(spread(c.ID, 10) * float64(time.Millisecond))
-	f.lock.Unlock()
+	k.inFlight[n]++
+	work := outageAnswer * time.Duration(max(k.inFlight[n], outageBatch)) / outageBatch
+	// No two events occur at the same instant, because the scheduler would decide
+	// their order.
+	work += time.Duration(jitter(c.ID, 10) * float64(time.Millisecond))
+	k.lock.Unlock()
 	time.AfterFunc(work, func() {
-		f.lock.Lock()
-		defer f.lock.Unlock()
-		f.inFlight[n]--
+		k.lock.Lock()
+		defer k.lock.Unlock()
+		k.inFlight[n]--
 	})
 	if !snipetime.Sleep(ctx, min(work, outageDeadline/2)) || work > outageDeadline/2 {
 		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, "no progress")
 	}
-	f.lock.Lock()
-	f.answered[f.second()]++
-	f.lock.Unlock()
+	k.lock.Lock()
+	k.answered[k.second()]++
+	k.lock.Unlock()
 	return sink(snipecall.Chunk{Sequence: 1, Last: true})
 }
 
-// caller sends one request until it is answered or five tries have failed.
-func (f *fleet) caller(a *Attempts, id string, n int) {
+// caller sends one request until it is answered or five calls have failed. It
+// waits for the stated retry delay, at least 100 ms, after each failed call.
+func (k *cluster) caller(a *Attempts, id string, n int) {
 	for try := range 5 {
 		c := &snipecall.Call{
 			ID: id + "." + strconv.Itoa(try), Team: "t" + strconv.Itoa(n%7), Idempotent: true,
@@ -99,32 +104,33 @@
 	}
 }
 
-// outage returns the attempts per second at the peak after the outage, the
-// attempts in the outage, and the answers in a window after it.
+// outage simulates an outage of all engines with the given retry budget. It returns
+// the highest number of attempts in a second after the outage, the number of
+// attempts during the outage, and the number of answers in outageWindow after it.
 func outage(t *testing.T, budget *Budget, admitted int) (peak, during, answered int) {
 	synctest.Test(t, func(*testing.T) {
-		f := &fleet{start: time.Now(), admitted: admitted, attempts: map[int]int{}, answered: map[int]int{}}
+		k := &cluster{start: time.Now(), admitted: admitted, attempts: map[int]int{}, answered: map[int]int{}}
 		choose := func(c *snipecall.Call, failed []string) (string, error) {
 			for n := range outageEngines {
-				u := strconv.Itoa((int(spread(c.ID, 9)*outageEngines) + n) % outageEngines)
+				u := strconv.Itoa((int(jitter(c.ID, 9)*outageEngines) + n) % outageEngines)
 				if !slices.Contains(failed, u) {
 					return u, nil
 				}
 			}
 			return "", snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "none")
 		}
-		a := &Attempts{Choose: choose, Execute: f.execute, Budget: budget, Log: snipelog.Discard()}
+		a := &Attempts{Choose: choose, Execute: k.execute, Budget: budget, Log: snipelog.Discard()}
 		var all sync.WaitGroup
 		for n := range int(outageLength/time.Second) * outageRate {
 			time.Sleep(time.Second / outageRate)
-			all.Go(func() { f.caller(a, "call-"+strconv.Itoa(n), n) })
+			all.Go(func() { k.caller(a, "call-"+strconv.Itoa(n), n) })
 		}
 		all.Wait()
 		time.Sleep(time.Minute)
-		f.lock.Lock()
-		defer f.lock.Unlock()
+		k.lock.Lock()
+		defer k.lock.Unlock()
 		end := int(outageEnd / time.Second)
-		for s, n := range f.attempts {
+		for s, n := range k.attempts {
 			switch {
 			case s >= end:
 				peak = max(peak, n)
@@ -133,20 +139,21 @@
 			}
 		}
 		for s := end; s < end+int(outageWindow/time.Second); s++ {
-			answered += f.answered[s]
+			answered += k.answered[s]
 		}
 	})
 	return peak, during, answered
 }
 
-// TestMeasureOutage compares an outage of all engines with and without the
-// budget, at engines that refuse what they cannot do (as the limit of each
-// upstream makes them) and at engines that take everything. Without the budget
-// each failure becomes up to four attempts, also after the engines are back.
+// TestMeasureOutage compares an outage of all engines with and without a retry
+// budget, at engines that refuse calls beyond a limit (as the limit of each upstream
+// does) and at engines that accept every call. It guards against a retry storm:
+// without the budget each call makes up to four attempts, also after the recovery
+// of the engines.
 func TestMeasureOutage(t *testing.T) {
 	tests := map[string]struct {
 		admitted int
-		answers  int // at least, in the window
+		answers  int // lower bound for the answers in outageWindow
 	}{
 		"limit": {2 * outageBatch, int(outageWindow/time.Second) * outageRate},
 		"none":  {1 << 20, 0},
@@ -156,12 +163,12 @@
 	t.Log("|---|---|---|---|---|")
 	for _, name := range slices.Sorted(maps.Keys(tests)) {
 		test := tests[name]
-		freePeak, freeDuring, freeAnswered := outage(t, nil, test.admitted)
+		unboundedPeak, unboundedDuring, unboundedAnswered := outage(t, nil, test.admitted)
 		peak, during, answered := outage(t, DefaultBudget(), test.admitted)
-		t.Logf("| %s | no budget | %d | %d | %d |", name, freeDuring, freePeak, freeAnswered)
+		t.Logf("| %s | no budget | %d | %d | %d |", name, unboundedDuring, unboundedPeak, unboundedAnswered)
 		t.Logf("| %s | budget | %d | %d | %d |", name, during, peak, answered)
-		must.Less(t, freeDuring/2, during, must.Sprint("attempts in the outage"))
-		must.Less(t, freePeak*3/4, peak, must.Sprint("peak after the outage"))
+		must.Less(t, unboundedDuring/2, during, must.Sprint("attempts in the outage"))
+		must.Less(t, unboundedPeak*3/4, peak, must.Sprint("peak after the outage"))
 		must.GreaterEq(t, test.answers, answered, must.Sprint("answers after the outage"))
 	}
 }
--- a/sniperetry/sniperetry.go
+++ b/sniperetry/sniperetry.go
@@ -1,16 +1,18 @@
-// Package sniperetry executes a call with its retries.
+// Package sniperetry executes calls with retries, and bounds the number of
+// retries.
 //
-// Design. A call is started again only when that is safe (it is idempotent, or
-// its failure says NotRun), useful (the kind of failure may differ at another
-// upstream, and the time left allows it) and paid for (Budget). An upstream
-// that has failed the call is not chosen again for it. A call that is given up
-// gets its own last failure at once, with the time after which a repetition
-// is worthwhile; it is never held back. Once an attempt may have run, so may
-// the call: a later attempt that was refused does not make it NotRun.
+// Design. A call is retried only if a retry is safe (the call is idempotent, or
+// its failure is NotRun), useful (another upstream may succeed, and the time left
+// suffices) and covered by the Budget. An upstream at which an attempt has failed
+// is excluded from later attempts of the same call. If no retry is possible, the
+// call fails at once with its own last failure, which states when a retry by the
+// caller is worthwhile; the failure is never delayed. Once an attempt may have run,
+// the call may have run: a later attempt that is refused does not make it NotRun.
 //
-// Pauses and times to come back are spread by a hash of the call's identifier:
-// identifiers are random, so calls that failed together come back apart, and
-// the same trace gives the same figures.
+// The pauses before retries and the retry delays in failures are spread by a hash
+// of the call's identifier. Identifiers are random, so the retries of calls that
+// failed together are spread over time, and a replay of the same trace gives the
+// same results.
 package sniperetry
 
 import (
@@ -27,37 +29,38 @@
 )
 
 const (
-	// maxAttempts bounds how often one call is started.
+	// maxAttempts is the highest number of attempts of one call.
 	maxAttempts = 4
-	// firstPause is the longest pause before the second attempt; it doubles
-	// each time.
-	firstPause = 40 * time.Millisecond
-	// comeback is the shortest time to come back when a failure states none;
-	// it is spread up to twice as long.
-	comeback = 2 * time.Second
+	// maxFirstPause is the longest pause before the second attempt. It doubles
+	// for each further attempt.
+	maxFirstPause = 40 * time.Millisecond
+	// minRetryAfter is the shortest retry delay that finalFailure adds to a
+	// failure that states none. The delay is spread up to twice as long.
+	minRetryAfter = 2 * time.Second
 )
 
-// Attempts executes a call with its retries. Exported fields are set before
+// Attempts executes calls with retries. The exported fields must be set before
 // the first call.
 type Attempts struct {
-	// Choose returns the upstream for the next attempt, given those that
-	// failed.
+	// Choose returns the upstream for the next attempt, given the upstreams at
+	// which earlier attempts failed.
 	Choose func(c *snipecall.Call, failed []string) (string, error)
-	// Execute executes a call at its upstream. It may direct the attempt to
-	// another upstream by setting the attempt's Upstream.
+	// Execute executes one attempt of a call at its upstream. It may redirect the
+	// attempt to another upstream by setting c.Upstream.
 	Execute func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
-	// Budget pays for retries; nil is no bound.
+	// Budget bounds the retries; nil means no bound.
 	Budget *Budget
-	// Log takes events.
+	// Log records each retry.
 	Log *snipelog.Logger
 }
 
-// Serve executes c until it is answered, may have run, or is given up. Its
-// errors are failures of package snipeerror.
+// Serve executes c, and retries it until an attempt succeeds or no retry is
+// allowed. There is no retry after a chunk was passed to sink. The errors of Serve
+// are of type *snipeerror.CallError.
 func (a *Attempts) Serve(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
-	sent := false
-	counted := func(k snipecall.Chunk) error {
-		sent = true
+	chunkSent := false
+	trackingSink := func(k snipecall.Chunk) error {
+		chunkSent = true
 		return sink(k)
 	}
 	var failed []string
@@ -65,42 +68,45 @@
 	for n := range maxAttempts {
 		upstream, err := a.Choose(c, failed)
 		if err != nil {
-			return giveUp(c, firstOf(last, err))
+			return finalFailure(c, preferAttempt(last, err))
 		}
-		before := last
+		previous := last
 		attempt := *c
 		attempt.Upstream = upstream
-		last = a.Execute(ctx, &attempt, counted)
+		last = a.Execute(ctx, &attempt, trackingSink)
 		if last == nil {
 			a.Budget.Earn(c.Team)
 			return nil
 		}
-		last = mayHaveRun(before, last)
-		if sent || !repeatable(c, last) {
+		last = inheritOutcome(previous, last)
+		if chunkSent || !retryable(c, last) {
 			return snipeerror.From(last)
 		}
 		failed = append(failed, attempt.Upstream)
-		if !a.again(ctx, c, n) {
-			return giveUp(c, last)
+		if !a.waitForRetry(ctx, c, n) {
+			return finalFailure(c, last)
 		}
 		a.Log.Error(snipelog.CallRetried, last, snipelog.Fields{"Call": c.ID, "Upstream": attempt.Upstream})
 	}
-	return giveUp(c, last)
+	return finalFailure(c, last)
 }
 
-// again reports whether attempt n is followed by another one, after its pause.
-func (a *Attempts) again(ctx context.Context, c *snipecall.Call, n int) bool {
-	pause := time.Duration(spread(c.ID, n) * float64(firstPause<<n))
+// waitForRetry reports whether attempt n, counted from 0, is followed by another
+// one. If the deadline and the budget permit a retry, waitForRetry spends one and
+// waits for the pause. It reports false if ctx ends in the meantime.
+func (a *Attempts) waitForRetry(ctx context.Context, c *snipecall.Call, n int) bool {
+	pause := time.Duration(jitter(c.ID, n) * float64(maxFirstPause<<n))
 	if n == maxAttempts-1 || time.Until(c.Deadline) <= pause {
 		return false
 	}
 	return a.Budget.Spend(c.Team) && snipetime.Sleep(ctx, pause)
 }
 
-// mayHaveRun returns the failure of an attempt, as MayHaveRun when an earlier
-// attempt's failure says so.
-func mayHaveRun(before, err error) error {
-	if before == nil || snipeerror.From(before).Outcome == snipeerror.NotRun {
+// inheritOutcome returns err, the failure of an attempt. If previous, the failure
+// of the attempt before it, is not NotRun, the result is a copy of err with the
+// outcome MayHaveRun.
+func inheritOutcome(previous, err error) error {
+	if previous == nil || snipeerror.From(previous).Outcome == snipeerror.NotRun {
 		return err
 	}
 	f := *snipeerror.From(err)
@@ -108,24 +114,26 @@
 	return &f
 }
 
-// firstOf prefers the failure of an attempt to that of the choice after it.
-func firstOf(attempt, choice error) error {
+// preferAttempt returns the failure of the last attempt, or the failure of the
+// choice of an upstream if there was no attempt.
+func preferAttempt(attempt, choice error) error {
 	if attempt != nil {
 		return attempt
 	}
 	return choice
 }
 
-// elsewhere are the kinds of failure that another upstream may not give.
-var elsewhere = []error{
+// retryableKinds are the kinds of failures that a retry at another upstream can
+// avoid.
+var retryableKinds = []error{
 	snipeerror.ErrOverloaded, snipeerror.ErrNoUpstream, snipeerror.ErrLoadFailed, snipeerror.ErrUpstreamFailed,
 	snipeerror.ErrIncomplete, snipeerror.ErrMismatch, snipeerror.ErrNotOwner, snipeerror.ErrStopping,
 }
 
-// repeatable reports whether a call may be started again after err.
-func repeatable(c *snipecall.Call, err error) bool {
+// retryable reports whether a call may be retried after err.
+func retryable(c *snipecall.Call, err error) bool {
 	f := snipeerror.From(err)
-	for _, k := range elsewhere {
+	for _, k := range retryableKinds {
 		if errors.Is(f, k) {
 			return f.Outcome == snipeerror.NotRun || c.Idempotent
 		}
@@ -133,18 +141,19 @@
 	return false
 }
 
-// giveUp returns the final failure of a call that could have been repeated,
-// with a time to come back.
-func giveUp(c *snipecall.Call, err error) error {
+// finalFailure returns err as the failure of the whole call. If err is retryable and
+// states no retry delay, the result states one.
+func finalFailure(c *snipecall.Call, err error) error {
 	f := *snipeerror.From(err)
-	if f.RetryAfter == 0 && repeatable(c, &f) {
-		f.RetryAfter = time.Duration((1 + spread(c.ID, maxAttempts)) * float64(comeback))
+	if f.RetryAfter == 0 && retryable(c, &f) {
+		f.RetryAfter = time.Duration((1 + jitter(c.ID, maxAttempts)) * float64(minRetryAfter))
 	}
 	return &f
 }
 
-// spread returns a number from 0 to 1 that depends on the call and n.
-func spread(id string, n int) float64 {
+// jitter returns a number from 0 up to, but not including, 1 that is a hash of id
+// and n.
+func jitter(id string, n int) float64 {
 	const bits = 53
 	h := sniperoute.Score(sniperoute.Hash(id), uint64(n)) //nolint:gosec // n is not negative
 	return float64(h>>(64-bits)) / (1 << bits)
--- a/sniperetry/sniperetry_test.go
+++ b/sniperetry/sniperetry_test.go
@@ -15,16 +15,17 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// script answers attempts from a list; where it ends they succeed.
+// script executes attempts: each fails with the next failure of a list, and the
+// attempts after the end of the list succeed.
 type script struct {
-	failures []error
-	chunk    bool // whether a chunk goes out before each failure
-	tried    []string
-	upstream []string
+	failures  []error
+	chunk     bool     // whether a chunk is sent before each failure
+	tried     []string // the upstreams of the attempts so far
+	upstreams []string // the upstreams to choose from, in order
 }
 
 func (s *script) choose(_ *snipecall.Call, failed []string) (string, error) {
-	for _, u := range s.upstream {
+	for _, u := range s.upstreams {
 		if !slices.Contains(failed, u) {
 			return u, nil
 		}
@@ -48,8 +49,9 @@
 	return snipeerror.New(kind, outcome, "test")
 }
 
-// TestServe is the fault table of retries: which failure is followed by
-// another attempt, and what the caller is told.
+// TestServe guards against a retry that is unsafe, has no use or exceeds the
+// budget, and against a wrong final failure. Each row states the failures of the
+// attempts, the upstreams tried and the result.
 func TestServe(t *testing.T) {
 	refused := failure(snipeerror.ErrOverloaded, snipeerror.NotRun)
 	broken := failure(snipeerror.ErrIncomplete, snipeerror.MayHaveRun)
@@ -61,7 +63,7 @@
 		budget     *Budget
 		tried      []string
 		want       error
-		comesBack  bool
+		retryAfter bool
 	}{
 		"answered": {tried: []string{"a"}},
 		"not run is started elsewhere": {
@@ -78,7 +80,7 @@
 		},
 		"all excluded gives the attempt's own failure": {
 			failures: []error{refused, refused, refused}, tried: []string{"a", "b", "c"},
-			want: snipeerror.ErrOverloaded, comesBack: true,
+			want: snipeerror.ErrOverloaded, retryAfter: true,
 		},
 		"quarantined is final": {
 			failures:   []error{failure(snipeerror.ErrQuarantined, snipeerror.NotRun)},
@@ -93,17 +95,17 @@
 		},
 		"no budget": {
 			failures: []error{refused}, budget: &Budget{}, tried: []string{"a"},
-			want: snipeerror.ErrOverloaded, comesBack: true,
+			want: snipeerror.ErrOverloaded, retryAfter: true,
 		},
 		"no time for the pause": {
 			failures: []error{refused}, left: time.Nanosecond, tried: []string{"a"},
-			want: snipeerror.ErrOverloaded, comesBack: true,
+			want: snipeerror.ErrOverloaded, retryAfter: true,
 		},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &script{failures: test.failures, chunk: test.chunk, upstream: []string{"a", "b", "c"}}
+				s := &script{failures: test.failures, chunk: test.chunk, upstreams: []string{"a", "b", "c"}}
 				a := &Attempts{Choose: s.choose, Execute: s.execute, Budget: test.budget, Log: snipelog.Discard()}
 				left := test.left
 				if left == 0 {
@@ -114,34 +116,35 @@
 				err := a.Serve(t.Context(), c, func(snipecall.Chunk) error { return nil })
 				must.ErrorIs(t, err, test.want)
 				must.Eq(t, test.tried, s.tried)
-				must.Less(t, time.Second, time.Since(start), must.Sprint("the final answer was held back"))
+				must.Less(t, time.Second, time.Since(start), must.Sprint("the final answer was delayed"))
 				if test.want != nil {
-					must.Eq(t, test.comesBack, snipeerror.From(err).RetryAfter > 0)
+					must.Eq(t, test.retryAfter, snipeerror.From(err).RetryAfter > 0)
 				}
 			})
 		})
 	}
 }
 
-// TestServeLeavesSharedFailure: the failure may be a value that others hold.
+// TestServeLeavesSharedFailure guards against a retry delay written into the failure
+// of an attempt, which may be shared with other calls.
 func TestServeLeavesSharedFailure(t *testing.T) {
 	shared := snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "test")
-	s := &script{failures: []error{shared}, upstream: []string{"a"}}
+	s := &script{failures: []error{shared}, upstreams: []string{"a"}}
 	a := &Attempts{Choose: s.choose, Execute: s.execute, Log: snipelog.Discard()}
 	c := &snipecall.Call{ID: "call", Deadline: time.Now().Add(time.Minute)}
 	must.Error(t, a.Serve(t.Context(), c, nil))
 	must.Zero(t, shared.RetryAfter)
 }
 
-// TestServeKeepsMayHaveRun: a call whose first attempt may have run was
-// answered as not run when its second attempt was refused.
+// TestServeKeepsMayHaveRun guards against a call that fails as NotRun because its
+// second attempt was refused, although its first attempt may have run.
 func TestServeKeepsMayHaveRun(t *testing.T) {
 	for name, second := range map[string]error{
 		"final":    failure(snipeerror.ErrQuarantined, snipeerror.NotRun),
 		"given up": failure(snipeerror.ErrOverloaded, snipeerror.NotRun),
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := &script{upstream: []string{"a", "b"}}
+			s := &script{upstreams: []string{"a", "b"}}
 			s.failures = []error{failure(snipeerror.ErrIncomplete, snipeerror.MayHaveRun), second}
 			a := &Attempts{Choose: s.choose, Execute: s.execute, Log: snipelog.Discard()}
 			c := &snipecall.Call{ID: "call", Idempotent: true, Deadline: time.Now().Add(time.Minute)}
@@ -152,8 +155,8 @@
 	}
 }
 
-// TestServeExcludesDirected: an attempt that was directed to another upstream
-// excludes that one.
+// TestServeExcludesDirected guards against retries at the wrong upstream: if Execute
+// redirects an attempt, the upstream that it was redirected to is excluded.
 func TestServeExcludesDirected(t *testing.T) {
 	var chosen [][]string
 	a := &Attempts{
@@ -177,13 +180,15 @@
 	must.Eq(t, []string{"b"}, chosen[2])
 }
 
+// TestBudgetTeams guards against a team that uses up the retries of another one,
+// against a wrong refill, and against buckets kept for teams that have spent nothing.
 func TestBudgetTeams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &Budget{Share: 0.5, Burst: 5, TeamBurst: 2, Trickle: 0.1}
+		b := &Budget{Share: 0.5, Burst: 5, TeamBurst: 2, RefillPerSecond: 0.1}
 		must.True(t, b.Spend("a"))
 		must.True(t, b.Spend("a"))
 		must.False(t, b.Spend("a"), must.Sprint("above the team's burst"))
-		must.True(t, b.Spend("b"), must.Sprint("one team used up another's"))
+		must.True(t, b.Spend("b"), must.Sprint("one team used up the retries of another"))
 		b.Earn("a")
 		must.False(t, b.Spend("a"), must.Sprint("one answer earns half a retry"))
 		b.Earn("a")
--- a/sniperetry/window.go
+++ b/sniperetry/window.go
@@ -5,89 +5,92 @@
 	"time"
 )
 
-// Window bounds the repeats of a sliding span of time to a share of the requests of the
-// same span and a slack. Unlike a Budget, what was not needed for a while pays for many
-// repeats at once: when an upstream crashes all of its requests fail in the same moment,
-// and those that may be repeated are worth repeating then and not spread over seconds.
+// Window bounds the retries in a sliding span of time to a share of the requests in the
+// same span plus a slack. Unlike a Budget, it permits many retries at once if there were few
+// before: if an upstream crashes, all of its requests fail at the same time, and those that
+// may be retried should be retried then and not over several seconds.
 //
-// Exported fields are set before the first call; it is safe for concurrent use.
+// The exported fields must be set before the first call. Window is safe for concurrent use.
 type Window struct {
-	// Share is the number of repeats that one request pays for.
+	// Share is the number of retries that one request permits.
 	Share float64
-	// Slack returns the number of repeats that need no request. It grows to that from
-	// a quarter over the first span: the repeats of a process that ran here before are
-	// not known.
+	// Slack returns the number of retries that are permitted without a request. In the
+	// first span, the slack in force grows from a quarter of that to the whole, because
+	// the retries of a process that ran here before are unknown.
 	Slack func() float64
 	// Span is the length of the window.
 	Span time.Duration
 
-	lock  sync.Mutex // guards the fields below
-	began time.Time
-	// slots are pieces of the span; slot is the number of the last one, counted from
-	// the beginning.
-	slots [windowSlots]windowSlot
-	slot  int
+	lock    sync.Mutex // guards the fields below
+	started time.Time  // the first use
+	// slots is a ring of intervals of the span. current is the number of the latest
+	// interval, counted from started; its index is current modulo windowSlots.
+	slots   [windowSlots]windowSlot
+	current int
 }
 
-// windowSlots is the number of pieces of a span, and one that is partly outside: repeats
-// are counted over a little more than the span, requests over a little less.
+// windowSlots is the number of intervals that make up the span, plus one that lies partly
+// before it. Retries are counted in all intervals, over slightly more than the span, and
+// requests in all but the oldest one, over slightly less, so that the rounding never permits
+// more retries than the bound.
 const windowSlots = 21
 
-// firstSlack is the part of the slack that a process has when it begins.
-const firstSlack = 0.25
+// initialSlack is the fraction of the slack that is in force when a process starts.
+const initialSlack = 0.25
 
-// windowSlot counts what happened in one piece of the span.
-type windowSlot struct{ requests, repeats int }
+// windowSlot counts the requests and retries in one interval of the span.
+type windowSlot struct{ requests, retries int }
 
-// Count counts a request, which pays for its share of a repeat.
+// Count counts a request, which permits Share retries.
 func (w *Window) Count() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.advance(time.Now())
-	w.slots[w.slot%windowSlots].requests++
+	w.slots[w.current%windowSlots].requests++
 }
 
-// Spend counts a repeat, and reports false, counting nothing, when nothing is left to
-// pay for it.
+// Spend counts a retry. It reports false, and counts nothing, if the retry would exceed
+// the bound.
 func (w *Window) Spend() bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	now := time.Now()
 	w.advance(now)
-	requests, repeats := 0, 0
-	oldest := (w.slot + 1) % windowSlots
+	requests, retries := 0, 0
+	oldest := (w.current + 1) % windowSlots
 	for n, s := range w.slots {
-		repeats += s.repeats
+		retries += s.retries
 		if n != oldest {
 			requests += s.requests
 		}
 	}
-	grown := min(max(float64(now.Sub(w.began))/float64(w.Span), firstSlack), 1)
-	if float64(repeats+1) > w.Share*float64(requests)+grown*w.Slack() {
+	slackShare := min(max(float64(now.Sub(w.started))/float64(w.Span), initialSlack), 1)
+	if float64(retries+1) > w.Share*float64(requests)+slackShare*w.Slack() {
 		return false
 	}
-	w.slots[w.slot%windowSlots].repeats++
+	w.slots[w.current%windowSlots].retries++
 	return true
 }
 
-// Refund takes back the last repeat that was paid for: it reached nobody.
+// Refund takes back one retry of the current interval, if there is one. It is called for a
+// retry that reached no upstream.
 func (w *Window) Refund() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.advance(time.Now())
-	if s := &w.slots[w.slot%windowSlots]; s.repeats > 0 {
-		s.repeats--
+	if s := &w.slots[w.current%windowSlots]; s.retries > 0 {
+		s.retries--
 	}
 }
 
-// advance drops the pieces that lie before the window. The lock is held.
+// advance moves the window to now, and clears the intervals that it enters. The lock is held.
 func (w *Window) advance(now time.Time) {
-	if w.began.IsZero() {
-		w.began = now
+	if w.started.IsZero() {
+		w.started = now
 	}
-	slot := int(now.Sub(w.began) / (w.Span / (windowSlots - 1)))
-	for n := range min(slot-w.slot, windowSlots) {
-		w.slots[(w.slot+1+n)%windowSlots] = windowSlot{}
+	latest := int(now.Sub(w.started) / (w.Span / (windowSlots - 1)))
+	for n := range min(latest-w.current, windowSlots) {
+		w.slots[(w.current+1+n)%windowSlots] = windowSlot{}
 	}
-	w.slot = max(w.slot, slot)
+	w.current = max(w.current, latest)
 }
--- a/sniperetry/window_test.go
+++ b/sniperetry/window_test.go
@@ -18,42 +18,42 @@
 	return &Window{Share: testShare, Slack: func() float64 { return slack }, Span: testSpan}
 }
 
-// TestWindowAtCrash answers the pattern of an upstream that takes all of its requests
-// with it: an instance of eighty has eleven requests a second and a slack of two; eight of them
-// fail at once. All may be repeated, where a bucket that saves up no more than
-// its slack pays for two.
+// TestWindowAtCrash guards against a bound that refuses retries after the crash of an upstream,
+// at which all of its requests fail at once: one of eighty instances gets eleven requests per
+// second, has a slack of two, and eight of its requests fail. A Window permits all eight retries;
+// a Budget whose burst is the slack permits two.
 func TestWindowAtCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWindow(2)
-		bucket := &Budget{Share: testShare, Burst: 2, TeamBurst: 2}
+		budget := &Budget{Share: testShare, Burst: 2, TeamBurst: 2}
 		for range 11 * 10 {
 			w.Count()
-			bucket.Earn("")
+			budget.Earn("")
 			time.Sleep(time.Second / 11)
 		}
-		repeated, bucketed := 0, 0
+		windowRetries, budgetRetries := 0, 0
 		for range 8 {
 			if w.Spend() {
-				repeated++
+				windowRetries++
 			}
-			if bucket.Spend("") {
-				bucketed++
+			if budget.Spend("") {
+				budgetRetries++
 			}
 		}
-		must.Eq(t, 8, repeated)
-		must.Eq(t, 2, bucketed)
+		must.Eq(t, 8, windowRetries)
+		must.Eq(t, 2, budgetRetries)
 	})
 }
 
-// TestWindowNeverExceeds holds the bound over every span of random traffic and failures: the
-// repeats of any ten seconds are no more than the share of the requests of these or the ten seconds
-// that end half a span before, and the slack.
+// TestWindowNeverExceeds guards against retries beyond the bound with random traffic and failures:
+// the retries in any ten seconds do not exceed the slack plus the share of the requests in the same
+// ten seconds or in the ten seconds that end half a span earlier.
 func TestWindowNeverExceeds(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 3))
 			w := newWindow(3)
-			var requests, repeats []time.Time
+			var requests, retries []time.Time
 			rate, failing := 20.0, 0.1
 			for end := time.Now().Add(time.Minute); time.Now().Before(end); {
 				if r.IntN(100) == 0 {
@@ -63,12 +63,12 @@
 				requests = append(requests, time.Now())
 				w.Count()
 				for r.Float64() < failing && w.Spend() {
-					repeats = append(repeats, time.Now())
+					retries = append(retries, time.Now())
 				}
 			}
-			for n, last := range repeats {
+			for n, last := range retries {
 				count, from := 0, last.Add(-testSpan)
-				for _, at := range repeats[:n+1] {
+				for _, at := range retries[:n+1] {
 					if at.After(from) {
 						count++
 					}
@@ -80,6 +80,7 @@
 	}
 }
 
+// within returns how many of the times are after from and not after to.
 func within(times []time.Time, from, to time.Time) int {
 	n := 0
 	for _, at := range times {
@@ -90,7 +91,8 @@
 	return n
 }
 
-// TestWindowEdges holds what else pays for repeats.
+// TestWindowEdges guards against wrong counts at the edges: the slack in the first span, requests
+// and retries that leave the window, and refunds.
 func TestWindowEdges(t *testing.T) {
 	count := func(w *Window, n int) {
 		for range n {
