--- a/snipehealth/gray_test.go
+++ b/snipehealth/gray_test.go
@@ -15,8 +15,8 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// The gray upstream: one of 12 engines takes 15 times as long for a chunk
-// from 30 s to 90 s.
+// The simulated gray failure: from 30 s to 90 s, one of 12 engines, the gray engine
+// "0", still answers but takes 15 times as long for each chunk.
 const (
 	grayEngines = 12
 	grayStart   = 30 * time.Second
@@ -28,22 +28,24 @@
 	grayFactor  = 15
 )
 
+// grayResult holds the results of a run.
 type grayResult struct {
-	slow     int           // calls that met the gray engine while it was slow
-	p95, p99 time.Duration // of all calls in that time
-	out      time.Duration // until it was out for the first time
-	restored time.Duration // from its recovery until it had its full share
+	slow     int           // calls sent to the gray engine while it was slow
+	p95, p99 time.Duration // duration of the calls started in that time
+	out      time.Duration // from grayStart until the gray engine was out
+	restored time.Duration // from grayEnd until the gray engine was up
 }
 
-// gray runs the load with and without the tracker.
+// gray runs the load. The tracker affects the choice of the engines only if tracked
+// is set.
 func gray(t *testing.T, tracked bool) grayResult {
 	var r grayResult
 	synctest.Test(t, func(t *testing.T) {
-		k := newTracker()
+		tracker := newTracker()
 		start := time.Now()
 		var lock sync.Mutex
 		var took []time.Duration
-		run := k.Watch(func(_ context.Context, c *snipecall.Call, sink snipecall.Sink) error {
+		run := tracker.Watch(func(_ context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 			since := time.Since(start)
 			gap := grayGap + time.Duration(len(c.ID))*time.Microsecond
 			if c.Upstream == "0" && since >= grayStart && since < grayEnd {
@@ -67,13 +69,13 @@
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		var all, follow sync.WaitGroup
-		follow.Go(func() { r.follow(ctx, k, start) })
+		follow.Go(func() { r.follow(ctx, tracker, start) })
 		for n := range int(grayLength/time.Second) * grayRate {
 			time.Sleep(time.Second / grayRate)
 			key := sniperoute.Hash(strconv.Itoa(n))
 			choice := candidates(grayEngines)
 			if tracked {
-				k.Mark(key, choice)
+				tracker.Mark(key, choice)
 			}
 			c := &snipecall.Call{ID: strconv.Itoa(n), Base: "b", Upstream: choice[sniperoute.Pick(key, choice)].Name}
 			all.Go(func() {
@@ -89,12 +91,12 @@
 	return r
 }
 
-// follow steps the tracker and notes when the gray engine's state changes.
-func (r *grayResult) follow(ctx context.Context, k *Tracker, start time.Time) {
+// follow steps the tracker and records when the state of the gray engine changes.
+func (r *grayResult) follow(ctx context.Context, tracker *Tracker, start time.Time) {
 	for ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
-		k.Step(ctx, func(string) bool { return true }, func(context.Context, string) error { return nil })
-		state, _ := k.State("0")
+		tracker.Step(ctx, func(string) bool { return true }, func(context.Context, string) error { return nil })
+		state, _ := tracker.State("0")
 		since := time.Since(start)
 		if state == Out && r.out == 0 {
 			r.out = since - grayStart
@@ -105,7 +107,9 @@
 	}
 }
 
-// TestMeasureGray compares calls with and without the tracker.
+// TestMeasureGray compares calls with and without the tracker. It guards against a
+// slow engine that is not taken out within 5 s, or does not get its full share again
+// after it has recovered.
 func TestMeasureGray(t *testing.T) {
 	without, with := gray(t, false), gray(t, true)
 	t.Log("Table: one of 12 engines takes 15 times as long for each chunk, for 60 s")
@@ -117,28 +121,28 @@
 	must.Less(t, without.slow/4, with.slow)
 	must.Less(t, without.p95/4, with.p95)
 	must.Between(t, 0, with.out, 5*time.Second)
-	must.Between(t, 0, with.restored, maxOut+rampTime+time.Second)
+	must.Between(t, 0, with.restored, maxProbeDelay+rampTime+time.Second)
 }
 
-// BenchmarkMark is the decision for one call among 150 engines of a base.
+// BenchmarkMark measures the decision for one call among 150 engines of a base model.
 func BenchmarkMark(b *testing.B) {
-	k := newTracker()
+	tracker := newTracker()
 	all := candidates(150)
 	for _, c := range all {
-		k.Observe(c.Name, Observation{Reached: true, Gap: grayGap})
+		tracker.Observe(c.Name, Observation{Reached: true, Gap: grayGap})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		k.Mark(1, all)
+		tracker.Mark(1, all)
 	}
 }
 
-// BenchmarkObserve is the cost of one observation with 16 upstreams known.
+// BenchmarkObserve measures one observation with 16 upstreams.
 func BenchmarkObserve(b *testing.B) {
-	k := newTracker()
+	tracker := newTracker()
 	b.ReportAllocs()
 	for n := 0; b.Loop(); n++ {
-		k.Observe(candidateNames[n%len(candidateNames)], Observation{Reached: true, Gap: grayGap})
+		tracker.Observe(candidateNames[n%len(candidateNames)], Observation{Reached: true, Gap: grayGap})
 	}
 }
 
--- a/snipehealth/mark.go
+++ b/snipehealth/mark.go
@@ -6,46 +6,48 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// Mark makes candidates unusable that are to get no work now. The key is the
-// call's: it decides which calls an upstream that comes back gets.
+// Mark marks the candidates that must not get the call as unusable. key is the hash
+// of the call, and decides which calls go to an upstream in the state Ramp.
 func (t *Tracker) Mark(key uint64, candidates []sniperoute.Candidate) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	now := time.Now()
-	if !t.anyTroubled(now) {
+	if !t.anyRestricted(now) {
 		return
 	}
 	usable := 0
 	for i := range candidates {
-		if candidates[i].Usable && t.open(key, &candidates[i], now) {
+		if candidates[i].Usable && t.accepts(key, &candidates[i], now) {
 			usable++
 		}
 	}
-	spare := usable*keepDenominator < len(candidates)*keepNumerator
+	tooFew := usable*keepDenominator < len(candidates)*keepNumerator
 	for i := range candidates {
 		c := &candidates[i]
-		u := t.troubled[c.Name]
-		if u == nil || !c.Usable || t.open(key, c, now) {
+		u := t.restricted[c.Name]
+		if u == nil || !c.Usable || t.accepts(key, c, now) {
 			continue
 		}
-		// A slow one is better than an overload of all others.
-		c.Usable = spare && u.state != Up && !u.reason.hard() && !now.Before(u.refused)
+		// If too few candidates are left, one that is slow or failing stays usable,
+		// because excluding it would overload the others.
+		c.Usable = tooFew && u.state != Up && !u.reason.unconditional() && !now.Before(u.backoffUntil)
 	}
 }
 
-// anyTroubled reports whether an upstream does not take all calls. The lock is
-// held.
-func (t *Tracker) anyTroubled(now time.Time) bool {
-	for name, u := range t.troubled {
-		u.settle(now)
-		t.note(name, u, now)
+// anyRestricted updates restricted to the time now, and reports whether there are
+// upstreams that do not get all calls. The lock is held.
+func (t *Tracker) anyRestricted(now time.Time) bool {
+	for name, u := range t.restricted {
+		u.expire(now)
+		t.updateRestricted(name, u, now)
 	}
-	return len(t.troubled) > 0
+	return len(t.restricted) > 0
 }
 
-// open reports whether an upstream takes the call. The lock is held.
-func (t *Tracker) open(key uint64, c *sniperoute.Candidate, now time.Time) bool {
-	u := t.troubled[c.Name]
+// accepts reports whether the call with the given key may go to a candidate, by
+// the candidate's share. The lock is held.
+func (t *Tracker) accepts(key uint64, c *sniperoute.Candidate, now time.Time) bool {
+	u := t.restricted[c.Name]
 	if u == nil {
 		return true
 	}
@@ -53,17 +55,19 @@
 	return share >= 1 || share > 0 && fraction(sniperoute.Score(key, c.Hash^rampSalt)) < share
 }
 
-// rampSalt keeps the choice of the calls for a ramp apart from the ranking.
+// rampSalt makes the selection of the calls for an upstream in the state Ramp
+// independent of the ranking, which is computed from the same hashes.
 const rampSalt = 0x5bd1e9955bd1e995
 
-// fraction maps a hash to 0 up to 1.
+// fraction maps a hash to a number from 0 up to, but not including, 1.
 func fraction(h uint64) float64 {
 	const bits = 53
 	return float64(h>>(64-bits)) / (1 << bits)
 }
 
-// Least returns the index of the candidate with fewer calls in flight from this
-// instance, of the two that rank first for the key, or -1 when none is usable.
+// Least returns the index of the less loaded of the two usable candidates that rank
+// first for the key, or -1 if none is usable. The load counts only calls of this
+// instance.
 func (t *Tracker) Least(key uint64, candidates []sniperoute.Candidate) int {
 	first := sniperoute.Pick(key, candidates)
 	if first < 0 {
@@ -85,7 +89,8 @@
 	return first
 }
 
-// load is the work in flight: calls by how long they take.
+// load returns the load of an upstream with one more call: the number of calls in
+// flight times the recent gap of the upstream, which counts as at least a millisecond.
 func (u *upstream) load() float64 {
 	return float64(u.inFlight+1) * max(u.gap, time.Millisecond.Seconds())
 }
--- a/snipehealth/snipehealth.go
+++ b/snipehealth/snipehealth.go
@@ -1,19 +1,21 @@
-// Package snipehealth finds upstreams that do not answer, fail or have become
-// slow, takes them out and lets them back in gradually.
+// Package snipehealth detects upstreams that are unreachable, fail or have become
+// slow, excludes them from the choice of an upstream, and readmits them gradually.
 //
-// Design. The owner of an engine sees all its calls and watches them with Run;
-// an instance watches plain services for itself. What the owner has found it
-// announces, since at the size to design for another instance sends an engine
-// too few calls to see anything. A Tracker is one instance's knowledge, found
-// and heard; Mark takes it into the choice of an upstream.
+// Design. All calls of an engine pass through the instance that owns it, which
+// observes them with Watch. Calls of plain services are observed by each instance
+// separately. The owner of an engine announces the state that it has detected,
+// because in a deployment of the intended size another instance sends too few
+// calls to one engine to detect anything. A Tracker combines the states that its
+// instance has detected with those announced by others, and Mark applies them to
+// the choice of an upstream.
 //
 // Invariants:
 //
-//   - An upstream that does not answer, or is leaving, gets no new work.
-//   - Upstreams that are only slow or failing are left out only while two
-//     thirds of the candidates remain: taking out more would overload the rest.
-//   - An upstream comes back by a probe first, then by a share of calls that
-//     grows over rampTime; if it fails then, it stays out twice as long.
+//   - An upstream that is unreachable or leaving gets no new calls.
+//   - Upstreams that are only slow or failing are excluded only while two thirds
+//     of the candidates remain usable: excluding more would overload the rest.
+//   - An upstream that is out must pass a probe first. Then its share of the calls
+//     grows over rampTime. If it fails in that time, it stays out twice as long.
 package snipehealth
 
 import (
@@ -23,16 +25,16 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// State is how far an upstream takes part.
+// State is the state of an upstream, which determines how many calls it gets.
 type State uint8
 
 // The states.
 const (
-	// Up: all calls.
+	// Up: the upstream gets all calls that are routed to it.
 	Up State = iota
-	// Ramp: a growing share of calls.
+	// Ramp: the upstream gets a growing share of these calls.
 	Ramp
-	// Out: no calls.
+	// Out: the upstream gets no calls.
 	Out
 	states
 )
@@ -42,19 +44,20 @@
 // String returns the state's name.
 func (s State) String() string { return stateNames[min(s, states-1)] }
 
-// Reason is why an upstream is out.
+// Reason is the reason why an upstream is out, or was out before its ramp.
 type Reason uint8
 
 // The reasons.
 const (
 	None Reason = iota
-	// Unreachable: it takes no connections.
+	// Unreachable: the upstream accepts no connections.
 	Unreachable
-	// Leaving: it says itself that it is leaving.
+	// Leaving: the upstream has signaled that it is leaving.
 	Leaving
-	// Failing: many of its answers break or fail.
+	// Failing: many answers of the upstream fail or are incomplete.
 	Failing
-	// Slow: its chunks come much more slowly than before, or than its peers'.
+	// Slow: the upstream sends chunks much more slowly than before, or than the
+	// other upstreams of its group.
 	Slow
 	reasons
 )
@@ -64,145 +67,159 @@
 // String returns the reason's name.
 func (r Reason) String() string { return reasonNames[min(r, reasons-1)] }
 
-// hard reports whether an upstream that is out for r gets no work at all.
-func (r Reason) hard() bool { return r == Unreachable || r == Leaving }
+// unconditional reports whether an upstream that is out for r is excluded even if
+// too few candidates remain.
+func (r Reason) unconditional() bool { return r == Unreachable || r == Leaving }
 
 const (
-	// rampTime is how long an upstream takes to get its full share again, and
-	// rampFirst the share that it starts with.
+	// rampTime is the time in which the share of an upstream in the state Ramp
+	// grows to 1, and rampFirst the share at its start.
 	rampTime  = 10 * time.Second
 	rampFirst = 0.05
-	// minOut and maxOut bound the time before the next probe.
-	minOut = 500 * time.Millisecond
-	maxOut = 16 * time.Second
-	// recent is the weight of the last call in the averages, past that in the
-	// baseline of an upstream's own speed.
-	recent = 0.2
-	past   = 0.005
-	// enough is how many calls are seen before one is judged, and enoughRamp
-	// how many of one that comes back.
-	enough     = 5
-	enoughRamp = 2
-	// failingRate is the share of failures above which an upstream is out.
+	// minProbeDelay and maxProbeDelay bound the time before the next probe of an
+	// upstream that is out.
+	minProbeDelay = 500 * time.Millisecond
+	maxProbeDelay = 16 * time.Second
+	// recentWeight is the weight of the latest call in the moving averages, and
+	// baselineWeight its weight in the baseline of the upstream's own speed.
+	recentWeight   = 0.2
+	baselineWeight = 0.005
+	// minCalls is how many calls are observed before an upstream may be taken
+	// out as failing or slow, and minRampCalls the same in the state Ramp.
+	minCalls     = 5
+	minRampCalls = 2
+	// failingRate is the share of failures above which an upstream is failing.
 	failingRate = 0.5
-	// slowFactor is how much slower than its reference an upstream is when it
-	// is out, and slowGap the time between chunks that is slow in any case.
+	// slowFactor is how many times the reference the time between chunks must
+	// exceed to be slow, and slowGap the time that is slow in any case.
 	slowFactor = 4
 	slowGap    = time.Second
 	// fastGap is a time between chunks that is never slow.
 	fastGap = 20 * time.Millisecond
-	// keepNumerator and keepDenominator are the share of candidates that
-	// remains.
+	// keepNumerator and keepDenominator are the share of the candidates that must
+	// remain usable.
 	keepNumerator, keepDenominator = 2, 3
 )
 
-// Tracker is an instance's knowledge of upstreams. Exported fields are set
-// before the first call. It is safe for concurrent use.
+// Tracker holds the health of the upstreams, as one instance has detected it or
+// received it from others. The exported fields must be set before the first call.
+// Tracker is safe for concurrent use.
 type Tracker struct {
-	// Announce tells all instances the state of an upstream; nil for none.
+	// Announce sends the state of an upstream to all instances; nil means that
+	// states are not announced.
 	Announce func(upstream string, s State, r Reason)
-	// Log takes events.
+	// Log records the changes of states.
 	Log *snipelog.Logger
 
 	lock      sync.Mutex // guards the fields below; not held during Announce
 	upstreams map[string]*upstream
-	// troubled are the upstreams that do not take all calls: the marks of a call
-	// cost nothing while there are none.
-	troubled map[string]*upstream
+	// restricted holds the upstreams that do not get all calls. While it is empty,
+	// Mark returns without a look-up for each candidate.
+	restricted map[string]*upstream
 }
 
-// upstream is what is known of one upstream.
+// upstream holds the health of one upstream.
 type upstream struct {
 	state  State
 	reason Reason
-	since  time.Time
-	until  time.Time     // when it is probed, while it is out
-	out    time.Duration // the time before the last probe
-	// refused is until when it has asked for a pause.
-	refused time.Time
-	// heard is until when an announcement counts.
-	heard time.Time
+	since  time.Time // the last call of setState
+	// nextProbe is the time of the next probe while the upstream is out, and
+	// probeDelay the time between the last probe or failure and the next probe.
+	nextProbe  time.Time
+	probeDelay time.Duration
+	// backoffUntil is the end of the latest-ending backoff that was observed.
+	backoffUntil time.Time
+	// announcedUntil is when the state expires, if another instance announced it;
+	// it is zero if this instance detected the state.
+	announcedUntil time.Time
 
 	group    string
 	inFlight int
-	calls    int     // seen in this state
-	failures float64 // recent share
-	gap      float64 // recent time between chunks, in seconds
-	baseline float64 // its long average
+	calls    int     // observed since the last call of setState
+	failures float64 // moving average of the share of failed calls
+	gap      float64 // moving average of Observation.Gap, in seconds
+	baseline float64 // long-term average of Observation.Gap, in seconds
 }
 
-// Observation is what one call has shown of its upstream.
+// Observation is what one call indicates about the health of its upstream.
 type Observation struct {
-	// Reached tells that the upstream took the call, Failed that it did not
-	// answer it.
+	// Reached reports whether the upstream accepted the call, Failed whether its
+	// answer failed or was incomplete.
 	Reached, Failed bool
-	// Refused is how long the upstream asked to be left alone.
-	Refused time.Duration
-	// Gap is the average time between two chunks, or the time of an answer that
-	// is one; zero when it is not known.
+	// Backoff is how long the upstream must get no calls from this instance.
+	// If it is positive, Reached, Failed and Gap are ignored.
+	Backoff time.Duration
+	// Gap is the average time between two chunks, or the response time if the
+	// answer is a single chunk; zero if unknown.
 	Gap time.Duration
-	// Group is what the upstream can be compared within.
+	// Group names the upstreams with which this one can be compared.
 	Group string
 }
 
-// Observe takes what a call has shown.
+// Observe records the observation of one call, and logs and announces a change of
+// the upstream's state.
 func (t *Tracker) Observe(name string, o Observation) {
 	t.lock.Lock()
 	now := time.Now()
 	u := t.upstream(name, now)
-	before, why := u.state, u.reason
+	oldState, oldReason := u.state, u.reason
 	u.group = o.Group
 	u.observe(o, t.peers(name, o.Group), now)
-	after, reason := u.state, u.reason
-	t.note(name, u, now)
+	newState, newReason := u.state, u.reason
+	t.updateRestricted(name, u, now)
 	t.lock.Unlock()
-	t.tell(name, before, after, why, reason)
+	t.report(name, oldState, newState, oldReason, newReason)
 }
 
-// observe changes the state by one call; peers is the typical gap of other
-// upstreams, or 0.
+// observe updates the upstream after one call. peers is the mean gap, in seconds,
+// of other upstreams of its group, or 0 if unknown.
 func (u *upstream) observe(o Observation, peers float64, now time.Time) {
 	u.calls++
 	switch {
-	case o.Refused > 0:
-		if until := now.Add(o.Refused); until.After(u.refused) {
-			u.refused = until
+	case o.Backoff > 0:
+		if until := now.Add(o.Backoff); until.After(u.backoffUntil) {
+			u.backoffUntil = until
 		}
 		return
 	case !o.Reached:
-		u.leave(Unreachable, now)
+		u.takeOut(Unreachable, now)
 		return
 	}
 	failed := 0.0
 	if o.Failed {
 		failed = 1
 	}
-	u.failures += recent * (failed - u.failures)
+	u.failures += recentWeight * (failed - u.failures)
 	if o.Gap > 0 {
-		u.speed(o.Gap.Seconds())
+		u.recordGap(o.Gap.Seconds())
 	}
-	least := enough
+	required := minCalls
 	if u.state == Ramp {
-		least = enoughRamp
+		required = minRampCalls
 	}
 	switch {
-	case u.state == Out || u.calls < least:
+	case u.state == Out || u.calls < required:
 	case u.failures > failingRate:
-		u.leave(Failing, now)
+		u.takeOut(Failing, now)
 	case u.slow(peers):
-		u.leave(Slow, now)
+		u.takeOut(Slow, now)
 	}
 }
 
-func (u *upstream) speed(gap float64) {
+// recordGap updates the moving average and the baseline by one gap, in seconds.
+func (u *upstream) recordGap(gap float64) {
 	if u.baseline == 0 {
 		u.gap, u.baseline = gap, gap
 	}
-	u.gap += recent * (gap - u.gap)
-	// A slow time must not become the measure of itself.
-	u.baseline += past * (min(gap, 2*u.baseline) - u.baseline)
+	u.gap += recentWeight * (gap - u.gap)
+	// A gap counts for at most twice the baseline, so that an upstream that has
+	// become slow does not quickly raise its own reference.
+	u.baseline += baselineWeight * (min(gap, 2*u.baseline) - u.baseline)
 }
 
+// slow reports whether the recent gap exceeds slowGap, or slowFactor times the
+// reference, which is the lower of the baseline and peers, or the baseline if peers
+// is 0. A gap up to fastGap is never slow.
 func (u *upstream) slow(peers float64) bool {
 	reference := u.baseline
 	if peers > 0 {
@@ -211,25 +228,29 @@
 	return u.gap > slowGap.Seconds() || u.gap > max(slowFactor*reference, fastGap.Seconds())
 }
 
-// leave takes the upstream out.
-func (u *upstream) leave(r Reason, now time.Time) {
+// takeOut sets the state Out, and the time of the next probe. The probe delay
+// doubles if the upstream fails in the state Ramp.
+func (u *upstream) takeOut(r Reason, now time.Time) {
 	switch u.state {
 	case Out:
-		// A call that was under way already says nothing new.
-		if r.hard() {
+		// The call started before the upstream was taken out, so its failure does
+		// not delay the next probe.
+		if r.unconditional() {
 			u.reason = r
 		}
 		return
 	case Ramp:
-		u.out = min(2*u.out, maxOut)
+		u.probeDelay = min(2*u.probeDelay, maxProbeDelay)
 	default:
-		u.out = minOut
+		u.probeDelay = minProbeDelay
 	}
-	u.enter(Out, r, now)
-	u.until = now.Add(u.out)
+	u.setState(Out, r, now)
+	u.nextProbe = now.Add(u.probeDelay)
 }
 
-func (u *upstream) enter(s State, r Reason, now time.Time) {
+// setState sets the state and the reason, and restarts the counts of calls and
+// failures. In the state Ramp the gap restarts at the baseline.
+func (u *upstream) setState(s State, r Reason, now time.Time) {
 	u.state, u.reason, u.since = s, r, now
 	u.calls, u.failures = 0, 0
 	if s == Ramp {
@@ -237,21 +258,22 @@
 	}
 }
 
-// settle ends a ramp whose time is over, and what was heard long ago.
-func (u *upstream) settle(now time.Time) {
-	if !u.heard.IsZero() && now.After(u.heard) {
-		u.heard = time.Time{}
-		u.enter(Up, None, now)
+// expire ends an announced state that has expired, and a ramp that has lasted for
+// rampTime.
+func (u *upstream) expire(now time.Time) {
+	if !u.announcedUntil.IsZero() && now.After(u.announcedUntil) {
+		u.announcedUntil = time.Time{}
+		u.setState(Up, None, now)
 	}
 	if u.state == Ramp && now.Sub(u.since) >= rampTime {
-		u.enter(Up, None, now)
-		u.out = 0
+		u.setState(Up, None, now)
+		u.probeDelay = 0
 	}
 }
 
-// share returns the part of the calls that the upstream gets.
+// share returns the share of its calls that the upstream gets, from 0 to 1.
 func (u *upstream) share(now time.Time) float64 {
-	if now.Before(u.refused) {
+	if now.Before(u.backoffUntil) {
 		return 0
 	}
 	switch u.state {
@@ -263,63 +285,66 @@
 	return 1
 }
 
-// Hear takes an announcement of another instance, which counts for ttl. An
-// upstream whose own calls have shown this instance something keeps that.
+// Hear records a state that another instance has announced. It expires after ttl.
+// A state other than Up that this instance has detected itself takes precedence,
+// and an unknown state or reason is ignored.
 func (t *Tracker) Hear(name string, s State, r Reason, ttl time.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	now := time.Now()
 	u := t.upstream(name, now)
-	if u.heard.IsZero() && u.state != Up || s >= states || r >= reasons {
+	if u.announcedUntil.IsZero() && u.state != Up || s >= states || r >= reasons {
 		return
 	}
 	if u.state != s || u.reason != r {
-		u.enter(s, r, now)
+		u.setState(s, r, now)
 	}
-	u.heard = now.Add(ttl)
-	t.note(name, u, now)
+	u.announcedUntil = now.Add(ttl)
+	t.updateRestricted(name, u, now)
 }
 
-// note keeps the troubled ones in step with an upstream's state. The lock is
-// held.
-func (t *Tracker) note(name string, u *upstream, now time.Time) {
+// updateRestricted adds an upstream to restricted, or removes it, depending on its
+// share. The lock is held.
+func (t *Tracker) updateRestricted(name string, u *upstream, now time.Time) {
 	if u.share(now) >= 1 {
-		delete(t.troubled, name)
+		delete(t.restricted, name)
 		return
 	}
-	if t.troubled == nil {
-		t.troubled = map[string]*upstream{}
+	if t.restricted == nil {
+		t.restricted = map[string]*upstream{}
 	}
-	t.troubled[name] = u
+	t.restricted[name] = u
 }
 
-// Outs returns the upstreams that this instance has found to be out, with the
-// reasons.
+// Outs returns the upstreams that are out as detected by this instance, with the
+// reasons. It omits states announced by others.
 func (t *Tracker) Outs() map[string]Reason {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	outs := map[string]Reason{}
 	for name, u := range t.upstreams {
-		if u.state == Out && u.heard.IsZero() {
+		if u.state == Out && u.announcedUntil.IsZero() {
 			outs[name] = u.reason
 		}
 	}
 	return outs
 }
 
-// Forget drops upstreams that are no longer in the settings.
+// Forget deletes the upstreams that are no longer in the settings, as known
+// reports, and have no calls in flight.
 func (t *Tracker) Forget(known func(name string) bool) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	for name, u := range t.upstreams {
 		if u.inFlight == 0 && !known(name) {
 			delete(t.upstreams, name)
-			delete(t.troubled, name)
+			delete(t.restricted, name)
 		}
 	}
 }
 
-// State returns what an upstream's state is, and why.
+// State returns the state of an upstream and its reason. It returns Up and None
+// for an upstream without observations or announcements.
 func (t *Tracker) State(name string) (State, Reason) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -327,11 +352,12 @@
 	if u == nil {
 		return Up, None
 	}
-	u.settle(time.Now())
+	u.expire(time.Now())
 	return u.state, u.reason
 }
 
-// upstream returns an upstream's state, made if need be. The lock is held.
+// upstream returns the entry of an upstream, after expire, and adds it if
+// necessary. The lock is held.
 func (t *Tracker) upstream(name string, now time.Time) *upstream {
 	if t.upstreams == nil {
 		t.upstreams = map[string]*upstream{}
@@ -341,19 +367,21 @@
 		u = &upstream{since: now}
 		t.upstreams[name] = u
 	}
-	u.settle(now)
+	u.expire(now)
 	return u
 }
 
-// minPeers is how many other upstreams make a reference.
+// minPeers is the number of other upstreams below which their mean gap is not used
+// as a reference.
 const minPeers = 3
 
-// peers returns the mean gap of the other upstreams of a group that are up, or
-// 0 when there are too few. The lock is held.
+// peers returns the mean gap, in seconds, of the other upstreams of a group that
+// are up and have at least minCalls observed calls, or 0 if there are fewer than
+// minPeers of them. The lock is held.
 func (t *Tracker) peers(name, group string) float64 {
 	n, sum := 0, 0.0
 	for other, u := range t.upstreams {
-		if other != name && u.group == group && u.state == Up && u.gap > 0 && u.calls >= enough {
+		if other != name && u.group == group && u.state == Up && u.gap > 0 && u.calls >= minCalls {
 			n++
 			sum += u.gap
 		}
@@ -364,17 +392,19 @@
 	return sum / float64(n)
 }
 
-func (t *Tracker) tell(name string, before, after State, why, reason Reason) {
-	if before == after && why == reason {
+// report logs and announces the state of an upstream if its state or reason has
+// changed. The lock is not held.
+func (t *Tracker) report(name string, oldState, newState State, oldReason, newReason Reason) {
+	if oldState == newState && oldReason == newReason {
 		return
 	}
-	f := snipelog.Fields{"Upstream": name, "State": after.String(), "Reason": reason.String()}
-	if after == Out {
+	f := snipelog.Fields{"Upstream": name, "State": newState.String(), "Reason": newReason.String()}
+	if newState == Out {
 		t.Log.Log(snipelog.UpstreamDown, f)
 	} else {
 		t.Log.Log(snipelog.UpstreamUp, f)
 	}
 	if t.Announce != nil {
-		t.Announce(name, after, reason)
+		t.Announce(name, newState, newReason)
 	}
 }
--- a/snipehealth/snipehealth_test.go
+++ b/snipehealth/snipehealth_test.go
@@ -18,6 +18,7 @@
 
 func newTracker() *Tracker { return &Tracker{Log: snipelog.Discard()} }
 
+// candidates returns n usable candidates, which are named by their index.
 func candidates(n int) []sniperoute.Candidate {
 	all := make([]sniperoute.Candidate, n)
 	for i := range all {
@@ -27,10 +28,10 @@
 	return all
 }
 
-// usable returns which candidates the tracker leaves for a call.
-func usable(t *Tracker, key uint64, n int) []string {
+// usable returns the names of the n candidates that Mark leaves usable for a call.
+func usable(tracker *Tracker, key uint64, n int) []string {
 	all := candidates(n)
-	t.Mark(key, all)
+	tracker.Mark(key, all)
 	var names []string
 	for _, c := range all {
 		if c.Usable {
@@ -40,11 +41,13 @@
 	return names
 }
 
-// TestObserve is the fault table: what takes an upstream out.
+// TestObserve guards against upstreams that are not taken out for a fault, or are
+// taken out for too little. Each row states the observations, and the state and
+// reason that must follow.
 func TestObserve(t *testing.T) {
-	good := Observation{Reached: true, Gap: 30 * time.Millisecond}
+	success := Observation{Reached: true, Gap: 30 * time.Millisecond}
 	tests := map[string]struct {
-		before int // good calls before
+		before int // successful calls before the fault
 		then   Observation
 		times  int
 		state  State
@@ -62,45 +65,46 @@
 		"one slow answer":     {before: 20, then: Observation{Reached: true, Gap: 300 * time.Millisecond}, times: 1},
 		"twice as slow":       {before: 20, then: Observation{Reached: true, Gap: 60 * time.Millisecond}, times: 50},
 		"slow from the start": {then: Observation{Reached: true, Gap: 2 * time.Second}, times: 5, state: Out, reason: Slow},
-		"asks for a pause":    {before: 1, then: Observation{Reached: true, Refused: time.Second}, times: 1},
+		"asks for a pause":    {before: 1, then: Observation{Reached: true, Backoff: time.Second}, times: 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := newTracker()
+				tracker := newTracker()
 				for range test.before {
-					k.Observe("0", good)
+					tracker.Observe("0", success)
 				}
 				for range test.times {
-					k.Observe("0", test.then)
+					tracker.Observe("0", test.then)
 				}
-				state, reason := k.State("0")
+				state, reason := tracker.State("0")
 				must.Eq(t, test.state, state)
 				must.Eq(t, test.reason, reason)
-				wantOut := test.state == Out || test.then.Refused > 0
-				must.Eq(t, wantOut, len(usable(k, 1, 3)) == 2)
+				wantOut := test.state == Out || test.then.Backoff > 0
+				must.Eq(t, wantOut, len(usable(tracker, 1, 3)) == 2)
 			})
 		})
 	}
 }
 
-// TestLongestPause guards against a shorter pause, of a call that was under way, which ends a longer
-// one that the upstream has asked for.
+// TestLongestPause guards against a shorter backoff, from a call that was already running, that
+// ends a longer backoff of the same upstream.
 func TestLongestPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newTracker()
-		k.Observe("0", Observation{Reached: true, Refused: 3 * time.Second})
+		tracker := newTracker()
+		tracker.Observe("0", Observation{Reached: true, Backoff: 3 * time.Second})
 		time.Sleep(100 * time.Millisecond)
-		k.Observe("0", Observation{Reached: true, Refused: 250 * time.Millisecond})
+		tracker.Observe("0", Observation{Reached: true, Backoff: 250 * time.Millisecond})
 		time.Sleep(2800 * time.Millisecond)
-		must.Eq(t, []string{"1", "2"}, usable(k, 1, 3))
+		must.Eq(t, []string{"1", "2"}, usable(tracker, 1, 3))
 		time.Sleep(200 * time.Millisecond)
-		must.Len(t, 3, usable(k, 1, 3))
+		must.Len(t, 3, usable(tracker, 1, 3))
 	})
 }
 
-// TestFloor: two thirds of the candidates remain when all have become slow,
-// and none that does not answer.
+// TestFloor guards against the exclusion of so many slow upstreams that fewer than
+// two thirds of the candidates remain and are overloaded. Unreachable upstreams must
+// all be excluded.
 func TestFloor(t *testing.T) {
 	tests := map[string]struct {
 		then Observation
@@ -111,83 +115,85 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			k := newTracker()
+			tracker := newTracker()
 			for n := range 9 {
 				for range 5 {
-					k.Observe(strconv.Itoa(n), test.then)
+					tracker.Observe(strconv.Itoa(n), test.then)
 				}
 			}
-			must.Len(t, test.left, usable(k, 1, 9))
+			must.Len(t, test.left, usable(tracker, 1, 9))
 		})
 	}
 }
 
-// TestReturn: an upstream that was out comes back by a probe, then with a
-// growing share; when it fails meanwhile it stays out twice as long.
+// TestReturn guards against an upstream that gets calls again without a probe, or at
+// once with its full share. If it fails in the state Ramp, it must stay out twice as
+// long as before.
 func TestReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newTracker()
+		tracker := newTracker()
 		all := func(string) bool { return true }
 		down := errors.New("down")
 		probes := 0
 		probe := func(context.Context, string) error { probes++; return down }
-		k.Observe("0", Observation{})
-		k.Step(t.Context(), all, probe)
+		tracker.Observe("0", Observation{})
+		tracker.Step(t.Context(), all, probe)
 		must.Eq(t, 0, probes, must.Sprint("probed at once"))
 		for range 60 {
 			time.Sleep(time.Second)
-			k.Step(t.Context(), all, probe)
+			tracker.Step(t.Context(), all, probe)
 		}
-		must.Between(t, 4, probes, 8, must.Sprint("probes of an upstream that stays away"))
-		must.Len(t, 2, usable(k, 1, 3))
+		must.Between(t, 4, probes, 8, must.Sprint("probes of an upstream that stays down"))
+		must.Len(t, 2, usable(tracker, 1, 3))
 		down = nil
-		time.Sleep(maxOut)
-		k.Step(t.Context(), all, probe)
-		state, _ := k.State("0")
+		time.Sleep(maxProbeDelay)
+		tracker.Step(t.Context(), all, probe)
+		state, _ := tracker.State("0")
 		must.Eq(t, Ramp, state)
-		early := shareOf(k)
+		early := shareOf(tracker)
 		time.Sleep(rampTime / 2)
-		middle := shareOf(k)
+		middle := shareOf(tracker)
 		must.Less(t, 0.1, early)
 		must.Between(t, 0.4, middle, 0.6)
-		k.Observe("0", Observation{})
-		must.Eq(t, 0.0, shareOf(k))
-		time.Sleep(maxOut - time.Second)
-		must.SliceEmpty(t, k.due(), must.Sprint("probed as early as the first time"))
+		tracker.Observe("0", Observation{})
+		must.Eq(t, 0.0, shareOf(tracker))
+		time.Sleep(maxProbeDelay - time.Second)
+		must.SliceEmpty(t, tracker.dueProbes(), must.Sprint("probed as early as the first time"))
 		time.Sleep(time.Second)
-		k.Step(t.Context(), all, probe)
+		tracker.Step(t.Context(), all, probe)
 		time.Sleep(rampTime)
-		must.Eq(t, 1.0, shareOf(k))
+		must.Eq(t, 1.0, shareOf(tracker))
 	})
 }
 
-// shareOf returns the part of calls that may go to upstream 0.
-func shareOf(k *Tracker) float64 {
+// shareOf returns the share of the calls for which upstream 0 is usable.
+func shareOf(tracker *Tracker) float64 {
 	n := 0
 	for key := range uint64(1000) {
-		if names := usable(k, sniperoute.Hash(strconv.FormatUint(key, 10)), 3); names[0] == "0" {
+		if names := usable(tracker, sniperoute.Hash(strconv.FormatUint(key, 10)), 3); names[0] == "0" {
 			n++
 		}
 	}
 	return float64(n) / 1000
 }
 
-// TestHear: what another instance has found counts until it expires; what this
-// one has found itself outweighs it.
+// TestHear guards against an announced state that has no effect or does not expire,
+// and against one that replaces a state detected by this instance.
 func TestHear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newTracker()
-		k.Hear("0", Out, Unreachable, 30*time.Second)
-		must.Eq(t, []string{"1", "2"}, usable(k, 1, 3))
+		tracker := newTracker()
+		tracker.Hear("0", Out, Unreachable, 30*time.Second)
+		must.Eq(t, []string{"1", "2"}, usable(tracker, 1, 3))
 		time.Sleep(31 * time.Second)
-		must.Eq(t, []string{"0", "1", "2"}, usable(k, 1, 3))
-		k.Observe("0", Observation{})
-		k.Hear("0", Up, None, 30*time.Second)
-		must.Eq(t, []string{"1", "2"}, usable(k, 1, 3))
+		must.Eq(t, []string{"0", "1", "2"}, usable(tracker, 1, 3))
+		tracker.Observe("0", Observation{})
+		tracker.Hear("0", Up, None, 30*time.Second)
+		must.Eq(t, []string{"1", "2"}, usable(tracker, 1, 3))
 	})
 }
 
-// TestWatch: which failures of a call count against its upstream.
+// TestWatch guards against failures of a call that wrongly count, or do not count,
+// as failures of its upstream.
 func TestWatch(t *testing.T) {
 	tests := map[string]struct {
 		err  error
@@ -202,7 +208,7 @@
 		"deadline": {snipeerror.New(snipeerror.ErrDeadline, snipeerror.MayHaveRun, ""), Observation{}, true},
 		"refused": {
 			snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "").After(time.Hour),
-			Observation{Reached: true, Refused: maxRefused, Group: "base/b"},
+			Observation{Reached: true, Backoff: maxBackoff, Group: "base/b"},
 			false,
 		},
 		"bad request":      {snipeerror.New(snipeerror.ErrBadRequest, snipeerror.NotRun, ""), Observation{}, true},
@@ -212,8 +218,8 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			w := &watched{}
-			o, ok := w.observation(&snipecall.Call{Base: "b"}, test.err)
+			timer := &answerTimer{}
+			o, ok := timer.observation(&snipecall.Call{Base: "b"}, test.err)
 			must.Eq(t, !test.none, ok)
 			if ok {
 				must.Eq(t, test.want, o)
--- a/snipehealth/watch.go
+++ b/snipehealth/watch.go
@@ -11,65 +11,71 @@
 )
 
 const (
-	// maxRefused bounds the pause that an upstream may ask for, and refused is
-	// the pause when it names none.
-	maxRefused = 5 * time.Second
-	refused    = 250 * time.Millisecond
-	// hopPause is how long an upstream is left alone whose owner is not there.
-	hopPause = 500 * time.Millisecond
-	// earlyAfter is how long a call runs before it shows the upstream's speed.
+	// maxBackoff and minBackoff bound the backoff that follows a refusal as
+	// overloaded; minBackoff also applies if the refusal states no time.
+	maxBackoff = 5 * time.Second
+	minBackoff = 250 * time.Millisecond
+	// ownerBackoff is the backoff of an upstream whose owner cannot be reached, is
+	// stopping or has lost the ownership.
+	ownerBackoff = 500 * time.Millisecond
+	// earlyAfter is the time between the first and the latest chunk of an answer
+	// after which the gap is observed before the call ends.
 	earlyAfter = time.Second
-	// probeTimeout bounds a probe.
+	// probeTimeout bounds the duration of a probe.
 	probeTimeout = time.Second
 )
 
-// Watch returns run with its calls observed.
+// Watch returns a function that executes calls with run, and records the result and
+// the speed of each call.
 func (t *Tracker) Watch(
 	run func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error,
 ) func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	return func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
-		w := &watched{sink: sink, start: time.Now()}
-		w.early = func(gap time.Duration) {
+		a := &answerTimer{sink: sink, start: time.Now()}
+		a.early = func(gap time.Duration) {
 			t.Observe(c.Upstream, Observation{Reached: true, Gap: gap, Group: group(c)})
 		}
-		t.count(c.Upstream, 1)
-		err := run(ctx, c, w.chunk)
-		t.count(c.Upstream, -1)
-		if o, ok := w.observation(c, err); ok {
+		t.addInFlight(c.Upstream, 1)
+		err := run(ctx, c, a.chunk)
+		t.addInFlight(c.Upstream, -1)
+		if o, ok := a.observation(c, err); ok {
 			t.Observe(c.Upstream, o)
 		}
 		return err
 	}
 }
 
-// count counts calls in flight.
-func (t *Tracker) count(name string, n int) {
+// addInFlight adds n to the calls in flight of an upstream.
+func (t *Tracker) addInFlight(name string, n int) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.upstream(name, time.Now()).inFlight += n
 }
 
-// Hop takes the failure of a call that another instance was to execute: its
-// upstream is left alone by this instance for a while. Nobody else is told,
-// since it may be the way there that is broken.
+// Hop records the failure of a call that was forwarded to another instance. If the
+// failure is NotRun and indicates that the owner or the upstream is unavailable,
+// stopping or overloaded, this instance sends the upstream no calls for a backoff.
+// The backoff is not announced to other instances, because the fault may lie in the
+// connection between this instance and the owner.
 func (t *Tracker) Hop(c *snipecall.Call, err error) {
 	var f *snipeerror.CallError
 	if !errors.As(err, &f) || f.Outcome != snipeerror.NotRun {
 		return
 	}
-	pause := time.Duration(0)
+	backoff := time.Duration(0)
 	switch {
 	case errors.Is(f, snipeerror.ErrNoUpstream), errors.Is(f, snipeerror.ErrNotOwner), errors.Is(f, snipeerror.ErrStopping):
-		pause = hopPause
+		backoff = ownerBackoff
 	case errors.Is(f, snipeerror.ErrOverloaded):
-		pause = min(max(f.RetryAfter, refused), maxRefused)
+		backoff = min(max(f.RetryAfter, minBackoff), maxBackoff)
 	default:
 		return
 	}
-	t.Observe(c.Upstream, Observation{Refused: pause, Group: group(c)})
+	t.Observe(c.Upstream, Observation{Backoff: backoff, Group: group(c)})
 }
 
-// group names what a call's upstreams can be compared within.
+// group returns the group of upstreams whose speed can be compared for a call: those
+// of its service, or the engines of its base model.
 func group(c *snipecall.Call) string {
 	if c.Service != "" {
 		return "service/" + c.Service
@@ -77,47 +83,51 @@
 	return "base/" + c.Base
 }
 
-// watched measures the chunks of one answer.
-type watched struct {
+// answerTimer measures the times between the chunks of one answer.
+type answerTimer struct {
 	sink               snipecall.Sink
 	start, first, last time.Time
 	chunks             int
-	// early takes the gap of a call that goes on for longer than earlyAfter,
-	// once, so that a slow upstream shows before its calls have ended.
+	// early is called once with the gap of an answer that takes longer than
+	// earlyAfter, so that a slow upstream is detected before its calls end.
 	early func(gap time.Duration)
 }
 
-func (w *watched) chunk(k snipecall.Chunk) error {
-	w.last = time.Now()
-	if w.chunks == 0 {
-		w.first = w.last
+// chunk records the time of a chunk and passes it to the sink.
+func (a *answerTimer) chunk(k snipecall.Chunk) error {
+	a.last = time.Now()
+	if a.chunks == 0 {
+		a.first = a.last
 	}
-	w.chunks++
-	if w.early != nil && w.chunks > 1 && w.last.Sub(w.first) >= earlyAfter {
-		w.early(w.gap())
-		w.early = nil
+	a.chunks++
+	if a.early != nil && a.chunks > 1 && a.last.Sub(a.first) >= earlyAfter {
+		a.early(a.gap())
+		a.early = nil
 	}
-	return w.sink(k)
+	return a.sink(k)
 }
 
-// gap returns the average time between two chunks.
-func (w *watched) gap() time.Duration { return w.last.Sub(w.first) / time.Duration(w.chunks-1) }
+// gap returns the average time between two chunks, of which there must be at least
+// two.
+func (a *answerTimer) gap() time.Duration { return a.last.Sub(a.first) / time.Duration(a.chunks-1) }
 
-// pace returns what is compared of a call: its gap, or the time of the answer
-// of a plain service; zero when there is neither.
-func (w *watched) pace(c *snipecall.Call) time.Duration {
+// observedGap returns the time by which upstreams are compared: the gap, or the
+// response time of a plain service that answers with a single chunk. It returns
+// zero if there is neither.
+func (a *answerTimer) observedGap(c *snipecall.Call) time.Duration {
 	switch {
-	case w.chunks > 1:
-		return w.gap()
-	case w.chunks == 1 && c.Service != "":
-		return w.last.Sub(w.start)
+	case a.chunks > 1:
+		return a.gap()
+	case a.chunks == 1 && c.Service != "":
+		return a.last.Sub(a.start)
 	}
 	return 0
 }
 
-// observation returns what a call has shown, and false for nothing.
-func (w *watched) observation(c *snipecall.Call, err error) (Observation, bool) {
-	o := Observation{Reached: true, Group: group(c), Gap: w.pace(c)}
+// observation returns the observation of a call that ended with err. It returns
+// false if the error says nothing about the upstream.
+func (a *answerTimer) observation(c *snipecall.Call, err error) (Observation, bool) {
+	o := Observation{Reached: true, Group: group(c), Gap: a.observedGap(c)}
 	if err == nil {
 		return o, true
 	}
@@ -131,64 +141,70 @@
 	case errors.Is(f, snipeerror.ErrIncomplete), errors.Is(f, snipeerror.ErrUpstreamFailed), errors.Is(f, snipeerror.ErrMismatch):
 		o.Failed = true
 	case errors.Is(f, snipeerror.ErrOverloaded):
-		o.Refused = min(max(f.RetryAfter, refused), maxRefused)
+		o.Backoff = min(max(f.RetryAfter, minBackoff), maxBackoff)
 	default:
-		// Among them a deadline, which may be the caller's short patience: a
-		// silent upstream ends as ErrIncomplete.
+		// This includes ErrDeadline, which may be caused by a caller's short
+		// deadline. If the upstream stops sending, the call fails with
+		// ErrIncomplete instead.
 		return o, false
 	}
 	return o, true
 }
 
-// due is an upstream that is to be probed.
-type due struct {
+// dueProbe is an upstream that is to be probed.
+type dueProbe struct {
 	name   string
 	reason Reason
 }
 
-// Step probes the upstreams that are out and whose time has come; an upstream
-// that passes gets calls again. Mine tells for which ones this instance does so.
-func (t *Tracker) Step(ctx context.Context, mine func(name string) bool, probe func(ctx context.Context, name string) error) {
-	for _, d := range t.due() {
-		if !mine(d.name) {
+// Step probes the upstreams that are out, as detected by this instance, whose next
+// probe is due and for which responsible reports true. An upstream that passes the
+// probe enters the state Ramp.
+func (t *Tracker) Step(ctx context.Context, responsible func(name string) bool, probe func(ctx context.Context, name string) error) {
+	for _, d := range t.dueProbes() {
+		if !responsible(d.name) {
 			continue
 		}
 		bounded, cancel := context.WithTimeout(ctx, probeTimeout)
 		err := probe(bounded, d.name)
 		cancel()
-		t.probed(d.name, err)
+		t.recordProbe(d.name, err)
 	}
 }
 
-func (t *Tracker) due() []due {
+// dueProbes returns the upstreams that are out, as detected by this instance, and
+// whose next probe is due.
+func (t *Tracker) dueProbes() []dueProbe {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	now := time.Now()
-	var all []due
+	var all []dueProbe
 	for name, u := range t.upstreams {
-		u.settle(now)
-		if u.state == Out && u.heard.IsZero() && !now.Before(u.until) {
-			all = append(all, due{name, u.reason})
+		u.expire(now)
+		if u.state == Out && u.announcedUntil.IsZero() && !now.Before(u.nextProbe) {
+			all = append(all, dueProbe{name, u.reason})
 		}
 	}
 	return all
 }
 
-func (t *Tracker) probed(name string, err error) {
+// recordProbe records the result of a probe of an upstream that is out. A failed
+// probe doubles the probe delay.
+func (t *Tracker) recordProbe(name string, err error) {
 	t.lock.Lock()
 	now := time.Now()
 	u := t.upstream(name, now)
-	before, why := u.state, u.reason
+	oldState, oldReason := u.state, u.reason
 	switch {
 	case u.state != Out:
 	case err != nil:
-		u.out = min(2*u.out, maxOut)
-		u.until = now.Add(u.out)
+		u.probeDelay = min(2*u.probeDelay, maxProbeDelay)
+		u.nextProbe = now.Add(u.probeDelay)
 		u.reason = Unreachable
 	default:
-		u.enter(Ramp, u.reason, now)
+		u.setState(Ramp, u.reason, now)
 	}
-	after, reason := u.state, u.reason
+	newState, newReason := u.state, u.reason
 	t.lock.Unlock()
-	t.tell(name, before, after, why, reason)
+	t.report(name, oldState, newState, oldReason, newReason)
 }
