--- a/snipebalance/board.go
+++ b/snipebalance/board.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// reportLife is for how long a report of load counts. Instances report each change, and
-// repeat theirs a few times in it while they have requests in flight.
-const reportLife = 1500 * time.Millisecond
+// boardLifetime is how long the report of an instance counts. Instances report each change, and
+// repeat their reports a few times within this time while they have requests in flight.
+const boardLifetime = 1500 * time.Millisecond
 
-// Board adds up what instances report of their requests in flight at some upstreams, so
-// that each learns of all: one of many instances sees too few answers of an upstream to
-// know its load. The zero value is ready; it is safe for concurrent use.
+// Board sums the loads that all instances report for a set of upstreams, so that each instance
+// can be sent the total. One of many instances receives too few answers of an upstream to derive
+// its load from them. The zero value is ready to use; it is safe for concurrent use.
 type Board struct {
-	lock    sync.Mutex // guards reports
-	reports map[string]map[string]report
+	lock    sync.Mutex                   // guards reports
+	reports map[string]map[string]report // by upstream, then by instance
 }
 
-// report is one instance's part of an upstream's load.
+// report is one instance's share of an upstream's load.
 type report struct {
 	load float64
 	at   time.Time
 }
 
-// Report notes the weight of an instance's requests in flight at an upstream.
+// Report records the weight of an instance's requests in flight at an upstream. It replaces the
+// previous report of the instance.
 func (b *Board) Report(upstream, instance string, load float64) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -36,7 +37,7 @@
 	b.reports[upstream][instance] = report{load, time.Now()}
 }
 
-// Loads returns the load of each upstream of which there are reports.
+// Loads returns the total load of each upstream for which there are reports.
 func (b *Board) Loads() map[string]float64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -44,7 +45,7 @@
 	for upstream, all := range b.reports {
 		sum := 0.0
 		for instance, r := range all {
-			if time.Since(r.at) > reportLife {
+			if time.Since(r.at) > boardLifetime {
 				delete(all, instance)
 				continue
 			}
@@ -53,7 +54,7 @@
 		if len(all) == 0 {
 			delete(b.reports, upstream)
 		}
-		// An upstream whose last report has lapsed is told once more, as idle.
+		// An upstream whose last report has expired is returned once more, with no load.
 		loads[upstream] = sum
 	}
 	return loads
--- a/snipebalance/board_test.go
+++ b/snipebalance/board_test.go
@@ -12,8 +12,9 @@
 	"snipepitch.example/snipepitch/snipedirectory"
 )
 
-// TestBoard: the load of an upstream is the sum of the newest reports; those of
-// instances that report no more end.
+// TestBoard checks that the load of an upstream is the sum of the newest report of each instance,
+// and that the reports of an instance that has stopped reporting expire. Otherwise an instance
+// that is gone would be counted forever.
 func TestBoard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipebalance.Board{}
@@ -31,14 +32,14 @@
 	})
 }
 
-// TestManyBalancers answers the pattern of many instances that each have two requests
-// in flight, at six upstreams: with what the board tells the busiest upstream has little
-// more than the mean, where each instance knows only its own requests it has much more.
+// TestManyBalancers runs many instances with two requests each in flight at six upstreams. With
+// the totals of a board, the busiest upstream has little more than the mean load. When each
+// instance counts only its own requests, the busiest upstream has much more than the mean.
 func TestManyBalancers(t *testing.T) {
 	const instances, inFlight, rounds, count = 60, 2, 20, 6
 	tests := map[string]struct {
-		told        bool
-		least, most float64 // of the busiest upstream, in means
+		shared      bool    // whether the balancers receive the totals of the board
+		least, most float64 // load of the busiest upstream as a multiple of the mean
 	}{"Told": {true, 1, 1.15}, "Alone": {false, 1.8, count}}
 	var all []*snipedirectory.Upstream
 	for n := range count {
@@ -53,7 +54,7 @@
 				for n := range rounds * instances {
 					own := n % instances
 					b := &balancers[own]
-					if tt.told {
+					if tt.shared {
 						for id, load := range board.Loads() {
 							b.Told(id, load)
 						}
--- a/snipebalance/snipebalance.go
+++ b/snipebalance/snipebalance.go
@@ -1,11 +1,12 @@
-// Package snipebalance chooses among the upstreams of a service by what this
-// instance knows of their load and health.
+// Package snipebalance picks an upstream of a service for each request, by the load and health
+// that this instance has recorded for the upstreams.
 //
-// The load of an upstream is what it last said of itself, corrected by the
-// requests that this instance has sent and seen ended since then. A statement
-// loses weight as it grows old, so that an upstream that was busy is tried again.
+// The load of an upstream is the last load reported for it, adjusted by the requests that this
+// instance has begun and ended there since. The weight of a report decreases with its age, so
+// that an upstream that was busy receives requests again.
 //
-// Choices are pure given the knowledge: no I/O and no allocation.
+// Picking an upstream depends only on the recorded state and the clock: it does no I/O and
+// allocates nothing.
 package snipebalance
 
 import (
@@ -17,80 +18,84 @@
 )
 
 const (
-	// staleAfter is when a statement of load counts for nothing any more: several
-	// answers' time under the usual load.
-	staleAfter = 2 * time.Second
-	// silenceAge is how old the knowledge of an upstream's load must be for another instance's
-	// silence about it to tell that it has none.
-	silenceAge = 500 * time.Millisecond
-	// farCost is what another failure domain counts, in shares of an upstream's
-	// slots: its bytes cost about a tenth of a busy upstream's slowness.
-	farCost = 0.10
-	// failureCost is what a certain failure counts, in shares of the slots.
+	// reportLifetime is the age at which a reported load has no weight any more. Several
+	// answers arrive within this time under the usual load.
+	reportLifetime = 2 * time.Second
+	// minClearAge is the age that a recorded load must exceed before its absence from another
+	// instance's statements resets it to zero.
+	minClearAge = 500 * time.Millisecond
+	// remoteCost is the cost of an upstream in another failure domain, as a share of the
+	// upstream's slots. Traffic between domains costs about a tenth of the slowdown that a
+	// busy upstream causes.
+	remoteCost = 0.10
+	// failureCost is the cost of a failure rate of 1, as a multiple of the upstream's slots.
 	failureCost = 3.0
-	// failureDecay is how much of the failure rate stays with each answer.
+	// failureDecay is the share of the previous failure rate that each answer keeps.
 	failureDecay = 0.85
-	// firstPause is how long an upstream is left alone after it could not be
-	// reached; it doubles up to maxPause.
-	firstPause = 300 * time.Millisecond
-	maxPause   = 3 * time.Second
-	// replacedPause is how long an upstream is left alone whose address another one has:
-	// longer than its entry takes to disappear.
-	replacedPause = 10 * time.Second
-	// brokenLimit is how many requests in a row may get no answer before an
-	// upstream is left alone.
-	brokenLimit = 3
-	// promptTokens is the size of a prompt that counts as one more request: while an engine
-	// reads it, it generates nothing for the others.
-	promptTokens = 1000
+	// minSuspicion is how long an upstream is suspect at first, for example after it could not
+	// be reached. Further failures double the time, up to maxSuspicion.
+	minSuspicion = 300 * time.Millisecond
+	maxSuspicion = 3 * time.Second
+	// replacedSuspicion is how long an upstream is suspect after another upstream has answered
+	// at its address. Its directory entry takes less time than this to disappear.
+	replacedSuspicion = 10 * time.Second
+	// maxUnanswered is the number of consecutive requests without an answer that makes an
+	// upstream suspect.
+	maxUnanswered = 3
+	// tokensPerRequest is the number of prompt tokens that count as one additional request:
+	// while an engine processes a prompt, it generates nothing for its other requests.
+	tokensPerRequest = 1000
 )
 
-// state is what is known of one upstream.
+// state is the recorded load and health of one upstream.
 type state struct {
-	// mine is the weight of this instance's requests in flight.
-	mine float64
-	// told is the last statement of load, mineThen this instance's part of it.
-	told     float64
-	mineThen float64
-	toldAt   time.Time
+	// inFlight is the weight of this instance's requests in flight.
+	inFlight float64
+	// reported is the last reported load, and inFlightThen the value of inFlight at that time,
+	// which the reported load includes.
+	reported     float64
+	inFlightThen float64
+	reportedAt   time.Time
 	// failures is the decayed share of answers that were failures.
 	failures float64
-	// broken counts requests without an answer in a row.
-	broken int
-	pause  time.Duration
-	until  time.Time
+	// unanswered counts consecutive requests without an answer.
+	unanswered int
+	// suspicion is the length of the current suspicion; zero when the upstream is trusted.
+	suspicion    time.Duration
+	suspectUntil time.Time
 }
 
-// Balancer is the knowledge of all upstreams. Exported fields are set before the
-// first call; it is safe for concurrent use.
+// Balancer records the load and health of all upstreams, and picks among them. Exported fields
+// are set before the first call; it is safe for concurrent use.
 type Balancer struct {
 	// Domain is this instance's failure domain.
 	Domain string
-	// Suspect is told when an upstream is left alone or is trusted again; nil for
-	// nobody.
+	// Suspect is called each time an upstream is marked as suspect, and when it is trusted
+	// again. It may be nil.
 	Suspect func(id string, suspect bool)
-	// Open reports whether an upstream itself lets a request come now; nil for always. One that
-	// does not is no choice at all, not a last one.
+	// Open reports whether an upstream accepts requests now, by its own signals; nil means
+	// always. An upstream that does not is never picked, not even as the last one left.
 	Open func(id string) bool
 
 	lock   sync.Mutex // guards states
 	states map[string]*state
 }
 
-// Weight returns how much a request with a prompt counts.
-func Weight(prompt int) float64 { return 1 + float64(prompt)/promptTokens }
+// Weight returns the weight of a request whose prompt has the given number of tokens. A request
+// without a prompt weighs 1.
+func Weight(prompt int) float64 { return 1 + float64(prompt)/tokensPerRequest }
 
-// Filter says which upstreams may be chosen.
+// Filter reports whether an upstream may be picked.
 type Filter func(u *snipedirectory.Upstream) bool
 
-// Cost is what speaks against an upstream for one request beside its load and health,
-// in requests that would run there.
+// Cost returns the additional cost of an upstream for one request, besides its load and health.
+// The unit is the load of one request.
 type Cost func(u *snipedirectory.Upstream) float64
 
-// Pick returns the best upstream that passes the filter; nil when there is none.
-// Upstreams that are suspect are chosen only when there is no other. The extra cost may
+// Pick returns the upstream with the lowest cost that passes the filter; nil when there is none.
+// A suspect upstream is picked only when every other one is suspect too. The extra cost may
 // be nil.
-func (b *Balancer) Pick(all []*snipedirectory.Upstream, may Filter, extra Cost) *snipedirectory.Upstream {
+func (b *Balancer) Pick(all []*snipedirectory.Upstream, allowed Filter, extra Cost) *snipedirectory.Upstream {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
@@ -98,7 +103,7 @@
 	var bestCost float64
 	bestSuspect := true
 	for _, u := range all {
-		if u.Leaving || !may(u) || !b.open(u.ID) {
+		if u.Leaving || !allowed(u) || !b.open(u.ID) {
 			continue
 		}
 		cost, suspect := b.cost(u, now)
@@ -114,7 +119,7 @@
 
 func (b *Balancer) open(id string) bool { return b.Open == nil || b.Open(id) }
 
-// Usable reports whether an upstream is neither leaving nor suspect, and lets a request come.
+// Usable reports whether an upstream accepts requests and is neither leaving nor suspect.
 func (b *Balancer) Usable(u *snipedirectory.Upstream) bool {
 	if u.Leaving || !b.open(u.ID) {
 		return false
@@ -122,17 +127,18 @@
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	s := b.states[u.ID]
-	return s == nil || !time.Now().Before(s.until)
+	return s == nil || !time.Now().Before(s.suspectUntil)
 }
 
-// Load returns the weight of the requests that are thought to be at an upstream.
+// Load returns the estimated weight of all requests in flight at an upstream.
 func (b *Balancer) Load(u *snipedirectory.Upstream) float64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	return b.load(u.ID, time.Now())
 }
 
-// Busy returns the share of an upstream's slots that are thought to be taken.
+// Busy returns the estimated load of an upstream as a share of its slots. It exceeds 1 when
+// requests are queued there.
 func (b *Balancer) Busy(u *snipedirectory.Upstream) float64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -148,10 +154,10 @@
 	if s == nil {
 		return 0
 	}
-	load := s.mine
-	if age := now.Sub(s.toldAt); age < staleAfter {
-		others := max(s.told-s.mineThen, 0)
-		load += others * float64(staleAfter-age) / float64(staleAfter)
+	load := s.inFlight
+	if age := now.Sub(s.reportedAt); age < reportLifetime {
+		others := max(s.reported-s.inFlightThen, 0)
+		load += others * float64(reportLifetime-age) / float64(reportLifetime)
 	}
 	return load
 }
@@ -159,11 +165,11 @@
 func (b *Balancer) cost(u *snipedirectory.Upstream, now time.Time) (cost float64, suspect bool) {
 	cost = b.busy(u, now)
 	if u.Domain != b.Domain {
-		cost += farCost
+		cost += remoteCost
 	}
 	if s := b.states[u.ID]; s != nil {
 		cost += failureCost * s.failures
-		suspect = now.Before(s.until)
+		suspect = now.Before(s.suspectUntil)
 	}
 	return cost, suspect
 }
@@ -180,17 +186,17 @@
 	return s
 }
 
-// Begin notes that a request of a weight goes to an upstream. The returned
-// function notes its end.
+// Begin records that a request of the given weight is sent to an upstream. The returned
+// function records its end.
 func (b *Balancer) Begin(id string, weight float64) (end func()) {
 	b.lock.Lock()
-	b.state(id).mine += weight
+	b.state(id).inFlight += weight
 	b.lock.Unlock()
 	return func() {
 		b.lock.Lock()
 		defer b.lock.Unlock()
 		if s := b.states[id]; s != nil {
-			s.mine = max(s.mine-weight, 0)
+			s.inFlight = max(s.inFlight-weight, 0)
 		}
 	}
 }
@@ -200,46 +206,46 @@
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if s := b.states[id]; s != nil {
-		return s.mine
+		return s.inFlight
 	}
 	return 0
 }
 
-// Told notes an upstream's load: what it said itself, or what a Board adds up to.
+// Told records the load of an upstream, as the upstream itself or a Board reports it.
 func (b *Balancer) Told(id string, load float64) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
-	b.told(id, load, time.Now())
+	b.setLoad(id, load, time.Now())
 }
 
-func (b *Balancer) told(id string, load float64, at time.Time) {
+func (b *Balancer) setLoad(id string, load float64, at time.Time) {
 	s := b.state(id)
-	s.told, s.mineThen, s.toldAt = load, s.mine, at
+	s.reported, s.inFlightThen, s.reportedAt = load, s.inFlight, at
 }
 
-// Statement is the load of an upstream as it was known some time ago.
+// Statement is the reported load of an upstream and the age of the report.
 type Statement struct {
 	ID   string
 	Load float64
 	Age  time.Duration
 }
 
-// Statements returns the loads that are known of upstreams, of those that have any.
+// Statements returns the recent reports of the upstreams whose reported load is above zero.
 func (b *Balancer) Statements() []Statement {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
 	var all []Statement
 	for id, s := range b.states {
-		if age := now.Sub(s.toldAt); s.told > 0 && age < staleAfter {
-			all = append(all, Statement{id, s.told, age})
+		if age := now.Sub(s.reportedAt); s.reported > 0 && age < reportLifetime {
+			all = append(all, Statement{id, s.reported, age})
 		}
 	}
 	return all
 }
 
-// ToldAll notes the loads of all upstreams that have any, as another instance knows them. What
-// is known here since stands.
+// ToldAll records the statements of another instance, which lists every upstream that has a load.
+// A load that this instance has recorded more recently is kept.
 func (b *Balancer) ToldAll(all []Statement) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -247,19 +253,20 @@
 	named := make(map[string]bool, len(all))
 	for _, t := range all {
 		named[t.ID] = true
-		if at := now.Add(-t.Age); at.After(b.state(t.ID).toldAt) {
-			b.told(t.ID, t.Load, at)
+		if at := now.Add(-t.Age); at.After(b.state(t.ID).reportedAt) {
+			b.setLoad(t.ID, t.Load, at)
 		}
 	}
 	for id, s := range b.states {
-		// How old the silence about it is cannot be told; what is newer than usual stands.
-		if !named[id] && s.told > 0 && now.Sub(s.toldAt) > silenceAge {
-			b.told(id, 0, now)
+		// The upstream had no load at the other instance, but since when is unknown. A load
+		// that was recorded here more recently than minClearAge is therefore kept.
+		if !named[id] && s.reported > 0 && now.Sub(s.reportedAt) > minClearAge {
+			b.setLoad(id, 0, now)
 		}
 	}
 }
 
-// Answered notes an answer, and whether it was a failure.
+// Answered records an answer, and whether it was a failure. Any answer ends a suspicion.
 func (b *Balancer) Answered(id string, failed bool) {
 	b.lock.Lock()
 	s := b.state(id)
@@ -267,58 +274,60 @@
 	if failed {
 		s.failures += 1 - failureDecay
 	}
-	trusted := s.pause > 0
-	s.broken, s.pause, s.until = 0, 0, time.Time{}
+	trusted := s.suspicion > 0
+	s.unanswered, s.suspicion, s.suspectUntil = 0, 0, time.Time{}
 	b.lock.Unlock()
 	if trusted {
-		b.tell(id, false)
+		b.notify(id, false)
 	}
 }
 
-// Unreached notes that an upstream could not be connected to.
-func (b *Balancer) Unreached(id string) { b.miss(id, true) }
+// Unreached records that a connection to an upstream could not be opened, which makes it suspect
+// at once.
+func (b *Balancer) Unreached(id string) { b.recordFailure(id, true) }
 
-// Replaced notes that another upstream answered at its address: it does not come back.
+// Replaced records that another upstream answered at the address of this one, which means that
+// this one is gone for good.
 func (b *Balancer) Replaced(id string) {
 	b.lock.Lock()
-	b.state(id).until = time.Now().Add(replacedPause)
+	b.state(id).suspectUntil = time.Now().Add(replacedSuspicion)
 	b.lock.Unlock()
-	b.tell(id, true)
+	b.notify(id, true)
 }
 
-// Broken notes that a request got no answer.
-func (b *Balancer) Broken(id string) { b.miss(id, false) }
+// Broken records that a request got no usable answer. Several in a row make the upstream suspect.
+func (b *Balancer) Broken(id string) { b.recordFailure(id, false) }
 
-func (b *Balancer) miss(id string, certain bool) {
+func (b *Balancer) recordFailure(id string, certain bool) {
 	b.lock.Lock()
 	s := b.state(id)
-	s.broken++
+	s.unanswered++
 	s.failures = s.failures*failureDecay + 1 - failureDecay
-	suspect := certain || s.broken >= brokenLimit
+	suspect := certain || s.unanswered >= maxUnanswered
 	if suspect {
-		s.pause = min(max(2*s.pause, firstPause), maxPause)
-		s.until = time.Now().Add(s.pause)
+		s.suspicion = min(max(2*s.suspicion, minSuspicion), maxSuspicion)
+		s.suspectUntil = time.Now().Add(s.suspicion)
 	}
 	b.lock.Unlock()
 	if suspect {
-		b.tell(id, true)
+		b.notify(id, true)
 	}
 }
 
-func (b *Balancer) tell(id string, suspect bool) {
+func (b *Balancer) notify(id string, suspect bool) {
 	if b.Suspect != nil {
 		b.Suspect(id, suspect)
 	}
 }
 
-// Keep forgets all upstreams but some.
+// Keep drops the state of all upstreams for which known returns false.
 func (b *Balancer) Keep(known func(id string) bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	maps.DeleteFunc(b.states, func(id string, _ *state) bool { return !known(id) })
 }
 
-// Forget drops an upstream that is gone.
+// Forget drops the state of an upstream that is gone.
 func (b *Balancer) Forget(id string) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/snipebalance/snipebalance_test.go
+++ b/snipebalance/snipebalance_test.go
@@ -21,7 +21,7 @@
 
 func every(*snipedirectory.Upstream) bool { return true }
 
-// TestPick holds what decides between upstreams.
+// TestPick checks which upstream is picked by domain, load, failures and suspicion.
 func TestPick(t *testing.T) {
 	tests := map[string]struct {
 		before func(b *snipebalance.Balancer)
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestOwnIsNotCountedTwice: what an upstream says of its load includes this
-// instance's requests.
+// TestOwnIsNotCountedTwice checks that the requests of this instance, which the load reported by
+// an upstream includes, are not added to that load again.
 func TestOwnIsNotCountedTwice(t *testing.T) {
 	b := &snipebalance.Balancer{}
 	u := upstreams()[0]
@@ -70,12 +70,12 @@
 	must.Less(t, 0.25, b.Busy(u))
 }
 
-// TestSuspectComesBack: an upstream that cannot be reached is left alone longer each
-// time, up to a bound, and is trusted again with its first answer.
+// TestSuspectComesBack checks that an upstream that cannot be reached is usable again after a
+// bounded time, however often that happens, and is trusted again with its first answer.
 func TestSuspectComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		told := []bool{}
-		b := &snipebalance.Balancer{Suspect: func(_ string, s bool) { told = append(told, s) }}
+		notified := []bool{}
+		b := &snipebalance.Balancer{Suspect: func(_ string, s bool) { notified = append(notified, s) }}
 		u := upstreams()[0]
 		for range 6 {
 			b.Unreached(u.ID)
@@ -84,12 +84,12 @@
 			must.True(t, b.Usable(u))
 		}
 		b.Answered(u.ID, false)
-		must.Eq(t, []bool{true, true, true, true, true, true, false}, told)
+		must.Eq(t, []bool{true, true, true, true, true, true, false}, notified)
 	})
 }
 
-// TestBrokenAnswers: one broken answer is the upstream's bad luck, three in a row are
-// a reason to leave it alone.
+// TestBrokenAnswers checks that an upstream stays usable after one or two requests without an
+// answer, which may happen by chance, and becomes suspect after three in a row.
 func TestBrokenAnswers(t *testing.T) {
 	b := &snipebalance.Balancer{}
 	u := upstreams()[0]
