--- a/sniperoute/replicas.go
+++ b/sniperoute/replicas.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// MaxReplicas bounds the engines that hold one adapter for its load.
+	// MaxReplicas bounds the number of engines that hold one adapter to share its load.
 	MaxReplicas = 16
-	// replicaFill is the part of an engine's batch that one adapter may fill
-	// before another engine takes a share.
+	// replicaFill is the share of an engine's batch that the calls of one adapter may occupy
+	// before another engine is added.
 	replicaFill = 0.75
-	// replicaSmoothing is the time in which a past load falls to 1/e.
+	// replicaSmoothing is the time in which the weight of a past load decreases to 1/e.
 	replicaSmoothing = 5 * time.Second
-	// replicaHold is how long a number stays before it falls.
+	// replicaHold is how long fewer engines must suffice before their number is reduced.
 	replicaHold = time.Minute
 )
 
-// PickReplica is Pick for an adapter that count engines hold: it spreads the
-// calls, given by their own hash, over the first count in the ranking.
+// PickReplica is Pick for an adapter that count engines hold. It distributes the calls, by the hash
+// of each call, over the first count candidates of the ranking that are usable and not excluded, at
+// most MaxReplicas of them. It returns the index of a candidate, or -1 when there is none.
 func PickReplica(key, call uint64, count int, candidates []Candidate) int {
 	if count <= 1 {
 		return Pick(key, candidates)
@@ -48,43 +49,44 @@
 	return best[call%uint64(found)]
 }
 
-// Replicas decides how many engines should hold one adapter, from what its
-// home engine sees: the calls are spread evenly, so that the home has one part
-// in Count of them. The zero value counts 1.
+// Replicas computes how many engines should hold one adapter, from the calls in flight at its home
+// engine. The calls are distributed evenly, so that the home receives 1/Count of them. The count of
+// the zero value is 1.
 type Replicas struct {
-	count   int
-	mean    float64 // calls in flight at the home
-	at      time.Time
-	lowered time.Time // when fewer would have been enough, first
+	count    int
+	mean     float64   // smoothed number of calls in flight at the home
+	stepped  time.Time // time of the last step
+	lowSince time.Time // since when fewer engines would suffice; zero if they would not
 }
 
-// Count returns the number of engines.
+// Count returns the number of engines that should hold the adapter, at least 1.
 func (r *Replicas) Count() int { return max(r.count, 1) }
 
-// Step takes the calls in flight at the home, whose batch has the given size,
-// and returns the number of engines. It rises at once and falls after a while.
+// Step records the number of calls in flight at the home, whose batch has the given size, and
+// returns the new count. The count increases at once, and decreases only after fewer engines have
+// sufficed for replicaHold.
 func (r *Replicas) Step(now time.Time, inFlight, batch int) int {
-	if r.at.IsZero() {
-		r.at = now
+	if r.stepped.IsZero() {
+		r.stepped = now
 	}
-	keep := math.Exp(-float64(now.Sub(r.at)) / float64(replicaSmoothing))
-	r.mean = keep*r.mean + (1-keep)*float64(inFlight)
-	r.at = now
-	all := r.mean * float64(r.Count())
-	want := min(max(int(math.Ceil(all/(replicaFill*float64(max(batch, 1))))), 1), MaxReplicas)
+	decay := math.Exp(-float64(now.Sub(r.stepped)) / float64(replicaSmoothing))
+	r.mean = decay*r.mean + (1-decay)*float64(inFlight)
+	r.stepped = now
+	total := r.mean * float64(r.Count())
+	want := min(max(int(math.Ceil(total/(replicaFill*float64(max(batch, 1))))), 1), MaxReplicas)
 	switch {
 	case want > r.Count():
 		r.count = want
-		// The home gives a part of its calls away.
-		r.mean = all / float64(want)
-		r.lowered = time.Time{}
+		// The added engines take over some of the home's calls.
+		r.mean = total / float64(want)
+		r.lowSince = time.Time{}
 	case want == r.Count():
-		r.lowered = time.Time{}
-	case r.lowered.IsZero():
-		r.lowered = now
-	case now.Sub(r.lowered) >= replicaHold:
-		r.count, r.lowered = want, time.Time{}
-		r.mean = all / float64(want)
+		r.lowSince = time.Time{}
+	case r.lowSince.IsZero():
+		r.lowSince = now
+	case now.Sub(r.lowSince) >= replicaHold:
+		r.count, r.lowSince = want, time.Time{}
+		r.mean = total / float64(want)
 	}
 	return r.Count()
 }
--- a/sniperoute/route_test.go
+++ b/sniperoute/route_test.go
@@ -19,8 +19,9 @@
 	return all
 }
 
-// TestFewMoves: an engine that goes moves its own adapters only, and they
-// spread over the others.
+// TestFewMoves checks that the removal of an engine moves only the adapters whose home it was, and
+// that these spread over the remaining engines. A ranking that depended on the number of engines
+// would move most adapters.
 func TestFewMoves(t *testing.T) {
 	all := engines(12)
 	without := engines(12)
@@ -43,15 +44,16 @@
 	}
 }
 
-// TestPickAllocatesNothing holds the hot path at the size to build for.
+// TestPickAllocatesNothing checks that Pick allocates nothing with 600 engines, the size that the
+// system is designed for.
 func TestPickAllocatesNothing(t *testing.T) {
 	all := engines(600)
 	a := snipecall.Adapter{Team: "team", Name: "adapter", Version: "1"}
 	must.Eq(t, 0, testing.AllocsPerRun(100, func() { Pick(AdapterHash(a), all) }))
 }
 
-// BenchmarkPick is one decision among 600 engines for 66,000 adapters, with
-// the copy of the prepared candidates.
+// BenchmarkPick measures one decision among 600 engines for 66,000 adapters, including the copy of
+// the prepared candidates.
 func BenchmarkPick(b *testing.B) {
 	prepared := engines(600)
 	buffer := make([]Candidate, 0, len(prepared))
@@ -70,6 +72,8 @@
 	}
 }
 
+// TestPickReplica checks that calls reach exactly as many engines as hold the adapter, among them
+// its home and never an unusable one.
 func TestPickReplica(t *testing.T) {
 	all := engines(12)
 	all[4].Usable = false
@@ -77,18 +81,20 @@
 		"one": {1, 1}, "three": {3, 3}, "more than there are": {100, 11},
 	} {
 		t.Run(name, func(t *testing.T) {
-			seen := map[int]int{}
+			picks := map[int]int{}
 			for call := range uint64(1000) {
-				seen[PickReplica(7, Hash(strconv.FormatUint(call, 10)), c.count, all)]++
+				picks[PickReplica(7, Hash(strconv.FormatUint(call, 10)), c.count, all)]++
 			}
-			must.MapLen(t, c.want, seen)
-			must.MapContainsKey(t, seen, Pick(7, all))
-			must.MapNotContainsKey(t, seen, 4)
+			must.MapLen(t, c.want, picks)
+			must.MapContainsKey(t, picks, Pick(7, all))
+			must.MapNotContainsKey(t, picks, 4)
 		})
 	}
 	must.Eq(t, -1, PickReplica(7, 1, 3, nil))
 }
 
+// TestReplicas checks that the count follows a rising load at once and a falling one only after
+// replicaHold.
 func TestReplicas(t *testing.T) {
 	var r Replicas
 	now := time.Unix(0, 0)
@@ -101,6 +107,6 @@
 	}
 	must.Eq(t, 1, step(30, 3))
 	must.Eq(t, 3, step(30, 16))
-	must.Eq(t, 3, step(30, 1)) // not yet
+	must.Eq(t, 3, step(30, 1)) // replicaHold has not passed
 	must.Eq(t, 1, step(240, 1))
 }
--- a/sniperoute/sniperoute.go
+++ b/sniperoute/sniperoute.go
@@ -1,9 +1,9 @@
-// Package sniperoute decides which upstream serves a call. Its decisions are
-// pure: no I/O, no clock, no allocation on the hot path.
+// Package sniperoute decides which upstream serves a call. Its functions are pure: they do no I/O,
+// read no clock and allocate nothing on the hot path.
 //
-// Every adapter has a ranking of the engines by rendezvous hash, the same on
-// every instance, so that instances agree on an adapter's home without
-// talking, and few adapters move when an engine comes or goes.
+// For every adapter, the engines are ranked by rendezvous hashing. The ranking is the same on every
+// instance, so that instances agree on an adapter's home without exchanging messages, and few
+// adapters move when an engine is added or removed.
 package sniperoute
 
 import "snipepitch.example/snipepitch/snipecall"
@@ -13,7 +13,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// Hash mixes the parts of a name into 64 bits (FNV-1a with a final mix).
+// Hash returns a 64-bit hash of the parts of a name (FNV-1a with a final mix). Each part is
+// terminated, so that the same bytes split into other parts have another hash.
 func Hash(parts ...string) uint64 {
 	h := uint64(fnvOffset)
 	for _, p := range parts {
@@ -25,6 +26,7 @@
 	return mix(h)
 }
 
+// mix is the finalizer of MurmurHash3.
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
@@ -36,23 +38,23 @@
 // AdapterHash returns the hash that ranks engines for an adapter.
 func AdapterHash(a snipecall.Adapter) uint64 { return Hash(a.Team, a.Name, a.Version) }
 
-// Score returns the rank value of a candidate, given by its own hash, for a
-// key; the highest value comes first.
+// Score returns the rank value of a candidate for a key. Both are given by their hashes; the
+// candidate with the highest value ranks first.
 func Score(key, candidate uint64) uint64 { return mix(key ^ candidate) }
 
 // Candidate is an upstream that may serve a call.
 type Candidate struct {
-	// Name is the upstream's name and Hash its Hash.
+	// Name is the upstream's name, and Hash is the result of Hash for that name.
 	Name string
 	Hash uint64
-	// Usable tells that the upstream is alive, has an owner and is not leaving.
+	// Usable reports that the upstream is alive, has an owner and is not leaving.
 	Usable bool
-	// Excluded tells that an earlier attempt of the call failed there.
+	// Excluded reports that an earlier attempt of the call failed at the upstream.
 	Excluded bool
 }
 
-// Pick returns the index of the usable candidate with the highest score for
-// key, or -1 when there is none.
+// Pick returns the index of the candidate with the highest score for key among those that are
+// usable and not excluded, or -1 when there is none.
 func Pick(key uint64, candidates []Candidate) int {
 	best, bestScore := -1, uint64(0)
 	for i := range candidates {
