--- a/snipedispatch/engine.go
+++ b/snipedispatch/engine.go
@@ -14,33 +14,34 @@
 	"snipepitch.example/snipepitch/snipeupstream"
 )
 
-// watchInterval is the time between two looks at the ownerships.
+// watchInterval is the time between two checks of the ownerships.
 const watchInterval = 500 * time.Millisecond
 
-// settle is how long aliases of earlier owners stay at an engine that does not
-// report which of them have calls.
-const settle = 10 * time.Minute
+// earlierAliasLifetime is how long aliases of earlier owners are kept at an engine
+// that does not report which of them have calls.
+const earlierAliasLifetime = 10 * time.Minute
 
-// keepLost is how long the state of a lost ownership is kept: a lease that
-// lapsed while the table was down may be renewed before anybody took over.
-const keepLost = time.Minute
+// lostStateLifetime is how long the state of a lost ownership is kept. A lease that
+// expired while the table was unavailable may be renewed before another instance
+// takes over.
+const lostStateLifetime = time.Minute
 
-// errNotHeld is the reason for an order that was not sent.
+// errNotHeld is the reason why an order was not sent.
 var errNotHeld = errors.New("ownership does not stand")
 
-// engine is one engine during one ownership.
+// engine is the state of one engine during one ownership.
 type engine struct {
-	fence  uint64
-	client *snipeupstream.Engine
-	slots  *snipeslot.Slots
-	held   time.Time // when the ownership stood last; guarded by Dispatcher.lock
-	// settings are those that the state was made or last changed for; guarded
-	// by Dispatcher.lock.
+	fence    uint64
+	client   *snipeupstream.Engine
+	slots    *snipeslot.Slots
+	lastHeld time.Time // when the ownership was last found to be held; guarded by Dispatcher.lock
+	// settings are the settings that the state was created for or last changed to;
+	// guarded by Dispatcher.lock.
 	settings snipetree.Engine
 }
 
-// Watch takes over engines as soon as they are owned, so that no caller waits
-// for it, and ends what belongs to lost ownerships.
+// Watch takes over engines as soon as they are owned, so that no caller waits for
+// the takeover, and closes the state of lost ownerships. It runs until ctx ends.
 func (d *Dispatcher) Watch(ctx context.Context) error {
 	return snipetime.Every(ctx, watchInterval, d.watch)
 }
@@ -49,8 +50,8 @@
 	d.lock.Lock()
 	for name, e := range d.engines {
 		if d.Holds(name, e.fence) {
-			e.held = time.Now()
-		} else if time.Since(e.held) > keepLost {
+			e.lastHeld = time.Now()
+		} else if time.Since(e.lastHeld) > lostStateLifetime {
 			e.slots.Close()
 			delete(d.engines, name)
 		}
@@ -63,9 +64,9 @@
 	for name := range tree.Platform.Engines {
 		e, err := d.engine(name)
 		if err != nil {
-			continue // another instance owns it
+			continue // in general, another instance owns the engine
 		}
-		// A failed takeover is tried again at the next look or call.
+		// A failed takeover is tried again at the next check or call.
 		go func() {
 			bounded, cancel := context.WithTimeout(ctx, watchInterval)
 			defer cancel()
@@ -74,14 +75,15 @@
 	}
 }
 
-// adjust puts the settings of now in force on an engine and reports whether its
-// state can go on. Another address, or another way with fencing numbers, needs
-// a new state, which knows nothing of the calls under way: they end first, and
-// new ones are refused meanwhile. The lock is held.
-func (e *engine) adjust(now snipetree.Engine) (bool, error) {
-	if e.settings.Address == now.Address && e.settings.ChecksFence == now.ChecksFence {
-		e.slots.Resize(now.Slots)
-		e.settings = now
+// applySettings applies the current settings to an engine and reports whether its
+// state can be kept. A change of the address, or of whether the engine checks
+// fencing numbers, requires a new state, which would not include the calls in
+// flight. These calls end first, and until then new calls are refused with an
+// error. Dispatcher.lock is held.
+func (e *engine) applySettings(current snipetree.Engine) (bool, error) {
+	if e.settings.Address == current.Address && e.settings.ChecksFence == current.ChecksFence {
+		e.slots.Resize(current.Slots)
+		e.settings = current
 		return true, nil
 	}
 	if e.slots.Idle() {
@@ -101,22 +103,22 @@
 		Load: d.order(name, fence, func(ctx context.Context, alias, path string) error {
 			return client.Load(ctx, alias, path, fence)
 		}),
-		Aliases: client.Aliases, Busy: busy(client),
-		Budget: d.Budget, Timeout: d.LoadTimeout, Settle: settle, Log: d.Log,
+		Aliases: client.Aliases, Busy: busyAliases(client),
+		Budget: d.Budget, Timeout: d.LoadTimeout, Settle: earlierAliasLifetime, Log: d.Log,
 	}
 	unload := d.order(name, fence, func(ctx context.Context, alias, _ string) error {
 		return client.Unload(ctx, alias, fence)
 	})
 	s.Unload = func(ctx context.Context, alias string) error { return unload(ctx, alias, "") }
 	if !settings.ChecksFence {
-		r := d.Record(name, fence)
-		s.GiveUp, s.Inherit = r.GiveUp, r.Inherit
+		record := d.Record(name, fence)
+		s.GiveUp, s.Inherit = record.GiveUp, record.Inherit
 	}
-	return &engine{fence: fence, client: client, slots: s, held: time.Now(), settings: settings}
+	return &engine{fence: fence, client: client, slots: s, lastHeld: time.Now(), settings: settings}
 }
 
-// order gives an order only while the ownership stands, and translates the
-// result.
+// order returns a function that sends an order only while the ownership is held,
+// and converts the errors of snipeupstream to those of snipeslot.
 func (d *Dispatcher) order(
 	name string, fence uint64, send func(ctx context.Context, alias, path string) error,
 ) func(ctx context.Context, alias, path string) error {
@@ -137,7 +139,9 @@
 	}
 }
 
-func busy(client *snipeupstream.Engine) func(ctx context.Context) (map[string]bool, error) {
+// busyAliases returns a function that reads from the engine which aliases have
+// calls. The function fails if the engine does not report this.
+func busyAliases(client *snipeupstream.Engine) func(ctx context.Context) (map[string]bool, error) {
 	return func(ctx context.Context) (map[string]bool, error) {
 		r, err := client.Report(ctx)
 		if err != nil {
@@ -150,14 +154,14 @@
 	}
 }
 
-// enter counts a call before the ownership is checked, so that Busy sees every
-// call that passed the check.
+// enter counts a call until leave is called. Calls are counted before the ownership
+// is checked, so that Busy includes every call that has passed the check.
 func (d *Dispatcher) enter(name string) (leave func()) {
-	d.count(name, 1)
-	return func() { d.count(name, -1) }
+	d.addCalls(name, 1)
+	return func() { d.addCalls(name, -1) }
 }
 
-func (d *Dispatcher) count(name string, change int) {
+func (d *Dispatcher) addCalls(name string, change int) {
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if d.calls == nil {
@@ -168,7 +172,7 @@
 	}
 }
 
-// Busy reports that a call or a load is under way at an engine.
+// Busy reports whether a call or a load is in progress at an engine.
 func (d *Dispatcher) Busy(name string) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -176,8 +180,8 @@
 	return d.calls[name] > 0 || ok && e.slots.Orders() > 0
 }
 
-// Uses calls f for each adapter resident at an owned engine with its calls in
-// flight.
+// Uses calls f for each adapter resident at an owned engine, with the number of its
+// calls in flight.
 func (d *Dispatcher) Uses(name string, f func(a snipecall.Adapter, inFlight int)) {
 	d.lock.Lock()
 	e, ok := d.engines[name]
--- a/snipedispatch/ownership_test.go
+++ b/snipedispatch/ownership_test.go
@@ -23,35 +23,35 @@
 	"snipepitch.example/snipepitch/snipeweight"
 )
 
-// owned is a dispatcher that owns one stand-in engine while held says so.
-type owned struct {
+// ownerFixture is a dispatcher that owns one stand-in engine while held is true.
+type ownerFixture struct {
 	*Dispatcher
 	held   atomic.Bool
 	tree   atomic.Pointer[snipetree.Tree]
 	client *snipeupstream.Engine
 }
 
-// standEngine starts a stand-in engine and returns where.
-func standEngine(t *testing.T) netip.AddrPort {
+// startEngine starts a stand-in engine and returns its address.
+func startEngine(t *testing.T) netip.AddrPort {
 	t.Helper()
-	stand := &snipestand.Engine{Slots: 2, Batch: 2, TokenTime: time.Millisecond, ChecksFence: true}
-	server := httptest.NewServer(stand.Handler())
+	standIn := &snipestand.Engine{Slots: 2, Batch: 2, TokenTime: time.Millisecond, ChecksFence: true}
+	server := httptest.NewServer(standIn.Handler())
 	t.Cleanup(server.Close)
 	return netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 }
 
-// declare puts settings of the engine in force.
-func (o *owned) declare(address netip.AddrPort, slots int) {
+// declare replaces the settings of the engine.
+func (o *ownerFixture) declare(address netip.AddrPort, slots int) {
 	o.tree.Store(snipetree.NewTree(1, &snipetree.Platform{Engines: map[string]snipetree.Engine{
 		"e1": {Address: address, Base: "base-1", Slots: slots, Batch: 2, ChecksFence: true},
 	}}, nil))
 }
 
-func newOwned(t *testing.T) *owned {
+func newOwnerFixture(t *testing.T) *ownerFixture {
 	t.Helper()
-	address := standEngine(t)
+	address := startEngine(t)
 	client := &http.Client{}
-	o := &owned{client: &snipeupstream.Engine{Name: "e1", Address: address, Client: client, Fresh: client}}
+	o := &ownerFixture{client: &snipeupstream.Engine{Name: "e1", Address: address, Client: client, Fresh: client}}
 	o.declare(address, 2)
 	o.held.Store(true)
 	o.Dispatcher = &Dispatcher{
@@ -67,8 +67,9 @@
 	return o
 }
 
-// TestOwnershipEndsDuringCall: an answer that ends after the ownership is whole
-// only if nobody can have evicted the adapter meanwhile.
+// TestOwnershipEndsDuringCall checks the answer of a call that outlasts the ownership. The answer
+// is passed on as complete only if the engine still lists the alias at the last chunk. If a
+// successor has evicted it, the call ends with ErrIncomplete.
 func TestOwnershipEndsDuringCall(t *testing.T) {
 	for name, c := range map[string]struct {
 		evicted bool
@@ -78,10 +79,10 @@
 		"evicted by a successor": {evicted: true, want: snipeerror.ErrIncomplete},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := newOwned(t)
-			whole := false
+			o := newOwnerFixture(t)
+			complete := false
 			sink := func(k snipecall.Chunk) error {
-				whole = whole || k.Last
+				complete = complete || k.Last
 				if k.Sequence != 1 {
 					return nil
 				}
@@ -99,14 +100,15 @@
 				Body: []byte(`{"prompt":"x","max_tokens":50}`), Deadline: time.Now().Add(time.Minute),
 			}, sink)
 			must.ErrorIs(t, err, c.want)
-			must.Eq(t, !c.evicted, whole)
+			must.Eq(t, !c.evicted, complete)
 		})
 	}
 }
 
-// TestOrdersNeedOwnership: an order is not sent once the ownership is lost.
+// TestOrdersNeedOwnership checks that no order is sent after the ownership is lost, since it would
+// race with the orders of the next owner.
 func TestOrdersNeedOwnership(t *testing.T) {
-	o := newOwned(t)
+	o := newOwnerFixture(t)
 	e, err := o.engine("e1")
 	must.NoError(t, err)
 	must.NoError(t, e.slots.Open(t.Context()))
@@ -117,23 +119,23 @@
 	must.SliceEmpty(t, names)
 }
 
-// TestEngineIsEdited: an accepted edit of an owned engine comes into force with
-// the ownership as it is: another number of slots at once, another address as
-// soon as the calls at the former one have ended.
+// TestEngineIsEdited checks that changed settings of an owned engine take effect without a new
+// ownership: the number of slots at once, and the address as soon as the calls at the previous
+// address have ended. Until then, new calls are refused as NotRun.
 func TestEngineIsEdited(t *testing.T) {
-	o := newOwned(t)
-	former, err := o.engine("e1")
+	o := newOwnerFixture(t)
+	previous, err := o.engine("e1")
 	must.NoError(t, err)
 	o.declare(o.client.Address, 5)
 	same, err := o.engine("e1")
 	must.NoError(t, err)
-	must.Eq(t, former, same)
+	must.Eq(t, previous, same)
 	must.Eq(t, 5, same.slots.Capacity)
 	use, err := same.slots.Acquire(t.Context(), snipeslot.Request{
 		Adapter: snipecall.Adapter{Team: "t", Name: "a", Version: "1"}, Path: "p",
 	})
 	must.NoError(t, err)
-	address := standEngine(t)
+	address := startEngine(t)
 	o.declare(address, 5)
 	_, err = o.engine("e1")
 	must.ErrorIs(t, err, snipeerror.ErrNoUpstream)
--- a/snipedispatch/snipedispatch.go
+++ b/snipedispatch/snipedispatch.go
@@ -1,17 +1,18 @@
 // Package snipedispatch executes calls at the engines that this instance owns
 // and at plain services.
 //
-// All calls of an engine pass through its owner's Dispatcher, wherever their
-// callers are connected. The Dispatcher keeps the slots of each owned engine
-// for as long as one ownership lasts (one fencing number); a new ownership
-// starts with what the engine says it holds.
+// All calls to an engine pass through its owner's Dispatcher, whichever instance
+// their callers are connected to. The Dispatcher keeps the slots of each owned
+// engine for the time of one ownership (one fencing number). A new ownership
+// starts from the aliases that the engine reports.
 //
-// What no owner can exclude by itself: it is frozen after its last look at its
-// lease and before it sends a call, and a successor evicts the alias in the
-// moment between the engine's report that nothing runs there and the call's
-// arrival. The answer of a call whose ownership ended meanwhile is therefore
-// passed on whole only if the engine still holds the alias after the last
-// chunk: no alias comes back, so it was there all the time.
+// An owner cannot prevent one race by itself. The owner's process may be
+// suspended after it has checked its lease and before it sends a call. The
+// successor may then evict the alias after the engine has reported that no call
+// runs under it, and before the call arrives. The last chunk of a call whose
+// ownership has ended is therefore passed on only if the engine still lists the
+// alias after sending that chunk. An evicted alias is never loaded again, so a
+// listed alias was loaded during the whole call.
 package snipedispatch
 
 import (
@@ -34,33 +35,35 @@
 	"snipepitch.example/snipepitch/snipeweight"
 )
 
-// maxReloads bounds how often a call loads its adapter again because the
-// engine lost it.
-const maxReloads = 2
+// maxAttempts bounds the attempts of one call at its engine. Another attempt is
+// made only if the engine has lost the adapter, which is then loaded again.
+const maxAttempts = 2
 
 // Dispatcher executes calls. Exported fields are set before the first call.
 type Dispatcher struct {
 	// Tree returns the settings in force.
 	Tree func() *snipetree.Tree
-	// Fence returns the fencing number of an owned engine.
+	// Fence returns the fencing number of an engine, and whether this instance
+	// owns the engine.
 	Fence func(engine string) (uint64, bool)
-	// Holds reports that the ownership with the fencing number still stands.
+	// Holds reports whether the ownership with the fencing number is still held.
 	Holds func(engine string, fence uint64) bool
-	// Record returns the list of given-up aliases of an engine that ignores
+	// Record returns the record of the retired aliases of an engine that ignores
 	// fencing numbers.
 	Record func(engine string, fence uint64) *snipeslot.Record
-	// Budget waits for the weight store's permission to load.
+	// Budget waits for the weight store's permission to load. The returned
+	// function ends the load.
 	Budget func(ctx context.Context, d *snipeweight.Demand) (func(failed bool), error)
 	// Client and Fresh send requests; see snipeupstream.Service.
 	Client, Fresh *http.Client
-	// Progress is the longest time between two chunks, FirstChunk that before
-	// the first one; LoadTimeout bounds a load.
+	// Progress is the longest time between two chunks, and FirstChunk the longest
+	// time before the first one. LoadTimeout bounds a load.
 	Progress, FirstChunk, LoadTimeout time.Duration
-	// Gate is entered around each call at an upstream, with the alias that it
-	// runs under (empty for services); done takes the call's failure. Nil is no
-	// gate.
+	// Gate is called before each call at an upstream, with the alias that the call
+	// runs under (empty for services). The returned function is called with the
+	// error of the call when it has ended. A nil Gate admits every call.
 	Gate func(ctx context.Context, c *snipecall.Call, alias string) (done func(error), err error)
-	// Meter and Log take metrics and events.
+	// Meter and Log receive metrics and events.
 	Meter *snipemeter.Meter
 	Log   *snipelog.Logger
 
@@ -68,10 +71,10 @@
 
 	lock    sync.Mutex // guards the fields below
 	engines map[string]*engine
-	calls   map[string]int // calls under way by engine, counted before the ownership is checked
+	calls   map[string]int // calls in flight by engine, counted before the ownership is checked
 }
 
-// Run executes c at its upstream.
+// Run executes c at its upstream and passes the chunks of the answer to sink.
 func (d *Dispatcher) Run(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	if c.Service != "" {
 		return d.service(ctx, c, sink)
@@ -81,7 +84,7 @@
 	if err != nil {
 		return err
 	}
-	for range maxReloads {
+	for range maxAttempts {
 		err = d.attempt(ctx, e, c, sink)
 		if !errors.Is(err, snipeupstream.ErrNotResident) {
 			return err
@@ -90,6 +93,8 @@
 	return snipeerror.New(snipeerror.ErrLoadFailed, snipeerror.NotRun, "engine "+c.Upstream+" lost the adapter again")
 }
 
+// attempt executes c once. It returns ErrNotResident if the engine has lost the
+// adapter; the alias is then dropped, and the next attempt loads the adapter.
 func (d *Dispatcher) attempt(ctx context.Context, e *engine, c *snipecall.Call, sink snipecall.Sink) error {
 	use, err := e.slots.Acquire(ctx, snipeslot.Request{Adapter: c.Adapter, Path: c.WeightPath, Class: c.Class})
 	if err != nil {
@@ -101,7 +106,7 @@
 	}
 	d.Meter.Observe(snipemeter.LoadStall, c.Team, c.Class.String(), use.Stalled)
 	err = d.gated(ctx, c, use.Alias, func() error {
-		return e.client.Call(ctx, c, use.Alias, d.verified(ctx, e, use.Alias, sink))
+		return e.client.Call(ctx, c, use.Alias, d.verifiedSink(ctx, e, use.Alias, sink))
 	})
 	if errors.Is(err, snipeupstream.ErrNotResident) {
 		e.slots.Forget(use.Alias)
@@ -109,7 +114,8 @@
 	return err
 }
 
-// gated makes a call within the gate.
+// gated executes call between the entry to the gate and the done function that
+// Gate returns.
 func (d *Dispatcher) gated(ctx context.Context, c *snipecall.Call, alias string, call func() error) error {
 	if d.Gate == nil {
 		return call()
@@ -120,7 +126,8 @@
 	}
 	err = call()
 	if errors.Is(err, snipeupstream.ErrNotResident) {
-		// The engine has refused the call; it is no failure of its caller's side.
+		// The engine refused the call without running it. The gate would take the
+		// plain error for an answer that the caller's side has ended.
 		done(snipeerror.New(snipeerror.ErrLoadFailed, snipeerror.NotRun, "not resident"))
 		return err
 	}
@@ -128,9 +135,10 @@
 	return err
 }
 
-// verified passes chunks on. Before the last one of a call whose ownership has
-// ended it makes sure that nobody evicted the alias meanwhile.
-func (d *Dispatcher) verified(ctx context.Context, e *engine, alias string, sink snipecall.Sink) snipecall.Sink {
+// verifiedSink returns a sink that passes chunks on to sink. Before the last chunk
+// of a call whose ownership has ended, it checks that no successor has evicted the
+// alias.
+func (d *Dispatcher) verifiedSink(ctx context.Context, e *engine, alias string, sink snipecall.Sink) snipecall.Sink {
 	return func(k snipecall.Chunk) error {
 		if !k.Last || d.Holds(e.client.Name, e.fence) {
 			return sink(k)
@@ -144,9 +152,12 @@
 	}
 }
 
-// engineRetry is what a caller is told to wait when an engine does not answer.
+// engineRetry is the retry interval given to a caller when the state of an engine
+// is not available.
 const engineRetry = time.Second
 
+// acquireError converts an error of Slots.Acquire. The outcome is always NotRun,
+// since no call was sent.
 func acquireError(err error) error {
 	var late *snipeslot.LateError
 	var backoff *snipeweight.BackoffError
@@ -167,7 +178,8 @@
 	return snipeerror.New(snipeerror.ErrLoadFailed, snipeerror.NotRun, err.Error())
 }
 
-// engine returns the state of an owned engine in the current ownership.
+// engine returns the state of an owned engine in the current ownership. It creates
+// the state for a new ownership, and after a change of settings that requires it.
 func (d *Dispatcher) engine(name string) (*engine, error) {
 	fence, ok := d.Fence(name)
 	if !ok {
@@ -180,23 +192,23 @@
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	if e, ok := d.engines[name]; ok && e.fence == fence {
-		if goesOn, err := e.adjust(settings); goesOn || err != nil {
+		if kept, err := e.applySettings(settings); kept || err != nil {
 			return e, err
 		}
 	}
 	if d.engines == nil {
 		d.engines = map[string]*engine{}
 	}
-	if old, ok := d.engines[name]; ok {
-		old.slots.Close()
+	if previous, ok := d.engines[name]; ok {
+		previous.slots.Close()
 	}
 	e := d.newEngine(name, fence, settings)
 	d.engines[name] = e
 	return e, nil
 }
 
-// Resident returns the adapters resident at an owned engine and the calls in
-// flight there.
+// Resident returns the adapters resident at an owned engine and the number of calls
+// in flight there.
 func (d *Dispatcher) Resident(name string) ([]snipecall.Adapter, int) {
 	d.lock.Lock()
 	e, ok := d.engines[name]
@@ -208,6 +220,7 @@
 	return e.slots.Resident(), calls
 }
 
+// service executes a call at an upstream of a plain service.
 func (d *Dispatcher) service(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	u, ok := d.Tree().Platform.Services[c.Service].Upstreams[c.Upstream]
 	if !ok {
