--- a/snipecall/bearer.go
+++ b/snipecall/bearer.go
@@ -5,13 +5,13 @@
 	"strings"
 )
 
-// maxKey bounds a caller's key in bytes: no longer one is declared, and digesting what a caller
+// maxKey bounds a caller's key in bytes. No longer key is declared, and hashing the key that a caller
 // sends must not cost more than refusing it.
 const maxKey = 4096
 
-// BearerKey returns the key that a caller's header gives. There is none where the header is
-// missing, given twice, of another scheme, or longer than a key can be. The scheme is understood
-// in any case.
+// BearerKey returns the key in a caller's Authorization header. It returns false if the header is
+// missing, given more than once, or of another scheme, and if the key is empty or longer than a
+// key can be. The scheme is not case-sensitive.
 func BearerKey(h http.Header) (string, bool) {
 	values := h.Values("Authorization")
 	if len(values) != 1 {
--- a/snipecall/bearer_test.go
+++ b/snipecall/bearer_test.go
@@ -10,7 +10,7 @@
 	"snipepitch.example/snipepitch/snipecall"
 )
 
-// TestBearerKey reads headers as callers may write them, well or badly.
+// TestBearerKey checks well-formed and malformed Authorization headers.
 func TestBearerKey(t *testing.T) {
 	tests := map[string]struct {
 		values []string
@@ -44,7 +44,7 @@
 	}
 }
 
-// FuzzBearerKey: whatever a caller sends gives no key, or one that its header holds.
+// FuzzBearerKey checks that any header yields either no key or a key that the header contains.
 func FuzzBearerKey(f *testing.F) {
 	f.Add("Bearer abc")
 	f.Add("bearer\tabc")
--- a/snipecall/snipecall.go
+++ b/snipecall/snipecall.go
@@ -1,9 +1,9 @@
-// Package snipecall holds the messages that the duties of an instance pass to
-// each other: the call of a caller, the chunks of its answer, and the names
-// both are made of.
+// Package snipecall defines the messages that the components of an instance pass
+// to each other: the call of a caller, the chunks of its answer, and the names
+// that occur in both.
 //
-// A Call is immutable once its caller has been admitted. Whoever needs another
-// one (a retry at another upstream) makes a copy.
+// A Call is immutable once its caller has been admitted. A component that needs a
+// different one, such as for a retry at another upstream, makes a copy.
 package snipecall
 
 import (
@@ -16,8 +16,9 @@
 // maxName bounds the length of a team, adapter, version or service name.
 const maxName = 128
 
-// ErrBadName is returned for a name that is empty, too long or has bytes
-// outside letters, digits, '.', '_' and '-'.
+// ErrBadName is returned for a name that is empty, too long, or contains bytes other
+// than ASCII letters, digits, '.', '_' and '-'. It is also returned for a model name
+// without a version, and for an adapter without a team.
 var ErrBadName = errors.New("bad name")
 
 // ErrBadClass is returned for a class that does not exist.
@@ -29,14 +30,14 @@
 		return errors.Wrapf(ErrBadName, "%d bytes", len(name))
 	}
 	for i := range len(name) {
-		if !nameByte(name[i]) {
+		if !isNameByte(name[i]) {
 			return errors.Wrapf(ErrBadName, "%q", name)
 		}
 	}
 	return nil
 }
 
-func nameByte(b byte) bool {
+func isNameByte(b byte) bool {
 	switch {
 	case b >= 'a' && b <= 'z', b >= 'A' && b <= 'Z', b >= '0' && b <= '9':
 		return true
@@ -51,13 +52,13 @@
 	Version string
 }
 
-// String returns team/name@version.
+// String returns the adapter as team/name@version.
 func (a Adapter) String() string { return a.Team + "/" + a.Name + "@" + a.Version }
 
 // Model returns name@version, the model name that the team's callers use.
 func (a Adapter) Model() string { return a.Name + "@" + a.Version }
 
-// IsZero reports whether a names nothing.
+// IsZero reports whether a is the zero Adapter, which names no adapter.
 func (a Adapter) IsZero() bool { return a == Adapter{} }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -87,7 +88,8 @@
 	return nil
 }
 
-// ParseModel splits the model name name@version of a team's caller.
+// ParseModel returns the adapter for a model name of the form name@version, as a caller of
+// the team gives it. It returns ErrBadName if the model or the team is invalid.
 func ParseModel(team, model string) (Adapter, error) {
 	name, version, ok := strings.Cut(model, "@")
 	if !ok {
@@ -101,15 +103,15 @@
 	return Adapter{Team: team, Name: name, Version: version}, nil
 }
 
-// Class orders calls by how much a wait costs.
+// Class ranks calls by the cost of delaying them.
 type Class uint8
 
-// The classes, the most urgent first.
+// The classes, in order of decreasing urgency.
 const (
 	Status Class = iota
 	Standard
 	Bulk
-	// Classes is the number of classes.
+	// Classes is the number of classes, and not itself a class.
 	Classes
 )
 
@@ -137,7 +139,7 @@
 	return errors.Wrapf(ErrBadClass, "%q", text)
 }
 
-// Call is one request of a caller.
+// Call is one request of a caller, with its routing decisions.
 type Call struct {
 	// ID identifies the call in logs and across instances.
 	ID string
@@ -145,12 +147,12 @@
 	Team string
 	// Class is the call's class.
 	Class Class
-	// Adapter is the adapter and version that must answer; zero for a call to
-	// a plain service.
+	// Adapter is the adapter and version that must answer the call; zero for a
+	// call to a plain service.
 	Adapter Adapter `json:",omitzero"`
 	// Base is the base model of the adapter.
 	Base string `json:",omitempty"`
-	// WeightPath is where the weight store keeps the adapter's version.
+	// WeightPath is the path of the adapter's version in the weight store.
 	WeightPath string `json:",omitempty"`
 	// Service is the plain service to call; empty for a model call.
 	Service string `json:",omitempty"`
@@ -158,39 +160,40 @@
 	Method      string
 	Path        string
 	ContentType string `json:",omitempty"`
-	// Stream tells that the caller wants server-sent events.
+	// Stream reports whether the caller requests server-sent events.
 	Stream bool
-	// Idempotent tells that executing the call twice does no harm.
+	// Idempotent reports whether the call may safely be executed twice.
 	Idempotent bool
 	// Key is the caller's request key; empty when there is none.
 	Key string `json:",omitempty"`
-	// Deadline is when the caller stops waiting.
+	// Deadline is the time at which the caller stops waiting.
 	Deadline time.Time
-	// Upstream is the chosen upstream.
+	// Upstream is the upstream that was chosen for the call.
 	Upstream string `json:",omitempty"`
-	// Attempt identifies the attempt, unique in the system.
+	// Attempt identifies the attempt and is unique in the whole system.
 	Attempt string `json:",omitempty"`
-	// Alone tells that nothing else may run at the upstream meanwhile, since
-	// the call is suspected of crashing upstreams.
+	// Alone reports whether no other call may run at the upstream at the same time,
+	// because this call is suspected of crashing upstreams.
 	Alone bool `json:",omitempty"`
-	// Body is the request's body; it travels beside the other fields.
+	// Body is the request's body, which is transmitted separately from the other fields.
 	Body []byte `json:"-"`
 }
 
-// Chunk is a part of an answer. A whole answer that is not streamed is a
-// single chunk with Last set.
+// Chunk is a part of an answer. An answer that is not streamed is a single chunk
+// with Last set.
 type Chunk struct {
 	// Sequence counts the chunks of one answer from 1, without gaps.
 	Sequence uint64
 	// Status is the HTTP status of an answer that is not streamed.
 	Status int
-	// ContentType is that of an answer that is not streamed.
+	// ContentType is the content type of an answer that is not streamed.
 	ContentType string
-	// Data is the payload; valid only during the call of the Sink.
+	// Data is the payload. It is valid only during the call of the Sink.
 	Data []byte
-	// Last marks the chunk that makes the answer complete.
+	// Last marks the chunk that completes the answer.
 	Last bool
 }
 
-// Sink takes the chunks of one answer in order. An error ends the answer.
+// Sink receives the chunks of one answer in order. An error that it returns ends the
+// answer.
 type Sink func(Chunk) error
