--- a/snipelink/dial.go
+++ b/snipelink/dial.go
@@ -10,35 +10,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// The figures below find a peer that has gone silent. A peer answers within
-// milliseconds; one that has acknowledged nothing for silence is gone, or
-// something between has lost track of the connection.
+// These constants bound the time until an unresponsive peer is detected. A peer
+// acknowledges within milliseconds. If sent bytes are not acknowledged within
+// ackTimeout, the peer is gone, or a device on the path has lost the state of the
+// connection.
 const (
-	// silence is how long sent bytes may stay without acknowledgement.
-	silence = 1500 * time.Millisecond
-	// probeAfter is the time without traffic after which a connection is probed,
-	// probeEvery the time between probes, probeCount how many may stay
-	// unanswered: a quiet connection to a dead peer is found in three seconds.
-	probeAfter = time.Second
-	probeEvery = time.Second
-	probeCount = 2
+	// ackTimeout is how long sent bytes may remain unacknowledged.
+	ackTimeout = 1500 * time.Millisecond
+	// keepAliveIdle is the time without traffic after which a connection is probed,
+	// keepAliveInterval the time between two probes, and keepAliveCount the number of
+	// unanswered probes after which the connection fails. An idle connection to a dead
+	// peer is detected within three seconds.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
 )
 
-// Dialer opens TCP connections that notice a silent peer by themselves.
+// Dialer returns a function that opens TCP connections. The kernel terminates such
+// a connection when the peer becomes unresponsive.
 func Dialer() func(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 	d := &net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount,
+			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			var failed error
+			var optionErr error
 			err := raw.Control(func(fd uintptr) {
-				failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silence.Milliseconds()))
+				optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 			})
 			if err != nil {
 				return err
 			}
-			return failed
+			return optionErr
 		},
 	}
 	return func(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
@@ -46,9 +49,9 @@
 	}
 }
 
-// quiet reports whether a connection is open and nothing waits to be read from
-// it. A connection that cannot be looked at counts as quiet.
-func quiet(conn net.Conn) bool {
+// isIdle reports whether a connection is open and has no bytes to read. A connection
+// whose type gives no access to a socket counts as idle.
+func isIdle(conn net.Conn) bool {
 	s, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -59,8 +62,8 @@
 	}
 	open := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		var buffer [1]byte
+		_, _, err := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		open = err == unix.EAGAIN
 		return true
 	})
--- a/snipelink/snipelink.go
+++ b/snipelink/snipelink.go
@@ -1,20 +1,22 @@
-// Package snipelink sends single HTTP requests to upstreams over kept
-// connections, and knows of each whether it may have run.
+// Package snipelink sends single HTTP requests to upstreams over persistent
+// connections, and reports for each failed request whether it may have been executed.
 //
-// Design. The transport of net/http sends a request again by itself when a kept
-// connection dies, and does not tell whether a byte of it had left. Both decide
-// here whether a request runs twice, so this package keeps the connections
-// itself and leaves the messages to net/http (Request.Write, ReadResponse). The
-// caller's goroutine writes and reads; nothing is handed over.
+// Design. The transport of net/http retries a request on its own when a persistent
+// connection fails, and does not report whether any byte of the request was sent.
+// Either can cause a request to be executed twice. This package therefore manages the
+// connections itself, and uses net/http only for the messages (Request.Write,
+// ReadResponse). The caller's goroutine writes the request and reads the answer;
+// neither is passed to another goroutine.
 //
 // Invariants:
 //
 //   - One call of Send writes one request to one connection at most.
-//   - An error that wraps ErrNotSent means that no byte of the request has left.
-//   - A connection is used again only after a whole answer to its last request,
-//     with nothing left to read and no word that it closes. Before it is used it
-//     is looked at: bytes that wait there belong to no request.
-//   - An answer whose identifier is not the request's is never returned.
+//   - An error that wraps ErrNotSent means that no byte of the request was sent.
+//   - A connection is reused only after the complete answer to its last request, if
+//     no bytes are left to read and the answer did not announce the end of the
+//     connection. The connection is checked again before it is reused: bytes that
+//     have arrived since belong to no request.
+//   - An answer that does not belong to the request is never returned.
 package snipelink
 
 import (
@@ -33,100 +35,102 @@
 
 // Errors of Send.
 var (
-	// ErrNotSent: no byte of the request has left this instance.
+	// ErrNotSent means that no byte of the request was sent.
 	ErrNotSent = errors.New("request not sent")
-	// ErrBroken: the request may have reached the upstream; its answer did not
-	// come, or is none.
+	// ErrBroken means that the request may have reached the upstream, and that no
+	// valid answer was received.
 	ErrBroken = errors.New("no answer to the request")
-	// ErrForeign: an answer to another request came.
+	// ErrForeign means that the received answer belongs to another request.
 	ErrForeign = errors.New("answer to another request")
 )
 
-// Pool keeps connections to upstreams. Exported fields are set before the first
+// Pool manages connections to upstreams. Exported fields are set before the first
 // call; it is safe for concurrent use.
 type Pool struct {
 	// Dial opens a connection.
 	Dial func(ctx context.Context, address netip.AddrPort) (net.Conn, error)
-	// DialTimeout bounds it.
+	// DialTimeout bounds each call of Dial.
 	DialTimeout time.Duration
-	// Idle is how long a connection may wait for its next request when the
-	// upstream does not say how long it keeps it.
+	// Idle is how long an idle connection is kept for its next request. If the
+	// upstream announces a shorter time, that one applies.
 	Idle time.Duration
-	// Kept bounds the idle connections to one upstream.
+	// Kept is the maximum number of idle connections to one upstream.
 	Kept int
 	// Belongs reports whether an answer belongs to the request.
 	Belongs func(request *http.Request, answer *http.Response) bool
-	// KeepAlive returns how long the upstream keeps an idle connection; zero when
-	// the answer does not say.
+	// KeepAlive returns how long the upstream keeps an idle connection, as the answer
+	// announces; zero when it does not.
 	KeepAlive func(answer *http.Response) time.Duration
 
 	lock sync.Mutex // guards idle
-	idle map[netip.AddrPort][]*link
+	idle map[netip.AddrPort][]*connection
 }
 
-// link is one connection.
-type link struct {
+// connection is one persistent connection to an upstream.
+type connection struct {
 	conn    net.Conn
 	reader  *bufio.Reader
 	address netip.AddrPort
-	until   time.Time // no use after it
+	expires time.Time // the connection is not reused after this time
 }
 
-// Answer is the answer to one request. Close must be called.
+// Answer is the answer to one request. The caller must call Close.
 type Answer struct {
 	*http.Response
-	pool *Pool
-	link *link
-	stop func() bool
-	// whole tells that the body was read to its end.
-	whole bool
+	pool       *Pool
+	connection *connection
+	stop       func() bool // detaches the connection from the context of Send
+	// complete reports whether the body was read to its end.
+	complete bool
 }
 
 // Sent describes how a request was sent.
 type Sent struct {
-	// Reused tells that the connection had served a request before.
+	// Reused reports whether the connection had served a request before.
 	Reused bool
 }
 
-// Send sends a request and waits for the head of its answer. The request's body,
-// if any, is body. The context bounds the exchange up to Close.
+// Send sends a request and reads the header of its answer. The request's body is
+// body, which may be empty. If fresh is set, a new connection is opened. The context
+// bounds the exchange until Close is called. Errors wrap ErrNotSent, ErrBroken or
+// ErrForeign.
 func (p *Pool) Send(ctx context.Context, address netip.AddrPort, r *http.Request, body []byte, fresh bool) (*Answer, Sent, error) {
-	l, reused, err := p.take(ctx, address, fresh)
+	c, reused, err := p.take(ctx, address, fresh)
 	sent := Sent{Reused: reused}
 	if err != nil {
 		return nil, sent, errors.Wrapf(ErrNotSent, "connect: %v", err)
 	}
-	a := &Answer{pool: p, link: l}
+	a := &Answer{pool: p, connection: c}
 	a.stop = context.AfterFunc(ctx, func() {
-		// Wakes the read or write in progress; the connection is closed then.
-		_ = l.conn.SetDeadline(time.Unix(1, 0))
+		// Interrupts the read or write in progress. The connection is closed after
+		// that, in discard or Close.
+		_ = c.conn.SetDeadline(time.Unix(1, 0))
 	})
-	if n, err := l.write(r, body); err != nil {
+	if n, err := c.write(r, body); err != nil {
 		a.discard()
 		if n == 0 {
 			return nil, sent, errors.Wrapf(ErrNotSent, "write: %v", err)
 		}
 		return nil, sent, errors.Wrapf(ErrBroken, "write: %v", err)
 	}
-	if err := a.head(r); err != nil {
+	if err := a.readHeader(r); err != nil {
 		a.discard()
 		return nil, sent, err
 	}
 	return a, sent, nil
 }
 
-// maxBuffered bounds the requests that are put together in memory before they
-// are written.
-const maxBuffered = 64 << 10
+// maxPooledBuffer bounds the size of the request buffers that are kept for reuse.
+const maxPooledBuffer = 64 << 10
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// write sends the request in one piece, so that a small one costs one system
-// call. It returns how many bytes have left.
-func (l *link) write(r *http.Request, body []byte) (int, error) {
+// write sends the request with a single Write, so that a small one costs one system
+// call. It returns the number of bytes that were sent.
+func (c *connection) write(r *http.Request, body []byte) (int, error) {
 	b := buffers.Get().(*bytes.Buffer)
 	defer func() {
-		if b.Cap() <= maxBuffered {
+		if b.Cap() <= maxPooledBuffer {
 			b.Reset()
 			buffers.Put(b)
 		}
@@ -140,16 +144,17 @@
 	if err := r.Write(b); err != nil {
 		return 0, err
 	}
-	return l.conn.Write(b.Bytes())
+	return c.conn.Write(b.Bytes())
 }
 
-// maxInformational bounds the interim answers before the final one.
-const maxInformational = 4
+// maxResponses bounds the number of responses that are read for one request: the
+// informational (1xx) ones and the final one.
+const maxResponses = 4
 
-// head reads the answer's head.
-func (a *Answer) head(r *http.Request) error {
-	for range maxInformational {
-		answer, err := http.ReadResponse(a.link.reader, r) //nolint:bodyclose // Answer.Close ends the connection or has read it all
+// readHeader reads the status line and the header of the final answer.
+func (a *Answer) readHeader(r *http.Request) error {
+	for range maxResponses {
+		answer, err := http.ReadResponse(a.connection.reader, r) //nolint:bodyclose // Answer.Close ends the connection or has read it all
 		if err != nil {
 			return errors.Wrapf(ErrBroken, "read: %v", err)
 		}
@@ -169,43 +174,44 @@
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.Body.Read(p)
 	if errors.Is(err, io.EOF) {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
 
-// Close gives the connection back if the whole answer was read and closes it
-// otherwise, which ends the request at the upstream.
+// Close returns the connection to the pool if it can be reused after a complete
+// answer. Otherwise Close closes the connection, which ends the request at the
+// upstream.
 func (a *Answer) Close() {
-	if !a.stop() || !a.whole || a.Response.Close || a.link.reader.Buffered() > 0 {
-		_ = a.link.conn.Close()
+	if !a.stop() || !a.complete || a.Response.Close || a.connection.reader.Buffered() > 0 {
+		_ = a.connection.conn.Close()
 		return
 	}
 	idle := a.pool.Idle
 	if kept := a.pool.KeepAlive(a.Response); kept > 0 {
 		idle = min(idle, kept)
 	}
-	a.link.until = time.Now().Add(idle)
-	a.pool.put(a.link)
+	a.connection.expires = time.Now().Add(idle)
+	a.pool.put(a.connection)
 }
 
 func (a *Answer) discard() {
 	a.stop()
-	_ = a.link.conn.Close()
+	_ = a.connection.conn.Close()
 }
 
-// take returns an idle connection that is still good, or a new one. A fresh
-// connection is always new.
-func (p *Pool) take(ctx context.Context, address netip.AddrPort, fresh bool) (l *link, reused bool, err error) {
+// take returns a connection that can be reused, or a new one if there is none or
+// fresh is set.
+func (p *Pool) take(ctx context.Context, address netip.AddrPort, fresh bool) (c *connection, reused bool, err error) {
 	for !fresh {
-		l := p.pop(address)
-		if l == nil {
+		c := p.pop(address)
+		if c == nil {
 			break
 		}
-		if time.Now().Before(l.until) && quiet(l.conn) {
-			return l, true, nil
+		if time.Now().Before(c.expires) && isIdle(c.conn) {
+			return c, true, nil
 		}
-		_ = l.conn.Close()
+		_ = c.conn.Close()
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.DialTimeout)
 	defer cancel()
@@ -213,34 +219,38 @@
 	if err != nil {
 		return nil, false, err
 	}
-	return &link{conn: conn, reader: bufio.NewReader(conn), address: address}, false, nil
+	return &connection{conn: conn, reader: bufio.NewReader(conn), address: address}, false, nil
 }
 
-func (p *Pool) pop(address netip.AddrPort) *link {
+// pop removes and returns the connection that was returned to the pool last; nil
+// when there is none.
+func (p *Pool) pop(address netip.AddrPort) *connection {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	all := p.idle[address]
 	if len(all) == 0 {
 		return nil
 	}
-	l := all[len(all)-1]
+	c := all[len(all)-1]
 	p.idle[address] = all[:len(all)-1]
-	return l
+	return c
 }
 
-func (p *Pool) put(l *link) {
-	_ = l.conn.SetDeadline(time.Time{})
+// put adds an idle connection. If the upstream has Kept of them already, the oldest
+// one is closed.
+func (p *Pool) put(c *connection) {
+	_ = c.conn.SetDeadline(time.Time{})
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if p.idle == nil {
-		p.idle = make(map[netip.AddrPort][]*link)
+		p.idle = make(map[netip.AddrPort][]*connection)
 	}
-	all := p.idle[l.address]
+	all := p.idle[c.address]
 	if len(all) >= p.Kept {
 		_ = all[0].conn.Close()
 		all = append(all[:0], all[1:]...)
 	}
-	p.idle[l.address] = append(all, l)
+	p.idle[c.address] = append(all, c)
 }
 
 // Forget closes the idle connections to an upstream.
@@ -249,24 +259,24 @@
 	all := p.idle[address]
 	delete(p.idle, address)
 	p.lock.Unlock()
-	for _, l := range all {
-		_ = l.conn.Close()
+	for _, c := range all {
+		_ = c.conn.Close()
 	}
 }
 
-// Sweep closes idle connections whose time is over.
+// Sweep closes the idle connections that have expired.
 func (p *Pool) Sweep() {
 	now := time.Now()
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	for address, all := range p.idle {
 		kept := all[:0]
-		for _, l := range all {
-			if now.Before(l.until) {
-				kept = append(kept, l)
+		for _, c := range all {
+			if now.Before(c.expires) {
+				kept = append(kept, c)
 				continue
 			}
-			_ = l.conn.Close()
+			_ = c.conn.Close()
 		}
 		if len(kept) == 0 {
 			delete(p.idle, address)
--- a/snipelink/snipelink_test.go
+++ b/snipelink/snipelink_test.go
@@ -17,12 +17,12 @@
 	"snipepitch.example/snipepitch/snipelink"
 )
 
-// upstream answers each request on a connection with the next of its replies; it
-// closes the connection after the last.
+// upstream answers each request on a connection with the next of its replies, and
+// closes the connection after the last one.
 type upstream struct {
 	address  netip.AddrPort
-	accepted atomic.Int32
-	read     atomic.Int32
+	accepted atomic.Int32 // connections
+	read     atomic.Int32 // requests
 }
 
 func newUpstream(t *testing.T, replies ...string) *upstream {
@@ -69,19 +69,19 @@
 	}
 }
 
-const good = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok"
+const goodAnswer = "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nok"
 
-// exchange sends one request and returns the answer's body and whether the
-// connection had been used before.
-func exchange(t *testing.T, p *snipelink.Pool, to netip.AddrPort) (body string, reused bool, err error) {
+// exchange sends one request, and returns the answer's body and whether the
+// connection was reused.
+func exchange(t *testing.T, p *snipelink.Pool, address netip.AddrPort) (body string, reused bool, err error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	r := &http.Request{
 		Method: http.MethodGet, Host: "a.example", Header: http.Header{"Id": {"1"}},
-		URL: &url.URL{Scheme: "http", Host: to.String(), Opaque: "/x"}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
+		URL: &url.URL{Scheme: "http", Host: address.String(), Opaque: "/x"}, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 	}
-	a, sent, err := p.Send(ctx, to, r, nil, false)
+	a, sent, err := p.Send(ctx, address, r, nil, false)
 	if err != nil {
 		return "", sent.Reused, err
 	}
@@ -90,18 +90,20 @@
 	return string(data), sent.Reused, err
 }
 
-// TestSend holds what becomes of answers, and of the connection after them.
+// TestSend checks what Send returns for valid and invalid answers, and whether the connection is
+// reused afterwards. A connection that is reused after an incomplete answer, or with bytes left to
+// read, would deliver a wrong answer to the next request.
 func TestSend(t *testing.T) {
 	tests := map[string]struct {
-		reply  string
-		body   string
-		want   error
-		broken bool // the body breaks off
-		kept   bool
+		reply     string
+		body      string
+		want      error
+		truncated bool // whether the body ends early
+		reused    bool // whether the next request uses the same connection
 	}{
-		"Whole":     {good, "ok", nil, false, true},
+		"Whole":     {goodAnswer, "ok", nil, false, true},
 		"Chunked":   {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", "ok", nil, false, true},
-		"Interim":   {"HTTP/1.1 103 Early Hints\r\n\r\n" + good, "ok", nil, false, true},
+		"Interim":   {"HTTP/1.1 103 Early Hints\r\n\r\n" + goodAnswer, "ok", nil, false, true},
 		"Closes":    {"HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok", "ok", nil, false, false},
 		"Unframed":  {"HTTP/1.1 200 OK\r\nId: 1\r\n\r\nok", "ok", nil, false, false},
 		"Foreign":   {"HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 2\r\n\r\nok", "", snipelink.ErrForeign, false, false},
@@ -109,12 +111,12 @@
 		"Garbage":   {"what is this\r\n\r\n", "", snipelink.ErrBroken, false, false},
 		"Short":     {"HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nok", "ok", nil, true, false},
 		"CutChunks": {"HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", "ok", nil, true, false},
-		"TwoAtOnce": {good + good, "ok", nil, false, false},
+		"TwoAtOnce": {goodAnswer + goodAnswer, "ok", nil, false, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, tt.reply)
-			if tt.kept {
+			if tt.reused {
 				u = newUpstream(t, tt.reply, tt.reply)
 			}
 			p := newPool()
@@ -122,7 +124,7 @@
 			switch {
 			case tt.want != nil:
 				must.ErrorIs(t, err, tt.want)
-			case tt.broken:
+			case tt.truncated:
 				must.ErrorIs(t, err, io.ErrUnexpectedEOF)
 			default:
 				must.NoError(t, err)
@@ -130,15 +132,16 @@
 			must.Eq(t, tt.body, body)
 			must.Eq(t, 1, u.read.Load())
 			_, reused, _ := exchange(t, p, u.address)
-			must.Eq(t, tt.kept, reused)
+			must.Eq(t, tt.reused, reused)
 		})
 	}
 }
 
-// TestNeverTwice: a request on a kept connection that the upstream closes is not sent
-// again, and is not said to be unsent if it may have arrived.
+// TestNeverTwice checks that a request is not sent again when the upstream reads it from a reused
+// connection and closes the connection without an answer. The error must not be ErrNotSent, since
+// the caller would then send the request again and it could run twice.
 func TestNeverTwice(t *testing.T) {
-	u := newUpstream(t, good, "")
+	u := newUpstream(t, goodAnswer, "")
 	p := newPool()
 	_, _, err := exchange(t, p, u.address)
 	must.NoError(t, err)
@@ -149,8 +152,8 @@
 	must.Eq(t, 1, u.accepted.Load())
 }
 
-// TestLateAnswer: bytes that came after an answer belong to no request; the
-// connection is not used again.
+// TestLateAnswer checks that a connection is not reused if bytes arrive after an answer. The next
+// request would otherwise read them as its own answer.
 func TestLateAnswer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -168,9 +171,9 @@
 					if _, err := http.ReadRequest(r); err != nil {
 						return
 					}
-					_, _ = io.WriteString(c, good)
+					_, _ = io.WriteString(c, goodAnswer)
 					if first {
-						_, _ = io.WriteString(c, good)
+						_, _ = io.WriteString(c, goodAnswer)
 						close(late)
 						return
 					}
@@ -179,33 +182,34 @@
 		}
 	}()
 	p := newPool()
-	to := netip.MustParseAddrPort(l.Addr().String())
-	_, _, err = exchange(t, p, to)
+	address := netip.MustParseAddrPort(l.Addr().String())
+	_, _, err = exchange(t, p, address)
 	must.NoError(t, err)
 	<-late
-	body, reused, err := exchange(t, p, to)
+	body, reused, err := exchange(t, p, address)
 	must.NoError(t, err)
 	must.Eq(t, "ok", body)
 	must.False(t, reused)
 }
 
-// TestNotSent: where nobody listens no byte has left.
+// TestNotSent checks that a refused connection is reported as ErrNotSent.
 func TestNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	to := netip.MustParseAddrPort(l.Addr().String())
+	address := netip.MustParseAddrPort(l.Addr().String())
 	must.NoError(t, l.Close())
-	_, _, err = exchange(t, newPool(), to)
+	_, _, err = exchange(t, newPool(), address)
 	must.ErrorIs(t, err, snipelink.ErrNotSent)
 }
 
-// TestCancel: the end of the context ends the exchange and the connection.
+// TestCancel checks that the end of the context ends the exchange and closes the connection. An
+// upstream would otherwise continue to execute a request whose caller has left.
 func TestCancel(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer func() { _ = l.Close() }()
 	closed := make(chan error, 1)
-	got := make(chan struct{})
+	received := make(chan struct{})
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
@@ -214,13 +218,13 @@
 		}
 		r := bufio.NewReader(c)
 		_, _ = http.ReadRequest(r)
-		close(got)
+		close(received)
 		_, err = r.ReadByte()
 		closed <- err
 	}()
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-got
+		<-received
 		cancel()
 	}()
 	r := &http.Request{Method: http.MethodGet, Host: "a", Header: http.Header{}, URL: &url.URL{Opaque: "/"}, ProtoMajor: 1, ProtoMinor: 1}
@@ -229,15 +233,14 @@
 	must.Error(t, <-closed)
 }
 
-// TestSweep: connections whose time is over, and those of an upstream that is gone,
-// are closed.
+// TestSweep checks that expired connections, and those to an upstream that is gone, are not reused.
 func TestSweep(t *testing.T) {
 	for name, end := range map[string]func(p *snipelink.Pool, u *upstream){
 		"Sweep":  func(p *snipelink.Pool, _ *upstream) { p.Sweep() },
 		"Forget": func(p *snipelink.Pool, u *upstream) { p.Forget(u.address) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			u := newUpstream(t, good, good)
+			u := newUpstream(t, goodAnswer, goodAnswer)
 			p := newPool()
 			p.Idle = 0
 			_, _, err := exchange(t, p, u.address)
