--- a/snipebalance/snipebalance.go
+++ b/snipebalance/snipebalance.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// reportLifetime is the age at which a reported load has no weight any more. Several
-	// answers arrive within this time under the usual load.
+	// reportLifetime is the age at which a reported load has no weight any more. It is as
+	// long as several answers take under the usual load.
 	reportLifetime = 2 * time.Second
 	// minClearAge is the age that a recorded load must exceed before its absence from another
 	// instance's statements resets it to zero.
@@ -30,7 +30,7 @@
 	remoteCost = 0.10
 	// failureCost is the cost of a failure rate of 1, as a multiple of the upstream's slots.
 	failureCost = 3.0
-	// failureDecay is the share of the previous failure rate that each answer keeps.
+	// failureDecay is the share of the previous failure rate that remains after each answer.
 	failureDecay = 0.85
 	// minSuspicion is how long an upstream is suspect at first, for example after it could not
 	// be reached. Further failures double the time, up to maxSuspicion.
@@ -60,7 +60,8 @@
 	failures float64
 	// unanswered counts consecutive requests without an answer.
 	unanswered int
-	// suspicion is the length of the current suspicion; zero when the upstream is trusted.
+	// suspicion is the length of the last suspicion that failures caused. An answer resets
+	// it to zero.
 	suspicion    time.Duration
 	suspectUntil time.Time
 }
@@ -70,8 +71,8 @@
 type Balancer struct {
 	// Domain is this instance's failure domain.
 	Domain string
-	// Suspect is called each time an upstream is marked as suspect, and when it is trusted
-	// again. It may be nil.
+	// Suspect is called each time an upstream is marked as suspect, and when an answer ends
+	// a suspicion that failures caused. It may be nil.
 	Suspect func(id string, suspect bool)
 	// Open reports whether an upstream accepts requests now, by its own signals; nil means
 	// always. An upstream that does not is never picked, not even as the last one left.
@@ -93,8 +94,8 @@
 type Cost func(u *snipedirectory.Upstream) float64
 
 // Pick returns the upstream with the lowest cost that passes the filter; nil when there is none.
-// A suspect upstream is picked only when every other one is suspect too. The extra cost may
-// be nil.
+// A suspect upstream is picked only if every upstream that passes the filter is suspect. The
+// extra cost may be nil.
 func (b *Balancer) Pick(all []*snipedirectory.Upstream, allowed Filter, extra Cost) *snipedirectory.Upstream {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -137,8 +138,7 @@
 	return b.load(u.ID, time.Now())
 }
 
-// Busy returns the estimated load of an upstream as a share of its slots. It exceeds 1 when
-// requests are queued there.
+// Busy returns the estimated load of an upstream as a share of its slots, which can exceed 1.
 func (b *Balancer) Busy(u *snipedirectory.Upstream) float64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -298,12 +298,14 @@
 // Broken records that a request got no usable answer. Several in a row make the upstream suspect.
 func (b *Balancer) Broken(id string) { b.recordFailure(id, false) }
 
-func (b *Balancer) recordFailure(id string, certain bool) {
+// recordFailure counts a failure, which makes the upstream suspect at once or after maxUnanswered
+// failures in a row.
+func (b *Balancer) recordFailure(id string, atOnce bool) {
 	b.lock.Lock()
 	s := b.state(id)
 	s.unanswered++
 	s.failures = s.failures*failureDecay + 1 - failureDecay
-	suspect := certain || s.unanswered >= maxUnanswered
+	suspect := atOnce || s.unanswered >= maxUnanswered
 	if suspect {
 		s.suspicion = min(max(2*s.suspicion, minSuspicion), maxSuspicion)
 		s.suspectUntil = time.Now().Add(s.suspicion)
--- a/snipebalance/snipebalance_test.go
+++ b/snipebalance/snipebalance_test.go
@@ -70,8 +70,8 @@
 	must.Less(t, 0.25, b.Busy(u))
 }
 
-// TestSuspectComesBack checks that an upstream that cannot be reached is usable again after a
-// bounded time, however often that happens, and is trusted again with its first answer.
+// TestSuspectComesBack checks that an upstream that cannot be reached is suspect for a time that
+// grows with each failure up to a bound, and that it is trusted again with its first answer.
 func TestSuspectComesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		notified := []bool{}
