--- a/sniperoute/sniperoute.go
+++ b/sniperoute/sniperoute.go
@@ -14,7 +14,7 @@
 )
 
 // Hash returns a 64-bit hash of the parts of a name (FNV-1a with a final mix). Each part is
-// terminated, so that the same bytes split into other parts have another hash.
+// terminated, so that ("ab", "c") and ("a", "bc") have different hashes.
 func Hash(parts ...string) uint64 {
 	h := uint64(fnvOffset)
 	for _, p := range parts {
