--- a/snipedispatch/engine.go
+++ b/snipedispatch/engine.go
@@ -77,9 +77,9 @@
 
 // applySettings applies the current settings to an engine and reports whether its
 // state can be kept. A change of the address, or of whether the engine checks
-// fencing numbers, requires a new state, which would not include the calls in
-// flight. These calls end first, and until then new calls are refused with an
-// error. Dispatcher.lock is held.
+// fencing numbers, requires a new state, which would not include the calls and loads
+// in progress. These end first, and until then new calls are refused with an error.
+// Dispatcher.lock is held.
 func (e *engine) applySettings(current snipetree.Engine) (bool, error) {
 	if e.settings.Address == current.Address && e.settings.ChecksFence == current.ChecksFence {
 		e.slots.Resize(current.Slots)
--- a/snipedispatch/snipedispatch.go
+++ b/snipedispatch/snipedispatch.go
@@ -114,8 +114,8 @@
 	return err
 }
 
-// gated executes call between the entry to the gate and the done function that
-// Gate returns.
+// gated executes call after Gate has admitted it, and then passes the error of call to
+// the function that Gate returned.
 func (d *Dispatcher) gated(ctx context.Context, c *snipecall.Call, alias string, call func() error) error {
 	if d.Gate == nil {
 		return call()
@@ -126,8 +126,8 @@
 	}
 	err = call()
 	if errors.Is(err, snipeupstream.ErrNotResident) {
-		// The engine refused the call without running it. The gate would take the
-		// plain error for an answer that the caller's side has ended.
+		// The engine refused the call without running it. The gate would treat
+		// the plain error as an answer that the caller's side has ended.
 		done(snipeerror.New(snipeerror.ErrLoadFailed, snipeerror.NotRun, "not resident"))
 		return err
 	}
@@ -152,8 +152,8 @@
 	}
 }
 
-// engineRetry is the retry interval given to a caller when the state of an engine
-// is not available.
+// engineRetry is the retry time that a caller receives when an engine does not answer,
+// or when calls at its previous address have not ended.
 const engineRetry = time.Second
 
 // acquireError converts an error of Slots.Acquire. The outcome is always NotRun,
