--- a/snipecall/snipecall.go
+++ b/snipecall/snipecall.go
@@ -13,8 +13,8 @@
 	"github.com/go-faster/errors"
 )
 
-// maxName bounds the length of a team, adapter, version or service name.
-const maxName = 128
+// maxNameLength bounds the length of a team, adapter, version or service name.
+const maxNameLength = 128
 
 // ErrBadName is returned for a name that is empty, too long, or contains bytes other
 // than ASCII letters, digits, '.', '_' and '-'. It is also returned for a model name
@@ -26,7 +26,7 @@
 
 // CheckName returns ErrBadName unless name is a valid name.
 func CheckName(name string) error {
-	if name == "" || len(name) > maxName {
+	if name == "" || len(name) > maxNameLength {
 		return errors.Wrapf(ErrBadName, "%d bytes", len(name))
 	}
 	for i := range len(name) {
