--- a/snipestream/fuzz_test.go
+++ b/snipestream/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// FuzzReader: no input makes the reader panic, and what it has read survives
-// being written and read again.
+// FuzzReader checks that no input makes the reader panic, and that an event that was read is the
+// same after it is written and read again.
 func FuzzReader(f *testing.F) {
 	for _, seed := range []string{
 		"id: 1\nevent: Chunk\ndata: {}\n\n", "data: a\ndata: b\n\n", ": comment\n\n", "data\n\n", "id: x\n\n",
@@ -35,8 +35,8 @@
 	})
 }
 
-// TestReaderIsBounded: neither one long line nor many short ones grow without
-// end.
+// TestReaderIsBounded checks that the memory of the reader is bounded. An upstream could otherwise
+// exhaust the memory with one long line, or with many short ones in one event.
 func TestReaderIsBounded(t *testing.T) {
 	for name, input := range map[string]string{
 		"long line":       "data: " + strings.Repeat("x", MaxEvent+8192) + "\n\n",
--- a/snipestream/snipestream.go
+++ b/snipestream/snipestream.go
@@ -1,9 +1,9 @@
 // Package snipestream reads and writes server-sent events, the framing of
-// streamed answers on all sides: engine, peer and caller.
+// streamed answers from engines, between instances, and to callers.
 //
-// The published format is the EventSource section of the HTML standard. Only
-// the fields id, event and data are used; identifiers are decimal sequence
-// numbers.
+// The format is defined in the section on server-sent events (EventSource) of the
+// HTML standard. Only the fields id, event and data are used, and identifiers are
+// decimal sequence numbers.
 package snipestream
 
 import (
@@ -15,12 +15,13 @@
 	"github.com/go-faster/errors"
 )
 
-// MaxEvent bounds the bytes of one event.
+// MaxEvent is the largest size of one event's data in bytes.
 const MaxEvent = 1 << 20
 
+// bufferSize is the size of the read buffer in bytes. Longer lines are copied.
 const bufferSize = 4096
 
-// Errors of the reader.
+// Errors of Reader.Read.
 var (
 	ErrTooLong = errors.New("event too long")
 	ErrBadID   = errors.New("event identifier is no sequence number")
@@ -30,9 +31,10 @@
 type Event struct {
 	// ID is the sequence number; zero when the event has none.
 	ID uint64
-	// Name is the event's type; empty for the default one.
+	// Name is the event's type; empty for the default type.
 	Name string
-	// Data is the payload without its line end. It is valid until the next Read.
+	// Data is the payload without the final line end. It is valid until the next
+	// Read.
 	Data []byte
 }
 
@@ -40,20 +42,23 @@
 type Reader struct {
 	reader *bufio.Reader
 	data   []byte
-	lines  int // data lines of the event
-	limit  int
+	lines  int // number of data fields of the current event
+	limit  int // maximum size of an event's data in bytes
 }
 
-// NewReader returns a reader of r, whose events have at most MaxEvent bytes.
+// NewReader returns a Reader of r that accepts at most MaxEvent bytes of data in an
+// event.
 func NewReader(r io.Reader) *Reader { return NewLimitedReader(r, MaxEvent) }
 
-// NewLimitedReader returns a reader of r, whose events have at most limit bytes.
+// NewLimitedReader returns a Reader of r that accepts at most limit bytes of data in
+// an event.
 func NewLimitedReader(r io.Reader, limit int) *Reader {
 	return &Reader{reader: bufio.NewReaderSize(r, bufferSize), limit: limit}
 }
 
-// Read returns the next event with data. io.EOF means that the stream ended
-// between two events, io.ErrUnexpectedEOF that it ended inside one.
+// Read returns the next event, whose data is empty if it has no data field. It returns
+// io.EOF if the stream ended between two events, and io.ErrUnexpectedEOF if the stream
+// ended inside an event.
 func (r *Reader) Read() (Event, error) {
 	var e Event
 	r.data = r.data[:0]
@@ -81,7 +86,8 @@
 	}
 }
 
-// line returns the next line without its end.
+// line returns the next line without its line end. The result is valid until the next
+// call.
 func (r *Reader) line() ([]byte, error) {
 	line, err := r.reader.ReadSlice('\n')
 	if err == nil {
@@ -113,6 +119,7 @@
 	fieldID    = []byte("id")
 )
 
+// field adds one field to e. Unknown fields and comments are ignored.
 func (r *Reader) field(e *Event, line []byte) error {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimPrefix(value, []byte{' '})
@@ -137,8 +144,8 @@
 	return nil
 }
 
-// Append appends e in wire form to buffer and returns the longer buffer. Data
-// with line ends becomes several data lines.
+// Append appends the encoding of e to buffer and returns the extended buffer. Data
+// that contains line feeds is written as several data fields.
 func Append(buffer []byte, e Event) []byte {
 	if e.ID > 0 {
 		buffer = append(buffer, "id: "...)
@@ -150,16 +157,16 @@
 		buffer = append(buffer, e.Name...)
 		buffer = append(buffer, '\n')
 	}
-	rest := e.Data
+	remaining := e.Data
 	for {
-		line, after, more := bytes.Cut(rest, []byte{'\n'})
+		line, after, found := bytes.Cut(remaining, []byte{'\n'})
 		buffer = append(buffer, "data: "...)
 		buffer = append(buffer, line...)
 		buffer = append(buffer, '\n')
-		if !more {
+		if !found {
 			break
 		}
-		rest = after
+		remaining = after
 	}
 	return append(buffer, '\n')
 }
