--- a/snipeerror/body.go
+++ b/snipeerror/body.go
@@ -9,15 +9,15 @@
 	"github.com/go-faster/errors"
 )
 
-// maxRetryAfter bounds what a decoded body may ask a caller to wait.
+// maxRetryAfter bounds the RetryAfter that a decoded body may contain.
 const maxRetryAfter = time.Hour
 
-// ErrBadBody is returned for a body that is no failure body.
+// ErrBadBody is returned for a body that does not encode a CallError.
 var ErrBadBody = errors.New("not a failure body")
 
-// Body is the JSON form of a CallError. The lower-case part follows the error
-// object of the OpenAI API, so that common clients understand it; the rest is
-// this project's own.
+// Body is the JSON encoding of a CallError. The lower-case fields follow the error
+// object of the OpenAI API, so that common clients can read them. The other fields are
+// specific to this project.
 type Body struct {
 	Error struct {
 		Message string `json:"message"`
@@ -30,7 +30,7 @@
 	RequestID              string  `json:"RequestId,omitempty"`
 }
 
-// Encode returns the JSON body of f for the given request identifier.
+// Encode returns the JSON body for f and the given request identifier.
 func (f *CallError) Encode(requestID string) []byte {
 	var b Body
 	b.Error.Message = f.Error()
@@ -42,14 +42,15 @@
 	b.RequestID = requestID
 	data, err := json.Marshal(b)
 	if err != nil {
-		// A struct of strings and numbers always encodes.
+		// A struct of strings and numbers can always be encoded.
 		panic(err)
 	}
 	return data
 }
 
-// Decode reads a body written by Encode. It returns ErrBadBody for anything
-// else, and for an unknown code or outcome.
+// Decode decodes a body that Encode has written. It returns ErrBadBody for any other
+// body, including one with an unknown code or outcome, or with a RetryAfter that is
+// negative or above maxRetryAfter.
 func Decode(data []byte) (*CallError, error) {
 	var b Body
 	if err := json.Unmarshal(data, &b); err != nil {
@@ -70,7 +71,8 @@
 	return nil, errors.Wrapf(ErrBadBody, "code %q", b.Error.Code)
 }
 
-// Write sends f as the whole response, with Retry-After in full seconds.
+// Write writes f as the complete response. The Retry-After header is rounded up to full
+// seconds.
 func (f *CallError) Write(w http.ResponseWriter, requestID string) {
 	w.Header().Set("Content-Type", "application/json")
 	if f.RetryAfter > 0 {
@@ -78,6 +80,6 @@
 		w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
 	w.WriteHeader(f.Status())
-	// The caller may have gone away; there is nobody to tell.
+	// A write error is ignored: the caller has disconnected, and nothing can be sent.
 	_, _ = w.Write(f.Encode(requestID))
 }
--- a/snipeerror/snipeerror.go
+++ b/snipeerror/snipeerror.go
@@ -1,10 +1,10 @@
-// Package snipeerror holds the typed failures of a call.
+// Package snipeerror defines the typed failures of a call.
 //
-// Every failure has a kind, which is one of the sentinel values below and is
-// tested with errors.Is, and an outcome, which says whether the call may have
-// been executed by an upstream. The invariant that callers rely on: a failure
-// whose outcome is NotRun is created only where it is certain that no upstream
-// has executed the call, nor will execute it later.
+// Every failure has a kind and an outcome. The kind is one of the sentinel values
+// below and is tested with errors.Is. The outcome reports whether an upstream may have
+// executed the call. Callers rely on this invariant: a failure with the outcome NotRun
+// is created only where it is certain that no upstream has executed the call or will
+// execute it later.
 package snipeerror
 
 import (
@@ -39,18 +39,19 @@
 	ErrCanceled        = errors.New("canceled by the caller")
 )
 
-// Outcome tells whether the call may have been executed.
+// Outcome reports whether the call may have been executed.
 type Outcome string
 
 // The outcomes of a failed call.
 const (
-	// NotRun: no upstream has executed the call or will do so.
+	// NotRun means that no upstream has executed the call or will execute it later.
 	NotRun Outcome = "NotRun"
-	// MayHaveRun: an upstream may have executed the call, wholly or in part.
+	// MayHaveRun means that an upstream may have executed the call, wholly or in part,
+	// or may still execute it.
 	MayHaveRun Outcome = "MayHaveRun"
 )
 
-// kind couples a sentinel with its wire code and HTTP status.
+// kind maps a sentinel to its wire code and HTTP status.
 type kind struct {
 	sentinel error
 	code     string
@@ -81,15 +82,15 @@
 	{ErrCanceled, "Canceled", http.StatusRequestTimeout},
 }
 
-// CallError is the final error of a call: a failure.
+// CallError is the error that a failed call ends with.
 type CallError struct {
 	// Kind is one of the package's sentinel values.
 	Kind error
-	// Outcome tells whether the call may have been executed.
+	// Outcome reports whether the call may have been executed.
 	Outcome Outcome
-	// Reason is one line for a human reader; it holds no key and no prompt.
+	// Reason is one line of text for people. It contains no key and no prompt.
 	Reason string
-	// RetryAfter is when a repetition is worthwhile; zero when it is not known.
+	// RetryAfter is the time after which a retry may succeed; zero when it is unknown.
 	RetryAfter time.Duration
 }
 
@@ -98,7 +99,7 @@
 	return &CallError{Kind: kind, Outcome: outcome, Reason: reason}
 }
 
-// After sets the time after which a repetition is worthwhile.
+// After sets RetryAfter, the time after which a retry may succeed, and returns f.
 func (f *CallError) After(d time.Duration) *CallError {
 	f.RetryAfter = d
 	return f
@@ -112,8 +113,8 @@
 // Unwrap returns the kind, so that errors.Is finds the sentinel.
 func (f *CallError) Unwrap() error { return f.Kind }
 
-// From returns err as a CallError. An error of another type becomes
-// ErrUpstreamFailed with the outcome MayHaveRun, the careful reading.
+// From returns the CallError that err is or wraps. Any other error becomes
+// ErrUpstreamFailed with the outcome MayHaveRun, the safe assumption.
 func From(err error) *CallError {
 	var f *CallError
 	if errors.As(err, &f) {
@@ -134,6 +135,8 @@
 	return k.status
 }
 
+// lookup returns the entry of kinds for a sentinel. An unknown sentinel is an internal
+// error.
 func lookup(sentinel error) kind {
 	for _, k := range kinds {
 		if errors.Is(sentinel, k.sentinel) {
--- a/snipeerror/snipeerror_test.go
+++ b/snipeerror/snipeerror_test.go
@@ -11,8 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// FuzzDecode: a body that is taken for a failure has a kind and an outcome
-// that exist, and stays the same when it is passed on.
+// FuzzDecode checks that a decoded failure has a defined kind and outcome, and that it keeps them
+// when it is encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	f.Add(New(ErrLimited, NotRun, "rate").After(time.Second).Encode("id-1"))
 	for _, seed := range []string{
@@ -37,8 +37,8 @@
 	})
 }
 
-// TestReasonDoesNotGrow: a failure that passes several instances keeps its
-// reason as it was.
+// TestReasonDoesNotGrow checks that the reason of a failure stays the same when several instances
+// forward it. Encoding Error() as the reason would add a prefix at each instance.
 func TestReasonDoesNotGrow(t *testing.T) {
 	e := New(ErrOverloaded, NotRun, "queue is full")
 	for range 3 {
@@ -49,7 +49,8 @@
 	must.Eq(t, "queue is full", e.Reason)
 }
 
-// TestWrite: the header and the body tell the same time to come back.
+// TestWrite checks that the header and the body contain the same retry time, which the header
+// rounds up to seconds.
 func TestWrite(t *testing.T) {
 	w := httptest.NewRecorder()
 	New(ErrLimited, NotRun, "rate").After(1200*time.Millisecond).Write(w, "id-1")
@@ -58,7 +59,8 @@
 	must.StrContains(t, w.Body.String(), `"RetryAfterMilliseconds":1200`)
 }
 
-// TestCallersPage holds the callers' page against the kinds.
+// TestCallersPage checks that docs/callers.md lists each kind with its code and status, and no
+// other.
 func TestCallersPage(t *testing.T) {
 	page, err := os.ReadFile("../docs/callers.md")
 	must.NoError(t, err)
