--- a/snipejson/depth.go
+++ b/snipejson/depth.go
@@ -1,8 +1,8 @@
 package snipejson
 
-// Depth returns how deeply the arrays and objects of a JSON text are nested. It
-// needs no stack, so that it can be asked before a decoder that recurses; for
-// a text that is not JSON it returns some upper bound.
+// Depth returns the nesting depth of the arrays and objects of a JSON text. It does not
+// recurse, so that it can be called before a recursive decoder. For a text that is not
+// JSON, the result is an upper bound of the depth that a decoder reaches.
 func Depth(data []byte) int {
 	depth, deepest := 0, 0
 	for i := 0; i < len(data); i++ {
@@ -19,8 +19,8 @@
 	return deepest
 }
 
-// stringEnd returns the index of the quote that ends the string whose first
-// byte is at i.
+// stringEnd returns the index of the quote that ends the string whose first byte is at i.
+// If there is none, the index is not less than the length of data.
 func stringEnd(data []byte, i int) int {
 	for ; i < len(data); i++ {
 		switch data[i] {
--- a/snipejson/snipejson.go
+++ b/snipejson/snipejson.go
@@ -1,5 +1,5 @@
-// Package snipejson decodes settings strictly: unknown fields, duplicate names
-// and trailing data are errors that name the place.
+// Package snipejson decodes settings strictly. Unknown fields, duplicate names and
+// trailing data are errors, which contain the path of the field.
 package snipejson
 
 import (
@@ -25,8 +25,8 @@
 	ErrTooDeep   = errors.New("nested too deeply")
 )
 
-// Decode reads the one JSON document in data into v. It refuses unknown
-// fields, duplicate names and anything after the document.
+// Decode decodes the JSON document in data into v, which is a pointer. It rejects
+// unknown fields, duplicate names and any data after the document.
 func Decode(data []byte, v any) error {
 	if err := checkNames(data, reflect.TypeOf(v)); err != nil {
 		return err
@@ -34,30 +34,31 @@
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
-		return errors.Wrap(err, "decode"+failing(data, v))
+		return errors.Wrap(err, "decode"+failingField(data, v))
 	}
 	return nil
 }
 
-// failing names the field of the document that cannot be decoded: types that
-// decode themselves do not tell. It is empty when no single field is at fault.
-func failing(data []byte, v any) string {
+// failingField returns a space and the name of a top-level field that cannot be
+// decoded, since the errors of types with their own decoding methods do not contain the
+// name. It returns an empty string if every field on its own can be decoded.
+func failingField(data []byte, v any) string {
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(data, &fields) != nil {
 		return ""
 	}
 	for name, raw := range fields {
-		one, err := json.Marshal(map[string]json.RawMessage{name: raw})
-		if err == nil && json.Unmarshal(one, reflect.New(reflect.TypeOf(v).Elem()).Interface()) != nil {
+		single, err := json.Marshal(map[string]json.RawMessage{name: raw})
+		if err == nil && json.Unmarshal(single, reflect.New(reflect.TypeOf(v).Elem()).Interface()) != nil {
 			return " " + name
 		}
 	}
 	return ""
 }
 
-// checkNames walks the document once and refuses a name given twice, and one
-// that is not exactly a field's: encoding/json takes any case for it, so that
-// a field could be given twice by two spellings.
+// checkNames rejects a name that occurs twice in an object, a name that is not exactly the
+// name of a field, and trailing data. encoding/json ignores the case of names, so that a
+// field could otherwise be given twice in two spellings.
 func checkNames(data []byte, t reflect.Type) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.UseNumber()
@@ -70,7 +71,9 @@
 	return nil
 }
 
-func checkValue(d *json.Decoder, path []string, of reflect.Type) error {
+// checkValue checks the names in the next value, which is decoded into the given type;
+// nil if the names are not known.
+func checkValue(d *json.Decoder, path []string, typ reflect.Type) error {
 	if len(path) > maxDepth {
 		return errors.Wrap(ErrTooDeep, strings.Join(path[:4], "."))
 	}
@@ -80,16 +83,16 @@
 	}
 	switch t {
 	case json.Delim('{'):
-		return checkObject(d, path, shape(of))
+		return checkObject(d, path, containerType(typ))
 	case json.Delim('['):
-		return checkArray(d, path, shape(of))
+		return checkArray(d, path, containerType(typ))
 	}
 	return nil
 }
 
-// shape returns the type whose fields or elements a value has; nil when the
-// type decodes itself or is not known.
-func shape(t reflect.Type) reflect.Type {
+// containerType returns the type that defines the fields or elements of a value of type
+// t: t without pointers. It returns nil if t is nil or implements json.Unmarshaler.
+func containerType(t reflect.Type) reflect.Type {
 	for t != nil && t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
@@ -99,9 +102,9 @@
 	return t
 }
 
-// below returns the type of the value under a name, and whether there may be
-// such a name.
-func below(t reflect.Type, name string) (reflect.Type, bool) {
+// memberType returns the type of the value with the given name in an object that is
+// decoded into t, and whether the name is allowed. The type is nil if it is not known.
+func memberType(t reflect.Type, name string) (reflect.Type, bool) {
 	switch {
 	case t == nil:
 		return nil, true
@@ -119,24 +122,24 @@
 	return nil, false
 }
 
-func checkObject(d *json.Decoder, path []string, of reflect.Type) error {
-	seen := map[string]bool{}
+func checkObject(d *json.Decoder, path []string, typ reflect.Type) error {
+	names := map[string]bool{}
 	for d.More() {
 		token, err := d.Token()
 		if err != nil {
 			return errors.Wrapf(err, "at %q", strings.Join(path, "."))
 		}
 		name, _ := token.(string)
-		inner := slices.Concat(path, []string{name})
-		if seen[name] {
-			return errors.Wrap(ErrDuplicate, strings.Join(inner, "."))
+		memberPath := slices.Concat(path, []string{name})
+		if names[name] {
+			return errors.Wrap(ErrDuplicate, strings.Join(memberPath, "."))
 		}
-		seen[name] = true
-		t, ok := below(of, name)
+		names[name] = true
+		t, ok := memberType(typ, name)
 		if !ok {
-			return errors.Wrap(ErrUnknown, strings.Join(inner, "."))
+			return errors.Wrap(ErrUnknown, strings.Join(memberPath, "."))
 		}
-		if err := checkValue(d, inner, t); err != nil {
+		if err := checkValue(d, memberPath, t); err != nil {
 			return err
 		}
 	}
@@ -144,14 +147,14 @@
 	return err
 }
 
-func checkArray(d *json.Decoder, path []string, of reflect.Type) error {
-	inner := slices.Concat(path, []string{"[]"})
+func checkArray(d *json.Decoder, path []string, typ reflect.Type) error {
+	memberPath := slices.Concat(path, []string{"[]"})
 	var element reflect.Type
-	if of != nil && (of.Kind() == reflect.Slice || of.Kind() == reflect.Array) {
-		element = of.Elem()
+	if typ != nil && (typ.Kind() == reflect.Slice || typ.Kind() == reflect.Array) {
+		element = typ.Elem()
 	}
 	for d.More() {
-		if err := checkValue(d, inner, element); err != nil {
+		if err := checkValue(d, memberPath, element); err != nil {
 			return err
 		}
 	}
@@ -159,7 +162,7 @@
 	return err
 }
 
-// Duration is a time.Duration written as a string such as "150ms".
+// Duration is a time.Duration that is encoded as a string such as "150ms".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
--- a/snipejson/snipejson_test.go
+++ b/snipejson/snipejson_test.go
@@ -16,8 +16,8 @@
 	Names   map[string]int
 }
 
-// FuzzDecode: what is taken is one JSON document, and encodes to one that is
-// taken again.
+// FuzzDecode checks that an accepted text is one JSON document, and that the decoded value encodes
+// to a document that is accepted again.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{
 		`{}`, `{"Name":"a","Name":"b"}`, `{"Names":{"a":1,"a":2}}`, `{"Other":1}`, `{} {}`, `{"Timeout":"5s"}`, `{"Timeout":5}`,
@@ -37,8 +37,8 @@
 	})
 }
 
-// FuzzDepth: it is never below the true depth, and a text without strings has
-// exactly as many levels as brackets nest.
+// FuzzDepth checks that Depth accepts any text, and that its result for a JSON text equals the
+// depth of the decoded value. A lower result would let a recursive decoder overflow its stack.
 func FuzzDepth(f *testing.F) {
 	for _, seed := range []string{`{}`, `[[1],{"a":["]"]}]`, `"\"["`, `"`, `"\`, `]]][`, strings.Repeat("[", 1000)} {
 		f.Add([]byte(seed))
@@ -48,7 +48,7 @@
 		if !json.Valid(data) {
 			return
 		}
-		// As numbers stand: one that no float holds is JSON too.
+		// UseNumber, since a number that overflows float64 is JSON too.
 		var v any
 		d := json.NewDecoder(bytes.NewReader(data))
 		d.UseNumber()
@@ -74,7 +74,8 @@
 	return deepest + 1
 }
 
-// TestRefusalsNameThePlace holds what an operator reads.
+// TestRefusalsNameThePlace checks that the error of a rejected document contains what an operator
+// needs to find the fault: the path of the field, or the rule that was violated.
 func TestRefusalsNameThePlace(t *testing.T) {
 	cases := map[string]struct{ data, want string }{
 		"unknown field":      {`{"Title":"a"}`, "Title"},
