--- a/snipecert/snipecert.go
+++ b/snipecert/snipecert.go
@@ -1,11 +1,14 @@
-// Package snipecert keeps the certificate and key of a listener and takes new
-// ones from their files without a restart.
+// Package snipecert holds the certificate and the private key of a listener, and
+// reloads them from their files without a restart.
 //
-// The files are read at an interval, not on a signal: certificates are renewed
-// by tools that know of no process, and the signals of the daemon are taken by
-// its stop. Invariants: what is served was a matching pair that had not
-// expired when it was read; a pair that cannot be used leaves the one before
-// in force; nothing of a key's contents is ever in an error or a log line.
+// The files are read at an interval and not on a signal: the tools that renew
+// certificates have no reference to the process, and the daemon uses its signals for
+// stopping. Invariants:
+//
+//   - The certificate and the key in use matched, and the certificate had not expired,
+//     when they were read.
+//   - If the files cannot be used, the previous certificate and key stay in use.
+//   - No error and no log line contains any part of a key.
 package snipecert
 
 import (
@@ -23,41 +26,42 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// ErrInvalid is wrapped by every error of a check.
+// ErrInvalid is wrapped by every error of Files.Check and Keeper.Load.
 var ErrInvalid = errors.New("invalid certificate settings")
 
-// ErrUntrusted is returned for a peer whose certificate no authority signed.
+// ErrUntrusted is returned for a peer that presents no certificate, or one that no
+// trusted authority has signed.
 var ErrUntrusted = errors.New("untrusted certificate")
 
-// maxFile bounds the size of a file in bytes.
-const maxFile = 1 << 20
+// maxFileSize bounds the size of a file in bytes.
+const maxFileSize = 1 << 20
 
-// Files name the files of one listener, all in PEM form.
+// Files contains the paths of the files of one listener, which are all in PEM format.
 type Files struct {
-	// Certificate holds the certificate with those between it and the
-	// authority, Key its private key.
+	// Certificate is the file with the certificate and the intermediate certificates,
+	// and Key is the file with the private key.
 	Certificate string
 	Key         string
-	// Authority holds the authorities that the other side's certificate must
-	// be signed by; empty where the other side shows none.
+	// Authority is the file with the certificate authorities that must have signed the
+	// certificate of the other side; empty if the other side presents none.
 	Authority string `json:",omitempty"`
 }
 
-// pair is what the files held when they were read.
-type pair struct {
+// credentials is the content of the files at one time.
+type credentials struct {
 	certificate tls.Certificate
-	authority   *x509.CertPool // nil without an authority
-	raw         [3][]byte
+	authority   *x509.CertPool // nil if there is no authority file
+	raw         [3][]byte      // content of the certificate, key and authority files
 }
 
-// Check reads the files and returns an error that names the bad field.
+// Check reads the files and returns an error that contains the name of the invalid field.
 func (f Files) Check() error {
 	_, err := f.read()
 	return err
 }
 
-func (f Files) read() (*pair, error) {
-	p := &pair{}
+func (f Files) read() (*credentials, error) {
+	c := &credentials{}
 	for n, file := range []struct{ field, path string }{
 		{"Certificate", f.Certificate},
 		{"Key", f.Key},
@@ -70,22 +74,22 @@
 		if err != nil {
 			return nil, errors.Wrapf(ErrInvalid, "%s: %v", file.field, err)
 		}
-		p.raw[n] = data
+		c.raw[n] = data
 	}
 	var err error
-	if p.certificate, err = tls.X509KeyPair(p.raw[0], p.raw[1]); err != nil {
+	if c.certificate, err = tls.X509KeyPair(c.raw[0], c.raw[1]); err != nil {
 		return nil, errors.Wrapf(ErrInvalid, "Certificate and Key: %v", err)
 	}
-	if now := time.Now(); now.After(p.certificate.Leaf.NotAfter) {
-		return nil, errors.Wrapf(ErrInvalid, "Certificate: expired at %s", p.certificate.Leaf.NotAfter.Format(time.RFC3339))
+	if now := time.Now(); now.After(c.certificate.Leaf.NotAfter) {
+		return nil, errors.Wrapf(ErrInvalid, "Certificate: expired at %s", c.certificate.Leaf.NotAfter.Format(time.RFC3339))
 	}
 	if f.Authority != "" {
-		p.authority = x509.NewCertPool()
-		if !p.authority.AppendCertsFromPEM(p.raw[2]) {
+		c.authority = x509.NewCertPool()
+		if !c.authority.AppendCertsFromPEM(c.raw[2]) {
 			return nil, errors.Wrap(ErrInvalid, "Authority: no certificate in the file")
 		}
 	}
-	return p, nil
+	return c, nil
 }
 
 func readFile(path string) ([]byte, error) {
@@ -96,118 +100,123 @@
 	if err != nil {
 		return nil, err
 	}
-	if info.Size() > maxFile {
-		return nil, errors.Errorf("%s is above %d bytes", path, maxFile)
+	if info.Size() > maxFileSize {
+		return nil, errors.Errorf("%s is above %d bytes", path, maxFileSize)
 	}
 	return os.ReadFile(path)
 }
 
-// Keeper serves the pair of a listener. Exported fields are set before Load.
+// Keeper provides the current certificate and key of a listener. Exported fields are set
+// before Load.
 type Keeper struct {
-	// Files name the files, and Name the listener in the log.
+	// Files contains the paths of the files, and Name is the listener's name in the log.
 	Files Files
 	Name  string
 	// Poll is the time between two reads of the files.
 	Poll time.Duration
-	// Log takes events.
+	// Log receives events.
 	Log *snipelog.Logger
 
-	current atomic.Pointer[pair]
+	current atomic.Pointer[credentials]
 }
 
-// Load reads the files for the first time.
+// Load reads the files for the first time. It must be called before Run, Server and
+// Dialer are used.
 func (k *Keeper) Load() error {
-	p, err := k.Files.read()
+	c, err := k.Files.read()
 	if err != nil {
 		return err
 	}
-	k.current.Store(p)
+	k.current.Store(c)
 	return nil
 }
 
-// Run takes new files into use until ctx ends.
+// Run reads the files at the interval Poll and uses their content, until ctx ends.
 func (k *Keeper) Run(ctx context.Context) error {
 	t := time.NewTicker(k.Poll)
 	defer t.Stop()
-	failed := ""
+	failure := ""
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
 		}
-		failed = k.step(failed)
+		failure = k.reload(failure)
 	}
 }
 
-// step reads the files once. It returns the failure, which is logged when it
-// differs from the one before.
-func (k *Keeper) step(before string) string {
-	p, err := k.Files.read()
+// reload reads the files once. It returns the text of the error, which is logged only if
+// it differs from the previous one, or an empty string.
+func (k *Keeper) reload(previous string) string {
+	c, err := k.Files.read()
 	if err != nil {
-		if err.Error() != before {
+		if err.Error() != previous {
 			k.Log.Error(snipelog.CertificateRefused, err, snipelog.Fields{"Listener": k.Name})
 		}
 		return err.Error()
 	}
-	if p.same(k.current.Load()) {
+	if c.equal(k.current.Load()) {
 		return ""
 	}
-	k.current.Store(p)
+	k.current.Store(c)
 	k.Log.Log(snipelog.CertificateInForce, snipelog.Fields{
-		"Listener": k.Name, "NotAfter": p.certificate.Leaf.NotAfter.Format(time.RFC3339),
+		"Listener": k.Name, "NotAfter": c.certificate.Leaf.NotAfter.Format(time.RFC3339),
 	})
 	return ""
 }
 
-func (p *pair) same(other *pair) bool {
-	for n := range p.raw {
-		if !bytes.Equal(p.raw[n], other.raw[n]) {
+func (c *credentials) equal(other *credentials) bool {
+	for n := range c.raw {
+		if !bytes.Equal(c.raw[n], other.raw[n]) {
 			return false
 		}
 	}
 	return true
 }
 
-// Server returns the settings of a listener, which follow the files. With an
-// authority the other side must show a certificate.
+// Server returns the TLS configuration of a listener. New connections use the current
+// files. If there is an authority, the other side must present a certificate.
 func (k *Keeper) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			p := k.current.Load()
+			current := k.current.Load()
 			c := &tls.Config{
-				MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{p.certificate},
-				// Bounds are counted in connections, of one call at a time.
+				MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{current.certificate},
+				// No HTTP/2: limits are counted in connections, on the condition that
+				// each connection carries one call at a time.
 				NextProtos: []string{"http/1.1"},
 			}
-			if p.authority != nil {
+			if current.authority != nil {
 				c.ClientAuth = tls.RequireAndVerifyClientCert
-				c.ClientCAs = p.authority
+				c.ClientCAs = current.authority
 			}
 			return c, nil
 		},
 	}
 }
 
-// Dial opens a connection, as net.Dialer.DialContext does.
+// Dial is the type of a function that opens a connection, such as
+// net.Dialer.DialContext.
 type Dial = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dialer returns a Dial that shows the pair's certificate on connections of d,
-// and asks for one that the same authority has signed. It does not check
-// names: instances are known by addresses that change whenever one is
-// replaced, and the authority signs instances alone.
+// Dialer returns a Dial that uses TLS on the connections of d. It presents the current
+// certificate, and requires a certificate of the other side that the authority has
+// signed. It does not check the name in that certificate: instances are identified by
+// addresses, which change whenever an instance is replaced, and the authority signs
+// certificates of instances only.
 func (k *Keeper) Dialer(d Dial) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		plain, err := d(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		p := k.current.Load()
+		current := k.current.Load()
 		conn := tls.Client(plain, &tls.Config{
-			MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{p.certificate},
+			MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{current.certificate},
 			InsecureSkipVerify: true, //nolint:gosec // VerifyConnection checks the chain, without the name
-			VerifyConnection:   p.verify,
+			VerifyConnection:   current.verify,
 		})
 		if err := conn.HandshakeContext(ctx); err != nil {
 			_ = plain.Close()
@@ -217,15 +226,16 @@
 	}
 }
 
-func (p *pair) verify(state tls.ConnectionState) error {
-	if len(state.PeerCertificates) == 0 || p.authority == nil {
+// verify checks that the authority has signed the certificate of the peer.
+func (c *credentials) verify(state tls.ConnectionState) error {
+	if len(state.PeerCertificates) == 0 || c.authority == nil {
 		return ErrUntrusted
 	}
-	between := x509.NewCertPool()
-	for _, c := range state.PeerCertificates[1:] {
-		between.AddCert(c)
+	intermediates := x509.NewCertPool()
+	for _, cert := range state.PeerCertificates[1:] {
+		intermediates.AddCert(cert)
 	}
-	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: p.authority, Intermediates: between})
+	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: c.authority, Intermediates: intermediates})
 	if err != nil {
 		return errors.Wrap(ErrUntrusted, err.Error())
 	}
--- a/snipecert/snipecert_test.go
+++ b/snipecert/snipecert_test.go
@@ -23,7 +23,7 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// authority signs certificates.
+// authority is a certificate authority.
 type authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
@@ -57,7 +57,8 @@
 		pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: keyDER})
 }
 
-// write writes a pair signed by a into dir and returns its files.
+// write creates a certificate that a has signed and writes its files to dir. It returns the files
+// and the private key in PEM format.
 func (a *authority) write(t *testing.T, dir string, serial int64, valid time.Duration) (Files, []byte) {
 	_, _, certificate, key := sign(t, &x509.Certificate{
 		SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: "entry-1"}, NotAfter: time.Now().Add(valid),
@@ -101,16 +102,16 @@
 	}
 }
 
-// serial connects a client to a server and returns the serial number of the
-// certificate that the server showed.
-func serial(t *testing.T, server, client *Keeper) (int64, error) {
+// serverSerial connects a client to a server, and returns the serial number of the certificate that
+// the server presents.
+func serverSerial(t *testing.T, server, client *Keeper) (int64, error) {
 	l, err := tls.Listen("tcp", "127.0.0.1:0", server.Server())
 	must.NoError(t, err)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		if c, err := l.Accept(); err == nil {
-			// The client reports what went wrong.
+			// Errors are ignored here, since the client returns its own.
 			_, _ = io.WriteString(c, "x")
 			_ = c.Close()
 		}
@@ -128,8 +129,9 @@
 	return c.(*tls.Conn).ConnectionState().PeerCertificates[0].SerialNumber.Int64(), err
 }
 
-// TestReload: a new pair is in force without a restart, one that cannot be
-// used is not, and nothing of a key is logged.
+// TestReload checks that a new certificate and key are used without a restart, that files that do
+// not match leave the previous ones in use, that the same failure is logged once, and that no part
+// of a key is logged.
 func TestReload(t *testing.T) {
 	a := newAuthority(t)
 	dir := t.TempDir()
@@ -137,21 +139,21 @@
 	var log bytes.Buffer
 	k := &Keeper{Files: f, Name: "Peers", Log: snipelog.New(&log, logrus.TraceLevel, "entry-1")}
 	must.NoError(t, k.Load())
-	n, err := serial(t, k, k)
+	n, err := serverSerial(t, k, k)
 	must.NoError(t, err)
 	must.Eq(t, 2, n)
 
 	_, secondKey := a.write(t, dir, 3, time.Hour)
-	must.Eq(t, "", k.step(""))
-	n, err = serial(t, k, k)
+	must.Eq(t, "", k.reload(""))
+	n, err = serverSerial(t, k, k)
 	must.NoError(t, err)
 	must.Eq(t, 3, n)
 
 	must.NoError(t, os.WriteFile(f.Key, key, 0o600))
-	failure := k.step("")
+	failure := k.reload("")
 	must.StrContains(t, failure, "Certificate and Key")
-	must.Eq(t, failure, k.step(failure))
-	n, err = serial(t, k, k)
+	must.Eq(t, failure, k.reload(failure))
+	n, err = serverSerial(t, k, k)
 	must.NoError(t, err)
 	must.Eq(t, 3, n)
 
@@ -166,22 +168,22 @@
 	}
 }
 
-// TestPeersProveThemselves: neither side talks to one that its authority has
-// not signed.
+// TestPeersProveThemselves checks that a client rejects a server, and a server a client, whose
+// certificate its authority has not signed.
 func TestPeersProveThemselves(t *testing.T) {
-	keeper := func(a *authority) *Keeper {
+	newKeeper := func(a *authority) *Keeper {
 		f, _ := a.write(t, t.TempDir(), 2, time.Hour)
 		k := &Keeper{Files: f}
 		must.NoError(t, k.Load())
 		return k
 	}
 	ours, other := newAuthority(t), newAuthority(t)
-	_, err := serial(t, keeper(ours), keeper(ours))
+	_, err := serverSerial(t, newKeeper(ours), newKeeper(ours))
 	must.NoError(t, err)
-	_, err = serial(t, keeper(other), keeper(ours))
+	_, err = serverSerial(t, newKeeper(other), newKeeper(ours))
 	must.ErrorIs(t, err, ErrUntrusted)
-	stranger := keeper(other)
-	stranger.current.Load().authority.AddCert(ours.certificate)
-	_, err = serial(t, keeper(ours), stranger)
+	untrusted := newKeeper(other)
+	untrusted.current.Load().authority.AddCert(ours.certificate)
+	_, err = serverSerial(t, newKeeper(ours), untrusted)
 	must.Error(t, err)
 }
