--- a/snipemeter/reference_test.go
+++ b/snipemeter/reference_test.go
@@ -12,8 +12,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestReference holds the metrics' page against the code: each name in the
-// code has a row, each row a name in the code.
+// TestReference checks that docs/operators/metrics.md lists exactly the metrics in the code.
+// Without the check, a metric that is added or removed could be missing from the page or remain
+// there.
 func TestReference(t *testing.T) {
 	page, err := os.ReadFile("../docs/operators/metrics.md")
 	must.NoError(t, err)
--- a/snipemeter/traffic.go
+++ b/snipemeter/traffic.go
@@ -7,14 +7,14 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Traffic counts the bytes that pass through connections of one kind, such as
-// "Peers" or "Platform". Capacity figures are taken from these counters.
+// Traffic counts the bytes that are received and sent on connections of one kind, such as
+// "Peers" or "Platform". The capacity figures are derived from these counters.
 type Traffic struct {
 	received *metrics.Counter
 	sent     *metrics.Counter
 }
 
-// Traffic returns the counters of a kind of connection.
+// Traffic returns the counters for connections of the given kind.
 func (m *Meter) Traffic(kind string) *Traffic {
 	return &Traffic{
 		received: m.set.GetOrCreateCounter(`snipepitch_received_bytes_total{kind="` + kind + `"}`),
@@ -22,15 +22,15 @@
 	}
 }
 
-// Listener returns l with its connections counted.
+// Listener returns a listener that counts the bytes of the connections of l.
 func (t *Traffic) Listener(l net.Listener) net.Listener {
 	return &countedListener{Listener: l, traffic: t}
 }
 
-// Dial is the type of a transport's dialling function.
+// Dial is the type of the dial function of an http.Transport.
 type Dial = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dialer returns d with its connections counted.
+// Dialer returns a Dial that counts the bytes of the connections of d.
 func (t *Traffic) Dialer(d Dial) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := d(ctx, network, address)
@@ -74,5 +74,5 @@
 	return n, err
 }
 
-// Bytes returns the bytes received and sent so far.
+// Bytes returns the number of bytes received and sent so far.
 func (t *Traffic) Bytes() (received, sent uint64) { return t.received.Get(), t.sent.Get() }
