--- a/snipemember/digest.go
+++ b/snipemember/digest.go
@@ -11,28 +11,28 @@
 
 // Bounds of digests.
 const (
-	// MaxData bounds the data of a digest and MaxName its topic and its key,
-	// in bytes.
+	// MaxData bounds the data of a digest, and MaxName its topic and its key, in bytes.
 	MaxData = 512
 	MaxName = 200
-	// MaxOwn bounds the digests of one origin and MaxDigests all of them.
-	MaxOwn     = 64
-	MaxDigests = 4096
-	// MaxTTL bounds the life of a digest.
+	// MaxOriginDigests bounds the digests of one origin, and MaxDigests all of them.
+	MaxOriginDigests = 64
+	MaxDigests       = 4096
+	// MaxTTL bounds the lifetime of a digest.
 	MaxTTL = time.Hour
-	// versionShift leaves room for the announcements of one incarnation.
+	// versionShift is the number of low bits of a version that count the announcements of one
+	// incarnation.
 	versionShift = 20
 )
 
 // Digest is a small announcement of one instance.
 type Digest struct {
-	// Origin is the instance that announced it, Topic and Key say what about.
+	// Origin is the instance that announced the digest. Topic and Key identify the subject.
 	Origin string
 	Topic  string
 	Key    string
 	// Version grows with each announcement of the origin.
 	Version uint64
-	// Data is the announcement; it is not changed by anyone.
+	// Data is the announcement. It must not be modified.
 	Data []byte
 }
 
@@ -42,15 +42,15 @@
 
 type digest struct {
 	Digest
-	until time.Time
+	expires time.Time
 }
 
 func (d *digest) id() digestKey { return digestKey{d.Origin, d.Topic, d.Key} }
 
-// Announce tells all instances the data under a topic and a key for a time. A
-// later announcement under the same topic and key replaces it. Announcing the
-// same data again before half of the time is over sends nothing. What is
-// outside the bounds is not announced, with an event.
+// Announce distributes data under a topic and a key to all instances for the duration ttl. A later
+// announcement under the same topic and key replaces an earlier one. Announcing the same data again
+// while more than half of ttl is left sends nothing. An announcement that exceeds a bound is not
+// sent; its refusal is logged.
 func (n *Node) Announce(topic, key string, data []byte, ttl time.Duration) {
 	n.start()
 	if len(data) > MaxData || len(topic) > MaxName || len(key) > MaxName || ttl <= 0 || ttl > MaxTTL {
@@ -62,24 +62,24 @@
 	defer n.lock.Unlock()
 	id := digestKey{n.self.Name, topic, key}
 	old, known := n.digests[id]
-	if known && bytes.Equal(old.Data, data) && old.until.Sub(now) > ttl/2 {
+	if known && bytes.Equal(old.Data, data) && old.expires.Sub(now) > ttl/2 {
 		return
 	}
-	if !known && n.count(n.self.Name) >= MaxOwn {
-		n.Log.Log(snipelog.DigestRefused, snipelog.Fields{"Topic": topic, "Digests": MaxOwn})
+	if !known && n.digestCount(n.self.Name) >= MaxOriginDigests {
+		n.Log.Log(snipelog.DigestRefused, snipelog.Fields{"Topic": topic, "Digests": MaxOriginDigests})
 		return
 	}
-	n.version++
+	n.lastVersion++
 	n.digests[id] = &digest{
-		Digest: Digest{Origin: n.self.Name, Topic: topic, Key: key, Version: n.version, Data: bytes.Clone(data)},
-		until:  now.Add(ttl),
+		Digest:  Digest{Origin: n.self.Name, Topic: topic, Key: key, Version: n.lastVersion, Data: bytes.Clone(data)},
+		expires: now.Add(ttl),
 	}
 	n.enqueueDigest(id)
-	n.signal()
+	n.wakePusher()
 }
 
-// count returns how many digests an origin has here. The lock is held.
-func (n *Node) count(origin string) int {
+// digestCount returns the number of digests of an origin that are known here. The lock is held.
+func (n *Node) digestCount(origin string) int {
 	total := 0
 	for k := range n.digests {
 		if k.origin == origin {
@@ -89,8 +89,8 @@
 	return total
 }
 
-// Digests returns the digests of a topic that count now, those of this
-// instance among them, ordered by origin and key.
+// Digests returns the digests of a topic that have not expired, including those of this instance,
+// ordered by origin and key.
 func (n *Node) Digests(topic string) []Digest {
 	n.start()
 	now := time.Now()
@@ -98,7 +98,7 @@
 	defer n.lock.Unlock()
 	var all []Digest
 	for k, d := range n.digests {
-		if k.topic == topic && now.Before(d.until) {
+		if k.topic == topic && now.Before(d.expires) {
 			all = append(all, d.Digest)
 		}
 	}
@@ -108,8 +108,7 @@
 	return all
 }
 
-// mergeDigest takes a digest from news and reports whether it was new. The
-// lock is held.
+// mergeDigest merges a received digest and reports whether it was new. The lock is held.
 func (n *Node) mergeDigest(d *digest) bool {
 	id := d.id()
 	old, known := n.digests[id]
@@ -117,14 +116,14 @@
 		return false
 	}
 	if d.Origin == n.self.Name {
-		// Of an earlier start of this instance, whose clock was ahead.
-		if d.Version > n.version {
-			n.version = d.Version
-			n.announceAgain(id)
+		// The digest is from an earlier start of this instance, whose clock was ahead.
+		if d.Version > n.lastVersion {
+			n.lastVersion = d.Version
+			n.reannounce(id)
 		}
 		return false
 	}
-	if !known && (len(n.digests) >= MaxDigests || n.count(d.Origin) >= MaxOwn) {
+	if !known && (len(n.digests) >= MaxDigests || n.digestCount(d.Origin) >= MaxOriginDigests) {
 		return false
 	}
 	n.digests[id] = d
@@ -132,15 +131,15 @@
 	return true
 }
 
-// announceAgain gives an own digest a version above all earlier ones.
-func (n *Node) announceAgain(id digestKey) {
+// reannounce gives this instance's own digest a version above all earlier ones. The lock is held.
+func (n *Node) reannounce(id digestKey) {
 	own, ok := n.digests[id]
 	if !ok {
 		return
 	}
-	n.version++
+	n.lastVersion++
 	renewed := *own
-	renewed.Version = n.version
+	renewed.Version = n.lastVersion
 	n.digests[id] = &renewed
 	n.enqueueDigest(id)
 }
--- a/snipemember/member_test.go
+++ b/snipemember/member_test.go
@@ -19,15 +19,15 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// group is a number of nodes on one network in memory.
-type group struct {
+// cluster is a set of nodes on one in-memory network.
+type cluster struct {
 	t       *testing.T
 	network *snipestand.PeerNetwork
 	nodes   []*snipemember.Node
 	cancels []context.CancelFunc
-	wait    sync.WaitGroup
-	// listDown makes the platform's list fail.
-	listDown atomic.Bool
+	running sync.WaitGroup
+	// seedsDown makes reading the platform's list fail.
+	seedsDown atomic.Bool
 }
 
 func address(n int) netip.AddrPort {
@@ -36,19 +36,19 @@
 
 func name(n int) string { return fmt.Sprintf("entry-%d", n) }
 
-// seeds lists the first two instances only: the list lags.
-func (g *group) seeds(context.Context) ([]snipemember.Seed, error) {
-	if g.listDown.Load() {
+// seeds returns only the first two instances, like a platform's list that is out of date.
+func (c *cluster) seeds(context.Context) ([]snipemember.Seed, error) {
+	if c.seedsDown.Load() {
 		return nil, errors.New("down")
 	}
 	return []snipemember.Seed{{Name: name(0), Address: address(0)}, {Name: name(1), Address: address(1)}}, nil
 }
 
-func (g *group) start(n int) {
+func (c *cluster) start(n int) {
 	random, lock := rand.New(rand.NewSource(int64(n+1))), sync.Mutex{}
 	node := &snipemember.Node{
 		Self: snipemember.Member{Name: name(n), Address: address(n), Domain: "d"},
-		HTTP: g.network.From(address(n)), Seeds: g.seeds,
+		HTTP: c.network.From(address(n)), Seeds: c.seeds,
 		Interval: snipemember.DefaultInterval, Timeout: snipemember.DefaultTimeout,
 		Random: func(k int) int {
 			lock.Lock()
@@ -57,33 +57,33 @@
 		},
 		Log: snipelog.Discard(),
 	}
-	g.network.Listen(address(n), node.Handler())
-	ctx, cancel := context.WithCancel(g.t.Context())
-	if n < len(g.nodes) {
-		g.nodes[n], g.cancels[n] = node, cancel
+	c.network.Listen(address(n), node.Handler())
+	ctx, cancel := context.WithCancel(c.t.Context())
+	if n < len(c.nodes) {
+		c.nodes[n], c.cancels[n] = node, cancel
 	} else {
-		g.nodes, g.cancels = append(g.nodes, node), append(g.cancels, cancel)
+		c.nodes, c.cancels = append(c.nodes, node), append(c.cancels, cancel)
 	}
-	g.wait.Go(func() { must.NoError(g.t, node.Run(ctx)) })
+	c.running.Go(func() { must.NoError(c.t, node.Run(ctx)) })
 }
 
-func (g *group) kill(n int) {
-	g.network.Listen(address(n), nil)
-	g.cancels[n]()
+func (c *cluster) kill(n int) {
+	c.network.Listen(address(n), nil)
+	c.cancels[n]()
 }
 
-func (g *group) end() {
-	for _, c := range g.cancels {
-		c()
+func (c *cluster) stop() {
+	for _, cancel := range c.cancels {
+		cancel()
 	}
-	g.wait.Wait()
+	c.running.Wait()
 }
 
-// seenAs counts the nodes, other than the member itself, that hold a member to
-// have a status.
-func (g *group) seenAs(n int, s snipemember.Status) int {
+// nodesReporting returns the number of nodes, without node n itself, that report node n with the
+// given status.
+func (c *cluster) nodesReporting(n int, s snipemember.Status) int {
 	total := 0
-	for i, node := range g.nodes {
+	for i, node := range c.nodes {
 		if m, ok := node.Member(name(n)); i != n && ok && m.Status == s {
 			total++
 		}
@@ -91,9 +91,10 @@
 	return total
 }
 
-func (g *group) told(topic string) int {
+// nodesWith returns the number of nodes that have a digest of the topic.
+func (c *cluster) nodesWith(topic string) int {
 	total := 0
-	for _, n := range g.nodes {
+	for _, n := range c.nodes {
 		if len(n.Digests(topic)) > 0 {
 			total++
 		}
@@ -104,166 +105,166 @@
 func TestMembership(t *testing.T) {
 	const size = 24
 	tests := map[string]struct {
-		fault func(g *group)
+		fault func(c *cluster)
 		wait  time.Duration
-		// dead and live are how many others hold instance 5 to be so.
+		// dead and live are the numbers of other instances that report instance 5 as such.
 		dead, live int
 	}{
-		"nothing happens": {func(*group) {}, time.Minute, 0, size - 1},
-		"killed":          {func(g *group) { g.kill(5) }, 40 * time.Second, size - 1, 0},
-		"cut from one, one way": {func(g *group) {
-			g.network.Cut(address(3), address(5), true)
+		"nothing happens": {func(*cluster) {}, time.Minute, 0, size - 1},
+		"killed":          {func(c *cluster) { c.kill(5) }, 40 * time.Second, size - 1, 0},
+		"cut from one, one way": {func(c *cluster) {
+			c.network.Cut(address(3), address(5), true)
 		}, 2 * time.Minute, 0, size - 1},
-		"cut from one, both ways": {func(g *group) {
-			g.network.Cut(address(3), address(5), true)
-			g.network.Cut(address(5), address(3), true)
+		"cut from one, both ways": {func(c *cluster) {
+			c.network.Cut(address(3), address(5), true)
+			c.network.Cut(address(5), address(3), true)
 		}, 2 * time.Minute, 0, size - 1},
-		"hears all, reaches nobody": {func(g *group) {
+		"hears all, reaches nobody": {func(c *cluster) {
 			for n := range size {
-				g.network.Cut(address(5), address(n), true)
+				c.network.Cut(address(5), address(n), true)
 			}
 		}, time.Minute, 0, size - 1},
-		"reaches all, hears nobody": {func(g *group) {
+		"reaches all, hears nobody": {func(c *cluster) {
 			for n := range size {
-				g.network.Cut(address(n), address(5), true)
+				c.network.Cut(address(n), address(5), true)
 			}
 		}, time.Minute, 0, size - 1},
-		"cut from all, then healed": {func(g *group) {
-			g.isolate(true)
+		"cut from all, then healed": {func(c *cluster) {
+			c.isolate(true)
 			time.Sleep(time.Minute)
-			must.Eq(g.t, size-1, g.seenAs(5, snipemember.Dead))
-			g.isolate(false)
+			must.Eq(c.t, size-1, c.nodesReporting(5, snipemember.Dead))
+			c.isolate(false)
 		}, 2 * time.Minute, 0, size - 1},
-		"flapping": {func(g *group) {
+		"flapping": {func(c *cluster) {
 			for range 10 {
-				g.isolate(true)
+				c.isolate(true)
 				time.Sleep(1500 * time.Millisecond)
-				g.isolate(false)
+				c.isolate(false)
 				time.Sleep(1500 * time.Millisecond)
-				must.Eq(g.t, 0, g.seenAs(5, snipemember.Dead))
+				must.Eq(c.t, 0, c.nodesReporting(5, snipemember.Dead))
 			}
 		}, 30 * time.Second, 0, size - 1},
-		"replaced under its name": {func(g *group) {
-			g.kill(5)
+		"replaced under its name": {func(c *cluster) {
+			c.kill(5)
 			time.Sleep(time.Second)
-			g.start(5)
+			c.start(5)
 		}, 30 * time.Second, 0, size - 1},
 	}
 	for title, tc := range tests {
 		t.Run(title, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := &group{t: t, network: snipestand.NewPeerNetwork(time.Millisecond)}
-				defer g.end()
+				c := &cluster{t: t, network: snipestand.NewPeerNetwork(time.Millisecond)}
+				defer c.stop()
 				for n := range size {
-					g.start(n)
+					c.start(n)
 				}
 				time.Sleep(20 * time.Second)
 				for n := range size {
-					must.Eq(t, size-1, g.seenAs(n, snipemember.Alive), must.Sprintf("instance %d", n))
+					must.Eq(t, size-1, c.nodesReporting(n, snipemember.Alive), must.Sprintf("instance %d", n))
 				}
-				tc.fault(g)
+				tc.fault(c)
 				time.Sleep(tc.wait)
-				must.Eq(t, tc.dead, g.seenAs(5, snipemember.Dead))
-				must.Eq(t, tc.live, g.seenAs(5, snipemember.Alive)+g.seenAs(5, snipemember.Suspect))
+				must.Eq(t, tc.dead, c.nodesReporting(5, snipemember.Dead))
+				must.Eq(t, tc.live, c.nodesReporting(5, snipemember.Alive)+c.nodesReporting(5, snipemember.Suspect))
 			})
 		})
 	}
 }
 
-// isolate cuts instance 5 from all others, or ends the cut.
-func (g *group) isolate(cut bool) {
-	for i := range g.nodes {
-		g.network.Cut(address(i), address(5), cut)
-		g.network.Cut(address(5), address(i), cut)
+// isolate cuts the links between instance 5 and all others, or restores them.
+func (c *cluster) isolate(cut bool) {
+	for i := range c.nodes {
+		c.network.Cut(address(i), address(5), cut)
+		c.network.Cut(address(5), address(i), cut)
 	}
 }
 
 func TestAnnounce(t *testing.T) {
 	const size = 60
 	tests := map[string]struct {
-		do   func(g *group)
-		wait time.Duration
-		told int
+		do        func(c *cluster)
+		wait      time.Duration
+		receivers int
 	}{
-		"all within three seconds": {func(*group) {}, 3 * time.Second, size},
-		"most within a quarter of one": {func(g *group) {
+		"all within three seconds": {func(*cluster) {}, 3 * time.Second, size},
+		"most within a quarter of one": {func(c *cluster) {
 			time.Sleep(250 * time.Millisecond)
-			must.Greater(g.t, size*9/10, g.told("Topic"))
+			must.Greater(c.t, size*9/10, c.nodesWith("Topic"))
 		}, 3 * time.Second, size},
-		"expires": {func(*group) {}, 11 * time.Second, 0},
-		"reaches one that starts later": {func(g *group) {
+		"expires": {func(*cluster) {}, 11 * time.Second, 0},
+		"reaches one that starts later": {func(c *cluster) {
 			time.Sleep(time.Second)
-			g.start(size)
+			c.start(size)
 		}, 3 * time.Second, size + 1},
-		"too large is refused": {func(g *group) {
-			g.nodes[0].Announce("Big", "k", make([]byte, snipemember.MaxData+1), time.Minute)
-			must.Eq(g.t, 0, g.told("Big"))
+		"too large is refused": {func(c *cluster) {
+			c.nodes[0].Announce("Big", "k", make([]byte, snipemember.MaxData+1), time.Minute)
+			must.Eq(c.t, 0, c.nodesWith("Big"))
 		}, 3 * time.Second, size},
 	}
 	for title, tc := range tests {
 		t.Run(title, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := &group{t: t, network: snipestand.NewPeerNetwork(time.Millisecond)}
-				defer g.end()
+				c := &cluster{t: t, network: snipestand.NewPeerNetwork(time.Millisecond)}
+				defer c.stop()
 				for n := range size {
-					g.start(n)
+					c.start(n)
 				}
 				time.Sleep(30 * time.Second)
-				g.nodes[7].Announce("Topic", "key", []byte("data"), 10*time.Second)
-				tc.do(g)
+				c.nodes[7].Announce("Topic", "key", []byte("data"), 10*time.Second)
+				tc.do(c)
 				time.Sleep(tc.wait)
-				must.Eq(t, tc.told, g.told("Topic"))
+				must.Eq(t, tc.receivers, c.nodesWith("Topic"))
 			})
 		})
 	}
 }
 
-// TestAnnounceOrder: a later announcement replaces an earlier one everywhere,
-// also when its origin was replaced and its clock went back.
+// TestAnnounceOrder checks that a later announcement replaces an earlier one on all instances, also
+// after the origin was replaced by a new process of the same name.
 func TestAnnounceOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &group{t: t, network: snipestand.NewPeerNetwork(time.Millisecond)}
-		defer g.end()
+		c := &cluster{t: t, network: snipestand.NewPeerNetwork(time.Millisecond)}
+		defer c.stop()
 		for n := range 12 {
-			g.start(n)
+			c.start(n)
 		}
 		time.Sleep(10 * time.Second)
 		for _, data := range []string{"one", "two", "three"} {
-			g.nodes[3].Announce("Topic", "key", []byte(data), time.Minute)
+			c.nodes[3].Announce("Topic", "key", []byte(data), time.Minute)
 		}
 		time.Sleep(5 * time.Second)
-		for _, n := range g.nodes {
+		for _, n := range c.nodes {
 			all := n.Digests("Topic")
 			must.Len(t, 1, all)
 			must.Eq(t, "three", string(all[0].Data))
 		}
-		g.kill(3)
+		c.kill(3)
 		time.Sleep(time.Second)
-		g.start(3)
-		g.nodes[3].Announce("Topic", "key", []byte("four"), time.Minute)
+		c.start(3)
+		c.nodes[3].Announce("Topic", "key", []byte("four"), time.Minute)
 		time.Sleep(20 * time.Second)
-		for _, n := range g.nodes {
+		for _, n := range c.nodes {
 			must.Eq(t, "four", string(n.Digests("Topic")[0].Data))
 		}
 	})
 }
 
-// TestSeedsDown: an instance list that is down for the start delays joining and
-// nothing else.
+// TestSeedsDown checks that an instance list that is unavailable while an instance starts only
+// delays joining.
 func TestSeedsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := &group{t: t, network: snipestand.NewPeerNetwork(time.Millisecond)}
-		defer g.end()
+		c := &cluster{t: t, network: snipestand.NewPeerNetwork(time.Millisecond)}
+		defer c.stop()
 		for n := range 4 {
-			g.start(n)
+			c.start(n)
 		}
 		time.Sleep(10 * time.Second)
-		g.listDown.Store(true)
-		g.start(4)
+		c.seedsDown.Store(true)
+		c.start(4)
 		time.Sleep(15 * time.Second)
-		must.Eq(t, 0, g.seenAs(4, snipemember.Alive))
-		g.listDown.Store(false)
+		must.Eq(t, 0, c.nodesReporting(4, snipemember.Alive))
+		c.seedsDown.Store(false)
 		time.Sleep(15 * time.Second)
-		must.Eq(t, 4, g.seenAs(4, snipemember.Alive))
+		must.Eq(t, 4, c.nodesReporting(4, snipemember.Alive))
 	})
 }
--- a/snipemember/merge.go
+++ b/snipemember/merge.go
@@ -7,28 +7,28 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// merge takes one member's state from news and reports whether it was new.
-// The lock is held.
-func (n *Node) merge(m Member) bool {
+// mergeMember merges a received state of one member and reports whether the state was new. The
+// lock is held.
+func (n *Node) mergeMember(m Member) bool {
 	if m.Name == n.self.Name {
 		return n.refute(m)
 	}
 	old, known := n.peers[m.Name]
-	if known && !m.newer(old.Member) {
+	if known && !m.supersedes(old.Member) {
 		return false
 	}
 	if !known && !m.Live() {
-		// Remember it, so that older news does not bring it back.
-		n.peers[m.Name] = &peer{Member: m, until: time.Now().Add(tombstone)}
+		// Keep the state, so that an older update does not make the member live again.
+		n.peers[m.Name] = &peer{Member: m, deadline: time.Now().Add(tombstoneTTL)}
 		return true
 	}
-	n.note(m, old)
+	n.setState(m, old)
 	n.enqueueMember(m.Name)
 	return true
 }
 
-// note stores a state that outweighs old, which is nil for a new member.
-func (n *Node) note(m Member, old *peer) {
+// setState stores a state that supersedes old, which is nil for a new member. The lock is held.
+func (n *Node) setState(m Member, old *peer) {
 	p := &peer{Member: m}
 	fields := snipelog.Fields{"Member": m.Name, "Incarnation": m.Incarnation}
 	switch m.Status {
@@ -37,26 +37,28 @@
 			n.Log.Log(snipelog.MemberAlive, fields)
 		}
 	case Suspect:
-		p.until = time.Now().Add(n.suspicion())
+		p.deadline = time.Now().Add(n.suspicionTimeout())
 		n.Log.Log(snipelog.MemberSuspect, fields)
 	case Dead:
-		p.until = time.Now().Add(tombstone)
+		p.deadline = time.Now().Add(tombstoneTTL)
 		n.Log.Log(snipelog.MemberDead, fields)
 	case Left:
-		p.until = time.Now().Add(tombstone)
+		p.deadline = time.Now().Add(tombstoneTTL)
 		n.Log.Log(snipelog.MemberLeft, fields)
 	}
 	n.peers[m.Name] = p
 }
 
-// suspicion is how long a suspect may take to refute. It grows with the
-// logarithm of the number of members, as the time does in which news reaches
-// all of them.
-func (n *Node) suspicion() time.Duration {
+// suspicionTimeout returns the time that a suspect has to refute. It grows with the logarithm of
+// the number of members, as does the time in which an update reaches all of them. The lock is held.
+func (n *Node) suspicionTimeout() time.Duration {
 	return suspectFactor * n.Interval * time.Duration(1+bits.Len(uint(len(n.peers)))/3)
 }
 
-// refute answers news about this instance itself. The lock is held.
+// refute handles a received state of this instance. If the state has a higher incarnation than the
+// instance, or the same one with a status other than Alive, refute raises the instance's
+// incarnation above it and reports true. An instance that has left refutes nothing. The lock is
+// held.
 func (n *Node) refute(m Member) bool {
 	same := m.Status == n.self.Status && m.Address == n.self.Address && m.Leaving == n.self.Leaving
 	if m.Incarnation < n.self.Incarnation || same && m.Incarnation == n.self.Incarnation {
@@ -71,10 +73,10 @@
 	return true
 }
 
-// suspect notes that a member could not be reached. When no relay answered
-// either, this instance may be the one that is cut off, and its suspicion is
-// given more time.
-func (n *Node) suspect(name string, alone bool) {
+// markSuspect marks a member as suspect after it could not be reached. If isolated, no relay has
+// answered either: this instance may be the one that is cut off, and the suspect gets more time to
+// refute.
+func (n *Node) markSuspect(name string, isolated bool) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	p, ok := n.peers[name]
@@ -83,32 +85,32 @@
 	}
 	m := p.Member
 	m.Status = Suspect
-	n.note(m, p)
-	if alone {
-		n.peers[name].until = time.Now().Add(isolatedFactor * n.suspicion())
+	n.setState(m, p)
+	if isolated {
+		n.peers[name].deadline = time.Now().Add(isolatedFactor * n.suspicionTimeout())
 	}
 	n.enqueueMember(name)
 }
 
-// expire turns suspects into dead ones and forgets what is over.
+// expire declares suspects dead after their deadline, and removes expired members and digests.
 func (n *Node) expire() {
 	now := time.Now()
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	for name, p := range n.peers {
 		switch {
-		case p.Status == Alive || now.Before(p.until):
+		case p.Status == Alive || now.Before(p.deadline):
 		case p.Status == Suspect:
 			m := p.Member
 			m.Status = Dead
-			n.note(m, p)
+			n.setState(m, p)
 			n.enqueueMember(name)
 		default:
 			delete(n.peers, name)
 		}
 	}
 	for k, d := range n.digests {
-		if !now.Before(d.until) {
+		if !now.Before(d.expires) {
 			delete(n.digests, k)
 			delete(n.queue, k.queueName())
 		}
--- a/snipemember/news.go
+++ b/snipemember/news.go
@@ -15,70 +15,71 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// ErrBadNews is returned for news that breaks a bound.
-var ErrBadNews = errors.New("bad news")
+// ErrInvalidUpdate is returned for an update that exceeds a bound or cannot be decoded.
+var ErrInvalidUpdate = errors.New("bad news")
 
-// queued is a change that is still to be told.
-type queued struct {
-	// sent counts how often it was told.
+// queuedUpdate is a change that is still to be sent to peers.
+type queuedUpdate struct {
+	// sent counts how often the change was sent.
 	sent int
-	// member or digest says what changed.
+	// member or digest identifies what changed.
 	member string
 	digest digestKey
 }
 
-const memberQueue = "m/"
+const memberPrefix = "m/"
 
 func (n *Node) enqueueMember(name string) {
-	n.queue[memberQueue+name] = &queued{member: name}
+	n.queue[memberPrefix+name] = &queuedUpdate{member: name}
 }
 
 func (n *Node) enqueueDigest(k digestKey) {
-	n.queue[k.queueName()] = &queued{digest: k}
+	n.queue[k.queueName()] = &queuedUpdate{digest: k}
 }
 
-// retransmits is how often one change is told by each instance that learns it.
-// The lock is held.
-func (n *Node) retransmits() int {
-	return min(maxRetransmit, 1+bits.Len(uint(len(n.peers))))
+// retransmitLimit returns how often each instance that receives a change sends it on. The lock is
+// held.
+func (n *Node) retransmitLimit() int {
+	return min(maxRetransmits, 1+bits.Len(uint(len(n.peers))))
 }
 
-// fresh reports whether a change waits that has not been told yet.
-func (n *Node) fresh() bool {
+// hasFreshUpdates reports whether a queued change has been sent fewer than pushFanout times, or
+// fewer than retransmitLimit times if that is less.
+func (n *Node) hasFreshUpdates() bool {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	for _, q := range n.queue {
-		if q.sent < min(pushFanout, n.retransmits()) {
+		if q.sent < min(pushFanout, n.retransmitLimit()) {
 			return true
 		}
 	}
 	return false
 }
 
-// parcel is news with the names of its changes in the queue.
-type parcel struct {
-	news  *snipeproto.News
-	names []string
+// updateBatch is a set of changes with their names in the queue.
+type updateBatch struct {
+	updates *snipeproto.News
+	names   []string
 }
 
-// pack takes the changes told least so far, up to maxNews bytes, without those
-// that the other side has just told.
-func (n *Node) pack(told *snipeproto.News) parcel {
-	skip := stampsOf(told)
+// nextBatch returns the changes that were sent least often so far, up to maxUpdateBytes, without
+// those that the peer has just sent itself.
+func (n *Node) nextBatch(received *snipeproto.News) updateBatch {
+	skip := versionsOf(received)
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	names := make([]string, 0, len(n.queue))
 	for name, q := range n.queue {
-		if s, ok := skip[name]; !ok || s != n.stamp(q) {
+		if s, ok := skip[name]; !ok || s != n.queuedVersion(q) {
 			names = append(names, name)
 		}
 	}
 	slices.SortFunc(names, func(a, b string) int {
 		return cmp.Or(cmp.Compare(n.queue[a].sent, n.queue[b].sent), strings.Compare(a, b))
 	})
-	out, size := parcel{news: &snipeproto.News{}}, 0
+	out, size := updateBatch{updates: &snipeproto.News{}}, 0
 	for _, name := range names {
-		added := n.appendQueued(out.news, n.queue[name], maxNews-size)
+		added := n.appendQueued(out.updates, n.queue[name], maxUpdateBytes-size)
 		if added == 0 {
 			continue
 		}
@@ -88,64 +89,63 @@
 	return out
 }
 
-// delivered counts the changes of a parcel as told. What did not arrive is not
-// counted: an instance that is cut off for a while must not use up its news.
-func (n *Node) delivered(p parcel) {
+// markSent counts the changes of a batch as sent. Changes that did not arrive are not counted: an
+// instance that is cut off for a while must not use up its retransmissions.
+func (n *Node) markSent(b updateBatch) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	for _, name := range p.names {
+	for _, name := range b.names {
 		q, ok := n.queue[name]
 		if !ok {
 			continue
 		}
-		if q.sent++; q.sent >= n.retransmits() {
+		if q.sent++; q.sent >= n.retransmitLimit() {
 			delete(n.queue, name)
 		}
 	}
 }
 
-// stamp tells one version of a change from another.
-type stamp struct {
+// updateVersion distinguishes the versions of a change.
+type updateVersion struct {
 	version uint64
 	status  Status
 }
 
-// stampsOf returns the versions of the changes in news by their names in the
-// queue.
-func stampsOf(news *snipeproto.News) map[string]stamp {
-	stamps := map[string]stamp{}
-	for _, m := range news.GetMembers() {
-		stamps[memberQueue+m.GetName()] = stamp{m.GetIncarnation(), Status(m.GetStatus())} //nolint:gosec // only compared
+// versionsOf returns the versions of the changes in updates by their names in the queue.
+func versionsOf(updates *snipeproto.News) map[string]updateVersion {
+	versions := map[string]updateVersion{}
+	for _, m := range updates.GetMembers() {
+		versions[memberPrefix+m.GetName()] = updateVersion{m.GetIncarnation(), Status(m.GetStatus())} //nolint:gosec // only compared
 	}
-	for _, d := range news.GetDigests() {
-		stamps[digestKey{d.GetOrigin(), d.GetTopic(), d.GetKey()}.queueName()] = stamp{version: d.GetVersion()}
+	for _, d := range updates.GetDigests() {
+		versions[digestKey{d.GetOrigin(), d.GetTopic(), d.GetKey()}.queueName()] = updateVersion{version: d.GetVersion()}
 	}
-	return stamps
+	return versions
 }
 
-// stamp returns the version of a queued change. The lock is held.
-func (n *Node) stamp(q *queued) stamp {
+// queuedVersion returns the version of a queued change. The lock is held.
+func (n *Node) queuedVersion(q *queuedUpdate) updateVersion {
 	if q.member == n.self.Name {
-		return stamp{n.self.Incarnation, n.self.Status}
+		return updateVersion{n.self.Incarnation, n.self.Status}
 	}
 	if p, ok := n.peers[q.member]; ok {
-		return stamp{p.Incarnation, p.Status}
+		return updateVersion{p.Incarnation, p.Status}
 	}
 	if d, ok := n.digests[q.digest]; ok {
-		return stamp{version: d.Version}
+		return updateVersion{version: d.Version}
 	}
-	return stamp{}
+	return updateVersion{}
 }
 
-// appendQueued appends a change that fits into the bytes left and returns its
-// size, or 0.
-func (n *Node) appendQueued(out *snipeproto.News, q *queued, left int) int {
+// appendQueued appends a change to out if it fits into left bytes. It returns the change's size, or
+// 0 if nothing was appended. The lock is held.
+func (n *Node) appendQueued(out *snipeproto.News, q *queuedUpdate, left int) int {
 	if q.member != "" {
 		m := n.self
 		if p, ok := n.peers[q.member]; ok {
 			m = p.Member
 		}
-		state := memberState(m)
+		state := encodeMember(m)
 		size := proto.Size(state)
 		if size > left {
 			return 0
@@ -157,7 +157,7 @@
 	if !ok {
 		return 0
 	}
-	state := digestState(d)
+	state := encodeDigest(d)
 	size := proto.Size(state)
 	if size > left {
 		return 0
@@ -166,29 +166,29 @@
 	return size
 }
 
-// learn takes the news of a peer and wakes the pusher when some was new.
-func (n *Node) learn(news *snipeproto.News) {
-	anything := false
+// applyUpdates merges the updates of a peer and wakes the pusher when one was new.
+func (n *Node) applyUpdates(updates *snipeproto.News) {
+	changed := false
 	n.lock.Lock()
-	for _, state := range news.GetMembers() {
-		if m, err := memberOf(state); err == nil {
-			anything = n.merge(m) || anything
+	for _, state := range updates.GetMembers() {
+		if m, err := decodeMember(state); err == nil {
+			changed = n.mergeMember(m) || changed
 		}
 	}
-	for _, state := range news.GetDigests() {
-		if d, err := digestOf(state); err == nil {
-			anything = n.mergeDigest(d) || anything
+	for _, state := range updates.GetDigests() {
+		if d, err := decodeDigest(state); err == nil {
+			changed = n.mergeDigest(d) || changed
 		}
 	}
-	n.contact = time.Now()
+	n.lastContact = time.Now()
 	n.lock.Unlock()
-	if anything {
-		n.signal()
+	if changed {
+		n.wakePusher()
 	}
 }
 
-func memberState(m Member) *snipeproto.MemberState {
-	// An AddrPort always has a binary form.
+func encodeMember(m Member) *snipeproto.MemberState {
+	// Marshaling an AddrPort cannot fail.
 	address, _ := m.Address.MarshalBinary()
 	return &snipeproto.MemberState{
 		Name: m.Name, Incarnation: m.Incarnation, Status: snipeproto.MemberStatus(m.Status),
@@ -196,51 +196,51 @@
 	}
 }
 
-func memberOf(s *snipeproto.MemberState) (Member, error) {
+func decodeMember(s *snipeproto.MemberState) (Member, error) {
 	m := Member{
 		Name: s.GetName(), Incarnation: s.GetIncarnation(), Domain: s.GetDomain(), Leaving: s.GetLeaving(),
 	}
 	if err := snipecall.CheckName(m.Name); err != nil {
-		return m, errors.Wrap(ErrBadNews, err.Error())
+		return m, errors.Wrap(ErrInvalidUpdate, err.Error())
 	}
-	if s.GetStatus() < 0 || s.GetStatus() >= snipeproto.MemberStatus(statuses) || len(m.Domain) > MaxName {
-		return m, errors.Wrapf(ErrBadNews, "member %s", m.Name)
+	if s.GetStatus() < 0 || s.GetStatus() >= snipeproto.MemberStatus(statusCount) || len(m.Domain) > MaxName {
+		return m, errors.Wrapf(ErrInvalidUpdate, "member %s", m.Name)
 	}
 	m.Status = Status(s.GetStatus()) //nolint:gosec // checked above
 	var err error
-	m.Address, err = addressOf(s.GetAddress())
+	m.Address, err = decodeAddress(s.GetAddress())
 	return m, err
 }
 
-func addressOf(data []byte) (netip.AddrPort, error) {
+func decodeAddress(data []byte) (netip.AddrPort, error) {
 	var a netip.AddrPort
 	if err := a.UnmarshalBinary(data); err != nil || !a.IsValid() {
-		return a, errors.Wrap(ErrBadNews, "address")
+		return a, errors.Wrap(ErrInvalidUpdate, "address")
 	}
 	return a, nil
 }
 
-func digestState(d *digest) *snipeproto.DigestState {
-	left := min(max(time.Until(d.until), 0), MaxTTL)
+func encodeDigest(d *digest) *snipeproto.DigestState {
+	left := min(max(time.Until(d.expires), 0), MaxTTL)
 	return &snipeproto.DigestState{
 		Origin: d.Origin, Topic: d.Topic, Key: d.Key, Version: d.Version, Data: d.Data,
 		TimeLeftMilliseconds: uint32(left.Milliseconds()), //nolint:gosec // at most MaxTTL
 	}
 }
 
-func digestOf(s *snipeproto.DigestState) (*digest, error) {
+func decodeDigest(s *snipeproto.DigestState) (*digest, error) {
 	left := time.Duration(s.GetTimeLeftMilliseconds()) * time.Millisecond
 	if left <= 0 || left > MaxTTL || len(s.GetData()) > MaxData ||
 		len(s.GetTopic()) > MaxName || len(s.GetKey()) > MaxName {
-		return nil, errors.Wrapf(ErrBadNews, "digest of %s", s.GetOrigin())
+		return nil, errors.Wrapf(ErrInvalidUpdate, "digest of %s", s.GetOrigin())
 	}
 	if err := snipecall.CheckName(s.GetOrigin()); err != nil {
-		return nil, errors.Wrap(ErrBadNews, err.Error())
+		return nil, errors.Wrap(ErrInvalidUpdate, err.Error())
 	}
 	return &digest{
 		Digest: Digest{
 			Origin: s.GetOrigin(), Topic: s.GetTopic(), Key: s.GetKey(), Version: s.GetVersion(), Data: s.GetData(),
 		},
-		until: time.Now().Add(left),
+		expires: time.Now().Add(left),
 	}, nil
 }
--- a/snipemember/run.go
+++ b/snipemember/run.go
@@ -19,8 +19,9 @@
 	defer wait.Wait()
 	n.readSeeds(ctx)
 	n.join(ctx)
-	// Instances that started together must not do the rare work together.
-	phase := n.Random(seedsEvery)
+	// Instances that started together start at different rounds, so that they do not read the
+	// seeds, reconnect and sync at the same time.
+	phase := n.Random(seedsRounds)
 	t := time.NewTicker(n.Interval)
 	defer t.Stop()
 	for round := phase; ; round++ {
@@ -33,38 +34,38 @@
 	}
 }
 
-// step does what is due in one interval.
+// step does the work that is due in one interval.
 func (n *Node) step(ctx context.Context, round int) {
 	n.expire()
 	n.probeNext(ctx)
-	if round%seedsEvery == 0 || len(n.some(1, "")) == 0 && round%reconnectEvery == 0 {
+	if round%seedsRounds == 0 || len(n.randomPeers(1, "")) == 0 && round%reconnectRounds == 0 {
 		n.readSeeds(ctx)
 	}
-	if round%reconnectEvery == 0 {
+	if round%reconnectRounds == 0 {
 		n.reconnect(ctx)
 	}
-	if round%syncEvery == 0 {
-		for _, m := range n.some(1, "") {
+	if round%syncRounds == 0 {
+		for _, m := range n.randomPeers(1, "") {
 			n.sync(ctx, m.Address, false)
 		}
 	}
 }
 
-// runPushes tells new changes at once, within a budget of pushRefill pushes an interval
-// and a burst.
+// runPushes pushes new changes at once, within a budget of pushRefillRate pushes an interval and a
+// burst of pushBurst.
 func (n *Node) runPushes(ctx context.Context) {
-	budget, filled := float64(pushBurst), time.Now()
+	budget, refilled := float64(pushBurst), time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.wake:
+		case <-n.pushWake:
 		}
-		for n.fresh() && ctx.Err() == nil {
-			snipetime.Sleep(ctx, pushGather)
+		for n.hasFreshUpdates() && ctx.Err() == nil {
+			snipetime.Sleep(ctx, pushDelay)
 			now := time.Now()
-			budget = min(pushBurst, budget+pushRefill*now.Sub(filled).Seconds()/n.Interval.Seconds())
-			filled = now
+			budget = min(pushBurst, budget+pushRefillRate*now.Sub(refilled).Seconds()/n.Interval.Seconds())
+			refilled = now
 			if budget < 1 {
 				snipetime.Sleep(ctx, n.Interval/2)
 				continue
@@ -78,9 +79,9 @@
 	}
 }
 
-// push tells news to random peers and returns to how many.
+// push probes up to count random peers to send them updates, and returns the number of peers.
 func (n *Node) push(ctx context.Context, count int) int {
-	peers := n.some(count, "")
+	peers := n.randomPeers(count, "")
 	var wait sync.WaitGroup
 	for _, m := range peers {
 		wait.Go(func() { n.probe(ctx, m.Name, m.Address) })
@@ -94,68 +95,68 @@
 	return snipeproto.NewMemberProtobufClient("http://"+address.String(), n.HTTP)
 }
 
-// probe asks a peer whether it lives; false when it did not answer in time.
+// probe sends a probe with updates to a peer. It reports whether the peer answered in time.
 func (n *Node) probe(ctx context.Context, name string, address netip.AddrPort) bool {
 	bounded, cancel := context.WithTimeout(ctx, n.Timeout)
 	defer cancel()
-	p := n.pack(nil)
-	out, err := n.client(address).Probe(bounded, &snipeproto.ProbeRequest{Target: name, News: p.news})
+	b := n.nextBatch(nil)
+	out, err := n.client(address).Probe(bounded, &snipeproto.ProbeRequest{Target: name, News: b.updates})
 	if err != nil {
 		return false
 	}
-	n.delivered(p)
-	n.learn(out.GetNews())
+	n.markSent(b)
+	n.applyUpdates(out.GetNews())
 	return true
 }
 
-// probeNext probes the next peer of the shuffled order, by way of others when
-// it does not answer, and suspects it when none reaches it.
+// probeNext probes the next peer of the shuffled order, through relays when the peer does not
+// answer, and suspects the peer when no relay reaches it.
 func (n *Node) probeNext(ctx context.Context) {
-	m, ok := n.next()
+	m, ok := n.nextPeer()
 	if !ok || n.probe(ctx, m.Name, m.Address) || ctx.Err() != nil {
 		return
 	}
-	reached, answered := n.relay(ctx, m)
+	reached, answered := n.probeByRelays(ctx, m)
 	if !reached {
-		n.suspect(m.Name, answered == 0)
+		n.markSuspect(m.Name, answered == 0)
 	}
 }
 
-// next returns the next live peer of the order, which is shuffled anew when it
-// has been gone through: every peer is probed within two rounds of the order.
-func (n *Node) next() (Member, bool) {
+// nextPeer returns the next live peer of the order, which is shuffled again when it is exhausted:
+// every peer is probed within two rounds of the order.
+func (n *Node) nextPeer() (Member, bool) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	for range 2 {
-		for len(n.order) > 0 {
-			name := n.order[0]
-			n.order = n.order[1:]
+		for len(n.probeOrder) > 0 {
+			name := n.probeOrder[0]
+			n.probeOrder = n.probeOrder[1:]
 			if p, ok := n.peers[name]; ok && p.Live() {
 				return p.Member, true
 			}
 		}
-		for _, m := range n.live() {
-			n.order = append(n.order, m.Name)
+		for _, m := range n.livePeers() {
+			n.probeOrder = append(n.probeOrder, m.Name)
 		}
 	}
 	return Member{}, false
 }
 
-// relay asks a few others to probe m. It returns whether one reached it, and
-// how many answered at all.
-func (n *Node) relay(ctx context.Context, m Member) (reached bool, answered int) {
+// probeByRelays asks a few other peers to probe m. It returns whether one of them reached m, and
+// how many of them answered at all.
+func (n *Node) probeByRelays(ctx context.Context, m Member) (reached bool, answered int) {
 	bounded, cancel := context.WithTimeout(ctx, 2*n.Timeout)
 	defer cancel()
 	address, _ := m.Address.MarshalBinary()
 	var lock sync.Mutex // guards reached and answered
 	var wait sync.WaitGroup
-	for _, helper := range n.some(relays, m.Name) {
+	for _, relay := range n.randomPeers(relayCount, m.Name) {
 		wait.Go(func() {
-			out, err := n.client(helper.Address).Relay(bounded, &snipeproto.RelayRequest{Target: m.Name, Address: address})
+			out, err := n.client(relay.Address).Relay(bounded, &snipeproto.RelayRequest{Target: m.Name, Address: address})
 			if err != nil {
 				return
 			}
-			n.seen()
+			n.recordContact()
 			lock.Lock()
 			defer lock.Unlock()
 			answered++
@@ -166,28 +167,28 @@
 	return reached, answered
 }
 
-// reconnect tries one instance that is thought dead, or is listed and unknown:
-// after a cut between groups nobody else would bring them together again.
+// reconnect syncs with one instance that is considered dead, or is listed by the platform and
+// unknown here: after a partition nothing else would connect the groups again.
 func (n *Node) reconnect(ctx context.Context) {
 	n.lock.Lock()
-	var lost []Seed
+	var candidates []Seed
 	for _, s := range n.seeds {
 		if _, known := n.peers[s.Name]; !known && s.Name != n.self.Name {
-			lost = append(lost, s)
+			candidates = append(candidates, s)
 		}
 	}
 	for _, p := range n.peers {
 		if p.Status == Dead {
-			lost = append(lost, Seed{Name: p.Name, Address: p.Address})
+			candidates = append(candidates, Seed{Name: p.Name, Address: p.Address})
 		}
 	}
 	n.lock.Unlock()
-	if len(lost) > 0 {
-		n.sync(ctx, lost[n.Random(len(lost))].Address, true)
+	if len(candidates) > 0 {
+		n.sync(ctx, candidates[n.Random(len(candidates))].Address, true)
 	}
 }
 
-// readSeeds reads the platform's list; when that fails the last one stays.
+// readSeeds reads the platform's list. When that fails the previous list stays in use.
 func (n *Node) readSeeds(ctx context.Context) {
 	seeds, err := n.Seeds(ctx)
 	if err != nil {
@@ -196,10 +197,10 @@
 	}
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	n.seeds, n.listed = seeds, true
+	n.seeds, n.seedsRead = seeds, true
 }
 
-// join takes all that a few listed instances know.
+// join fetches all that a few listed instances know.
 func (n *Node) join(ctx context.Context) {
 	n.lock.Lock()
 	var others []Seed
@@ -210,14 +211,14 @@
 	}
 	n.lock.Unlock()
 	n.shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	done := 0
+	synced := 0
 	for _, s := range others {
-		if done == joinSeeds || ctx.Err() != nil {
+		if synced == maxJoinSyncs || ctx.Err() != nil {
 			break
 		}
 		if n.sync(ctx, s.Address, true) {
-			done++
+			synced++
 		}
 	}
-	n.signal()
+	n.wakePusher()
 }
--- a/snipemember/snipemember.go
+++ b/snipemember/snipemember.go
@@ -1,27 +1,25 @@
-// Package snipemember finds out which instances live and spreads small
-// announcements among them.
+// Package snipemember detects which instances are live and distributes small announcements among
+// them.
 //
-// Design. No instance talks to all others. Each probes one other instance in
-// an interval, in a shuffled order; when the probe fails it asks a few others
-// to probe the same target (so that a cut between two instances alone condemns
-// nobody), and only then suspects it. A suspect that does not refute in time
-// is dead. What changes rides on probes and their answers; new changes are
-// also pushed at once to a few random instances, as far as a budget of pushes
-// allows, since the traffic of an instance must not grow with the number of
-// instances. What was missed is found by comparing sums with a random instance.
+// Design. No instance contacts all others at once. In each interval each instance probes one
+// other instance, in a shuffled order. When the probe fails, it asks a few other instances to probe
+// the same target, so that a broken link between two instances alone makes no instance suspect, and
+// only then suspects the target. A suspect that does not refute in time is dead. Changes are sent
+// with probes and their answers. New changes are also pushed at once to a few random instances, as
+// far as a budget of pushes allows, since the traffic of an instance must not grow with the number
+// of instances. Missed changes are found by comparing sums with a random instance.
 //
 // Invariants:
 //
-//   - A member's state is ordered by (Incarnation, Status); a lower one never
-//     replaces a higher one. Merging is therefore commutative, and the order
-//     in which news arrives does not matter.
-//   - Only an instance itself raises its incarnation: to refute a suspicion,
-//     or to say that it is leaving.
-//   - A digest is ordered by its origin's version; a lower one never replaces
-//     a higher one. Digests are bounded in number and in size and expire.
+//   - A member's state is ordered by (Incarnation, Status); a lower one never replaces a higher
+//     one. Merging is therefore commutative, and the order in which updates arrive does not matter.
+//   - Only an instance itself raises its incarnation: to refute a suspicion, or to announce that it
+//     is leaving.
+//   - A digest is ordered by its origin's version; a lower one never replaces a higher one. Digests
+//     are bounded in number and in size, and they expire.
 //
-// Membership is a hint. Nothing that must be exclusive rests on it; that is
-// the duty of package snipelease.
+// Membership is a hint. Nothing that must be exclusive may depend on it; package snipelease
+// provides exclusive ownership.
 package snipemember
 
 import (
@@ -37,24 +35,23 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// Status is what is known of a member.
+// Status is the state of a member as known here.
 type Status uint8
 
-// The statuses, in the order in which they outweigh each other at one
-// incarnation.
+// The statuses, in ascending order: at one incarnation a later status supersedes an earlier one.
 const (
 	Alive Status = iota
 	Suspect
 	Dead
 	Left
-	statuses
+	statusCount
 )
 
-var statusNames = [statuses]string{"Alive", "Suspect", "Dead", "Left"}
+var statusNames = [statusCount]string{"Alive", "Suspect", "Dead", "Left"}
 
 // String returns the status's name.
 func (s Status) String() string {
-	if s >= statuses {
+	if s >= statusCount {
 		return "Unknown"
 	}
 	return statusNames[s]
@@ -62,31 +59,31 @@
 
 // Member is one instance as known here.
 type Member struct {
-	// Name is the instance's name, Address its peers' address and Domain its
+	// Name is the instance's name, Address its address for requests from peers, and Domain its
 	// failure domain.
 	Name    string
 	Address netip.AddrPort
 	Domain  string
 	// Incarnation grows with each start and each refutation.
 	Incarnation uint64
-	// Status is what is known of it.
+	// Status is the state of the instance.
 	Status Status
-	// Leaving tells that a planned stop has begun.
+	// Leaving reports that a planned stop has begun.
 	Leaving bool
 }
 
-// Live reports whether the member is not known to be gone.
+// Live reports whether the member is neither dead nor has left. A suspect is live.
 func (m Member) Live() bool { return m.Status == Alive || m.Status == Suspect }
 
-// newer reports whether m outweighs old.
-func (m Member) newer(old Member) bool {
+// supersedes reports whether m replaces old.
+func (m Member) supersedes(old Member) bool {
 	if m.Incarnation != old.Incarnation {
 		return m.Incarnation > old.Incarnation
 	}
 	return m.Status > old.Status
 }
 
-// Seed is an instance named by the platform; it may be gone already.
+// Seed is an instance listed by the platform; it may no longer exist.
 type Seed struct {
 	Name    string
 	Address netip.AddrPort
@@ -99,36 +96,36 @@
 	// DefaultTimeout bounds one request.
 	DefaultTimeout = 500 * time.Millisecond
 
-	relays         = 3
-	pushFanout     = 4
-	pushBurst      = 12
-	pushRefill     = 0.25
-	pushGather     = 20 * time.Millisecond
-	maxNews        = 400
-	maxRetransmit  = 8
-	suspectFactor  = 3
-	isolatedFactor = 3
-	tombstone      = 10 * time.Minute
-	syncEvery      = 5
-	reconnectEvery = 5
-	seedsEvery     = 60
-	joinSeeds      = 3
+	relayCount      = 3
+	pushFanout      = 4
+	pushBurst       = 12
+	pushRefillRate  = 0.25                  // pushes per interval
+	pushDelay       = 20 * time.Millisecond // collects further changes before a push
+	maxUpdateBytes  = 400                   // bytes of updates in one message
+	maxRetransmits  = 8
+	suspectFactor   = 3 // multiplies Interval in suspicionTimeout
+	isolatedFactor  = 3 // multiplies suspicionTimeout
+	tombstoneTTL    = 10 * time.Minute
+	syncRounds      = 5 // a round lasts one interval
+	reconnectRounds = 5
+	seedsRounds     = 60
+	maxJoinSyncs    = 3
 )
 
-// peer is a member with what this instance noted about it.
+// peer is a member and the time at which its status changes by itself.
 type peer struct {
 	Member
-	// until is when a suspect becomes dead, or a dead one is forgotten.
-	until time.Time
+	// deadline is when a suspect becomes dead, or a member that is dead or has left is forgotten.
+	deadline time.Time
 }
 
-// Node is this instance's part of the membership. Its exported fields are set
-// before Run. Its methods are safe for concurrent use.
+// Node is this instance's part of the membership. Its exported fields are set before Run. Its
+// methods are safe for concurrent use.
 type Node struct {
-	// Self is this instance; Run sets its incarnation from the clock.
+	// Self is this instance; the node sets its incarnation from the clock.
 	Self Member
-	// HTTP sends requests to peers. It must open a new connection for each
-	// request: an old one may have gone silent and proves nothing.
+	// HTTP sends requests to peers. It must open a new connection for each request: an existing
+	// connection may have failed silently, so its state proves nothing about the peer.
 	HTTP snipeproto.HTTPClient
 	// Seeds returns the instances that the platform lists.
 	Seeds func(ctx context.Context) ([]Seed, error)
@@ -136,53 +133,53 @@
 	Interval, Timeout time.Duration
 	// Random returns a number from 0 to n-1.
 	Random func(n int) int
-	// Log takes the node's events.
+	// Log receives the node's events.
 	Log *snipelog.Logger
 
-	started sync.Once
-	wake    chan struct{}
+	started  sync.Once
+	pushWake chan struct{}
 
-	lock    sync.Mutex // guards the fields below; never held during a request
-	self    Member
-	peers   map[string]*peer
-	digests map[digestKey]*digest
-	version uint64
-	queue   map[string]*queued
-	order   []string
-	contact time.Time
-	seeds   []Seed
-	listed  bool
+	lock        sync.Mutex // guards the fields below; never held during a request
+	self        Member
+	peers       map[string]*peer
+	digests     map[digestKey]*digest
+	lastVersion uint64 // the version of this instance's last digest
+	queue       map[string]*queuedUpdate
+	probeOrder  []string
+	lastContact time.Time
+	seeds       []Seed
+	seedsRead   bool
 }
 
-// start makes the node usable before Run.
+// start initializes the node on its first call, so that its methods can be called before Run.
 func (n *Node) start() {
 	n.started.Do(func() {
-		n.wake = make(chan struct{}, 1)
+		n.pushWake = make(chan struct{}, 1)
 		n.lock.Lock()
 		defer n.lock.Unlock()
 		n.self = n.Self
 		n.self.Status = Alive
 		n.self.Incarnation = uint64(time.Now().UnixMilli())
-		n.version = n.self.Incarnation << versionShift
-		n.contact = time.Now()
+		n.lastVersion = n.self.Incarnation << versionShift
+		n.lastContact = time.Now()
 		n.peers = map[string]*peer{}
 		n.digests = map[digestKey]*digest{}
-		n.queue = map[string]*queued{}
+		n.queue = map[string]*queuedUpdate{}
 		n.enqueueMember(n.self.Name)
 	})
 }
 
-// Handler returns the handler of peers' requests; the caller checks the secret.
+// Handler returns the handler of peers' requests; the caller checks the peer secret.
 func (n *Node) Handler() http.Handler {
 	n.start()
 	return snipeproto.NewMemberServer(&server{node: n})
 }
 
-// PathPrefix is where the handler is mounted.
+// PathPrefix is the path at which Handler is mounted.
 const PathPrefix = snipeproto.MemberPathPrefix
 
-// Members returns all known members by name, this instance among them,
-// including those that are dead or have left and are not yet forgotten.
+// Members returns all known members sorted by name. They include this instance, and members that
+// are dead or have left and are not yet forgotten.
 func (n *Node) Members() []Member {
 	n.start()
 	n.lock.Lock()
@@ -196,7 +193,7 @@
 	return all
 }
 
-// Member returns one member.
+// Member returns the member with the given name, and whether it is known.
 func (n *Node) Member(name string) (Member, bool) {
 	n.start()
 	n.lock.Lock()
@@ -211,7 +208,8 @@
 	return p.Member, true
 }
 
-// Joined reports whether this instance has met another one, or knows of none.
+// Joined reports whether this instance knows another member, or has read the platform's list and
+// found no other instance in it.
 func (n *Node) Joined() bool {
 	n.start()
 	n.lock.Lock()
@@ -224,19 +222,19 @@
 			return false
 		}
 	}
-	return n.listed
+	return n.seedsRead
 }
 
-// LastContact returns when another instance last answered or asked. An
-// instance without any peer has no contact after its start.
+// LastContact returns when another instance last answered or sent a request. An instance without
+// any peer has no contact after its start.
 func (n *Node) LastContact() time.Time {
 	n.start()
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	return n.contact
+	return n.lastContact
 }
 
-// Leave tells the others that a planned stop has begun.
+// Leave announces that a planned stop has begun.
 func (n *Node) Leave() {
 	n.start()
 	n.lock.Lock()
@@ -244,11 +242,10 @@
 	n.self.Incarnation++
 	n.enqueueMember(n.self.Name)
 	n.lock.Unlock()
-	n.signal()
+	n.wakePusher()
 }
 
-// Gone tells the others that this instance ends now; it waits for one round of
-// pushes.
+// Gone announces that this instance ends now. It waits for one round of pushes.
 func (n *Node) Gone(ctx context.Context) {
 	n.start()
 	n.lock.Lock()
@@ -258,16 +255,16 @@
 	n.push(ctx, pushFanout)
 }
 
-// signal wakes the pusher.
-func (n *Node) signal() {
+// wakePusher wakes the goroutine that pushes changes.
+func (n *Node) wakePusher() {
 	select {
-	case n.wake <- struct{}{}:
+	case n.pushWake <- struct{}{}:
 	default:
 	}
 }
 
-// live returns the live peers, in a random order. The lock is held.
-func (n *Node) live() []Member {
+// livePeers returns the live peers in a random order. The lock is held.
+func (n *Node) livePeers() []Member {
 	var all []Member
 	for _, p := range n.peers {
 		if p.Live() {
@@ -285,12 +282,12 @@
 	}
 }
 
-// some returns up to count random live peers other than the one named.
-func (n *Node) some(count int, except string) []Member {
+// randomPeers returns up to count random live peers other than the one named except.
+func (n *Node) randomPeers(count int, except string) []Member {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	var chosen []Member
-	for _, m := range n.live() {
+	for _, m := range n.livePeers() {
 		if m.Name != except && len(chosen) < count {
 			chosen = append(chosen, m)
 		}
@@ -298,9 +295,9 @@
 	return chosen
 }
 
-// seen notes that a peer answered or asked.
-func (n *Node) seen() {
+// recordContact records that a peer answered or sent a request.
+func (n *Node) recordContact() {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	n.contact = time.Now()
+	n.lastContact = time.Now()
 }
--- a/snipemember/sync.go
+++ b/snipemember/sync.go
@@ -12,7 +12,7 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// buckets is into how many parts the known is split for comparison.
+// buckets is the number of parts into which the known states are split for comparison.
 const buckets = 32
 
 func bucketOf(hash uint64) uint32 { return uint32(hash % buckets) }
@@ -27,8 +27,8 @@
 		sniperoute.Hash(d.Origin, d.Topic, d.Key, strconv.FormatUint(d.Version, 10))
 }
 
-// sums returns one sum for each bucket of what is known here.
-func (n *Node) sums() []uint64 {
+// bucketSums returns one sum for each bucket: the XOR of the hashes of its known states.
+func (n *Node) bucketSums() []uint64 {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	sums := make([]uint64, buckets)
@@ -43,56 +43,57 @@
 	return sums
 }
 
-// contents returns all that is known in some buckets.
-func (n *Node) contents(of []uint32) *snipeproto.News {
+// bucketContents returns all known states in the wanted buckets.
+func (n *Node) bucketContents(wanted []uint32) *snipeproto.News {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	out := &snipeproto.News{}
-	if name, _ := memberHashes(n.self); slices.Contains(of, bucketOf(name)) {
-		out.Members = append(out.Members, memberState(n.self))
+	if name, _ := memberHashes(n.self); slices.Contains(wanted, bucketOf(name)) {
+		out.Members = append(out.Members, encodeMember(n.self))
 	}
 	for _, p := range n.peers {
-		if name, _ := memberHashes(p.Member); slices.Contains(of, bucketOf(name)) {
-			out.Members = append(out.Members, memberState(p.Member))
+		if name, _ := memberHashes(p.Member); slices.Contains(wanted, bucketOf(name)) {
+			out.Members = append(out.Members, encodeMember(p.Member))
 		}
 	}
 	for _, d := range n.digests {
-		if name, _ := digestHashes(d.Digest); slices.Contains(of, bucketOf(name)) {
-			out.Digests = append(out.Digests, digestState(d))
+		if name, _ := digestHashes(d.Digest); slices.Contains(wanted, bucketOf(name)) {
+			out.Digests = append(out.Digests, encodeDigest(d))
 		}
 	}
 	return out
 }
 
-// sync compares all that is known with a peer; false when it did not answer.
-// With introduce the peer is also told who asks, as it may not know.
+// sync compares the known states with those of a peer by bucket sums, exchanges the buckets that
+// differ, and reports whether the peer answered. With introduce it sends only this instance's own
+// state, as the peer may not know this instance.
 func (n *Node) sync(ctx context.Context, address netip.AddrPort, introduce bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, 2*n.Timeout)
 	defer cancel()
-	in := &snipeproto.SyncRequest{Sums: n.sums()}
+	in := &snipeproto.SyncRequest{Sums: n.bucketSums()}
 	if introduce {
-		in.News = n.introduction()
+		in.News = n.selfUpdate()
 	}
 	out, err := n.client(address).Sync(bounded, in)
 	if err != nil {
 		return false
 	}
-	n.learn(out.GetNews())
+	n.applyUpdates(out.GetNews())
 	if introduce || len(out.GetDiffer()) == 0 {
 		return true
 	}
-	back := &snipeproto.SyncRequest{News: n.contents(out.GetDiffer())}
-	if _, err = n.client(address).Sync(bounded, back); err != nil {
-		// The other side asks in its turn.
+	reply := &snipeproto.SyncRequest{News: n.bucketContents(out.GetDiffer())}
+	if _, err = n.client(address).Sync(bounded, reply); err != nil {
+		// The peer fetches the missing states with its own sync requests.
 		return true
 	}
 	return true
 }
 
-func (n *Node) introduction() *snipeproto.News {
+func (n *Node) selfUpdate() *snipeproto.News {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	return &snipeproto.News{Members: []*snipeproto.MemberState{memberState(n.self)}}
+	return &snipeproto.News{Members: []*snipeproto.MemberState{encodeMember(n.self)}}
 }
 
 // server serves the requests of peers.
@@ -103,35 +104,35 @@
 	if in.GetTarget() != s.node.Self.Name {
 		return nil, twirp.NotFound.Errorf("this is %s", s.node.Self.Name)
 	}
-	s.node.learn(in.GetNews())
-	p := s.node.pack(in.GetNews())
-	s.node.delivered(p)
-	return &snipeproto.ProbeResponse{News: p.news}, nil
+	s.node.applyUpdates(in.GetNews())
+	b := s.node.nextBatch(in.GetNews())
+	s.node.markSent(b)
+	return &snipeproto.ProbeResponse{News: b.updates}, nil
 }
 
 // Relay implements snipeproto.Member.
 func (s *server) Relay(ctx context.Context, in *snipeproto.RelayRequest) (*snipeproto.RelayResponse, error) {
-	address, err := addressOf(in.GetAddress())
+	address, err := decodeAddress(in.GetAddress())
 	if err != nil {
 		return nil, twirp.InvalidArgument.Error(err.Error())
 	}
-	s.node.seen()
+	s.node.recordContact()
 	reached := s.node.probe(ctx, in.GetTarget(), address)
 	return &snipeproto.RelayResponse{Reached: reached}, nil
 }
 
 // Sync implements snipeproto.Member.
 func (s *server) Sync(_ context.Context, in *snipeproto.SyncRequest) (*snipeproto.SyncResponse, error) {
-	s.node.learn(in.GetNews())
+	s.node.applyUpdates(in.GetNews())
 	out := &snipeproto.SyncResponse{}
 	if len(in.GetSums()) != buckets {
 		return out, nil
 	}
-	for n, sum := range s.node.sums() {
+	for n, sum := range s.node.bucketSums() {
 		if sum != in.GetSums()[n] {
 			out.Differ = append(out.Differ, uint32(n))
 		}
 	}
-	out.News = s.node.contents(out.GetDiffer())
+	out.News = s.node.bucketContents(out.GetDiffer())
 	return out, nil
 }
