--- a/snipequarantine/guard.go
+++ b/snipequarantine/guard.go
@@ -14,58 +14,60 @@
 )
 
 const (
-	// askTimeout bounds one question to a coordinator.
+	// askTimeout bounds one request to a coordinator.
 	askTimeout = 300 * time.Millisecond
-	// unreachableRetry is when a call is worthwhile again after neither of its
-	// coordinators has answered.
+	// unreachableRetry is the Retry-After of a call if neither of its coordinators
+	// answers.
 	unreachableRetry = time.Second
-	// step is the time between two looks at the members.
-	step = 500 * time.Millisecond
+	// stepInterval is the interval between two checks of the member list.
+	stepInterval = 500 * time.Millisecond
 )
 
-// fingerprintField names fingerprints in log lines.
+// fingerprintField is the log field of fingerprints.
 const fingerprintField = "Fingerprint"
 
 // Guard executes attempts as their coordinators decide. Exported fields are set
 // before the first call.
 type Guard struct {
-	// Registry is this instance's own; its Self is this instance.
+	// Registry is the registry of this instance; its Self is this instance's member ID.
 	Registry *Registry
-	// Members returns the live instances, this one included.
+	// Members returns the live instances, including this one.
 	Members func() []Member
-	// Begin and Finish ask and tell another member; see Registry.
+	// Begin and Finish call the Registry methods of the same name on another member.
 	Begin  func(ctx context.Context, member string, a Attempt) (Verdict, error)
 	Finish func(ctx context.Context, member string, a Attempt, e End) ([]byte, error)
-	// Replicate gives another member a record to keep and to spread.
+	// Replicate sends a record to another member, which merges and spreads it.
 	Replicate func(ctx context.Context, member string, f Fingerprint, record []byte) error
-	// Spread makes a record known to all instances within about a second.
+	// Spread announces a record to all instances, which receive it within about a
+	// second.
 	Spread func(f Fingerprint, record []byte, ttl time.Duration)
 	// Run executes an attempt.
 	Run func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
-	// Isolation is that of the upstreams that this instance owns.
+	// Isolation admits calls at the upstreams that this instance owns.
 	Isolation *Isolation
-	// Mark returns the attempt's Mark at the call's upstream, as far as an
-	// instance knows that does not own it.
+	// Mark returns Attempt.Mark for the call's upstream, as far as an instance other
+	// than the owner can determine it.
 	Mark func(c *snipecall.Call) string
-	// Survived reports whether an upstream is up and still has the mark. It is
-	// not asked about an empty mark.
+	// Survived reports whether an upstream is up and still has the mark. It is never
+	// called with an empty mark.
 	Survived func(ctx context.Context, upstream, mark string) bool
-	// Log takes events.
+	// Log receives the events.
 	Log *snipelog.Logger
 
 	lock     sync.Mutex // guards inFlight
-	inFlight map[string]asked
+	inFlight map[string]inFlightAttempt
 }
 
-// asked is an attempt in flight and the member that has let it start.
-type asked struct {
+// inFlightAttempt is an attempt in flight and the coordinator that it is registered
+// with.
+type inFlightAttempt struct {
 	Attempt
 	deadline    time.Time
 	coordinator string
 }
 
-// Execute runs an attempt when its coordinator lets it. It sets the attempt's
-// Upstream and Alone as decided.
+// Execute runs an attempt once its coordinator permits it. It sets the Attempt of the
+// call, and its Upstream and Alone as the coordinator decides.
 func (g *Guard) Execute(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	if unguarded(c) {
 		return g.Run(ctx, c, sink)
@@ -75,26 +77,27 @@
 		Upstream: c.Upstream, Mark: g.Mark(c),
 	}
 	c.Attempt = a.ID
-	if err := g.enter(ctx, c, &a); err != nil {
+	if err := g.admit(ctx, c, &a); err != nil {
 		return err
 	}
 	err := g.Run(ctx, c, sink)
-	g.leave(a, c, err)
+	g.reportEnd(a, c, err)
 	return err
 }
 
-// unguarded reports whether a call is passed on without its coordinator:
-// readings of plain services, which are the same for many callers and would
-// all be directed to one upstream.
+// unguarded reports whether a call runs without asking its coordinator. GET and HEAD
+// requests to plain services do: many callers send the same request, and the
+// coordinator would direct all of them to one upstream.
 func unguarded(c *snipecall.Call) bool {
 	return c.Service != "" && (c.Method == http.MethodGet || c.Method == http.MethodHead)
 }
 
-// enter asks until the attempt may start or has no time left.
-func (g *Guard) enter(ctx context.Context, c *snipecall.Call, a *Attempt) error {
+// admit asks the coordinators until the attempt may start, is refused, or has no time
+// left.
+func (g *Guard) admit(ctx context.Context, c *snipecall.Call, a *Attempt) error {
 	for {
-		if left, ok := g.Registry.Refuses(a.Fingerprint); ok {
-			return refuse(left)
+		if left, ok := g.Registry.QuarantinedFor(a.Fingerprint); ok {
+			return quarantinedError(left)
 		}
 		a.Left = time.Until(c.Deadline)
 		a.Mark = g.Mark(c)
@@ -105,9 +108,9 @@
 		switch v.Decision {
 		case Quarantined:
 			g.Log.Log(snipelog.CallQuarantined, snipelog.Fields{"Call": c.ID, "Team": c.Team, fingerprintField: a.Fingerprint.String()})
-			return refuse(v.Wait)
+			return quarantinedError(v.Wait)
 		case Wait:
-			if err := pause(ctx, c.Deadline, v.Wait); err != nil {
+			if err := waitToAsk(ctx, c.Deadline, v.Wait); err != nil {
 				return err
 			}
 			continue
@@ -118,22 +121,24 @@
 			c.Upstream, a.Upstream = v.Upstream, v.Upstream
 			a.Mark = g.Mark(c)
 		}
-		// Another instance has to know of the attempt as well as this one.
+		// If this instance is also the coordinator, another instance must register the
+		// attempt too.
 		a.Moved = !a.Alone && member == g.Registry.Self
 		if a.Alone || a.Moved {
-			g.others(ctx, member, *a)
+			g.registerWithOthers(ctx, member, *a)
 		}
-		g.keep(*a, c.Deadline, member)
+		g.register(*a, c.Deadline, member)
 		return nil
 	}
 }
 
-func refuse(left time.Duration) error {
+func quarantinedError(left time.Duration) error {
 	return snipeerror.New(snipeerror.ErrQuarantined, snipeerror.NotRun, "two upstreams broke off this request").After(left)
 }
 
-// pause waits to ask again. It refuses at once when that is beyond the deadline.
-func pause(ctx context.Context, deadline time.Time, d time.Duration) error {
+// waitToAsk waits for d before the next request to a coordinator. It fails at once if
+// the call's deadline comes before the end of the wait.
+func waitToAsk(ctx context.Context, deadline time.Time, d time.Duration) error {
 	if time.Until(deadline) <= d {
 		return snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "suspected of breaking upstreams, must wait").After(d)
 	}
@@ -147,7 +152,8 @@
 	}
 }
 
-// ask asks the coordinators in turn.
+// ask asks the coordinators in the order of their rank, and returns the first verdict
+// and the member that gave it.
 func (g *Guard) ask(ctx context.Context, a Attempt) (Verdict, string, error) {
 	for _, m := range Coordinators(a.Fingerprint, g.Members()) {
 		if m.ID == g.Registry.Self {
@@ -156,16 +162,16 @@
 		bounded, cancel := context.WithTimeout(ctx, askTimeout)
 		v, err := g.Begin(bounded, m.ID, a)
 		cancel()
-		if err == nil && v.Decision < decisions {
+		if err == nil && v.Decision < decisionCount {
 			return v, m.ID, nil
 		}
 	}
 	return Verdict{}, "", snipeerror.New(snipeerror.ErrUnavailable, snipeerror.NotRun, "no coordinator answers").After(unreachableRetry)
 }
 
-// others tells the other coordinators what one of them has been told, so that
-// the death of one instance does not make the attempt unknown.
-func (g *Guard) others(ctx context.Context, member string, a Attempt) {
+// registerWithOthers sends the attempt, or its start, to the coordinators other than
+// member, so that the attempt remains known when one instance dies.
+func (g *Guard) registerWithOthers(ctx context.Context, member string, a Attempt) {
 	for _, m := range Coordinators(a.Fingerprint, g.Members()) {
 		switch m.ID {
 		case member:
@@ -173,26 +179,27 @@
 			g.Registry.Begin(a)
 		default:
 			bounded, cancel := context.WithTimeout(ctx, askTimeout)
-			// Without an answer it learns of a crash all the same.
+			// A coordinator that misses this still receives the record of a crash.
 			_, _ = g.Begin(bounded, m.ID, a)
 			cancel()
 		}
 	}
 }
 
-func (g *Guard) keep(a Attempt, deadline time.Time, member string) {
+func (g *Guard) register(a Attempt, deadline time.Time, member string) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	if g.inFlight == nil {
-		g.inFlight = map[string]asked{}
+		g.inFlight = map[string]inFlightAttempt{}
 	}
-	g.inFlight[a.ID] = asked{a, deadline, member}
+	g.inFlight[a.ID] = inFlightAttempt{a, deadline, member}
 }
 
-// leave reports the attempt's end: a crash before the caller hears of it, so
-// that a repetition finds it known; other ends later.
-func (g *Guard) leave(a Attempt, c *snipecall.Call, err error) {
-	e := endOf(c, err)
+// reportEnd reports the attempt's end. It reports a crash before the caller receives
+// the failure, so that a repeated call finds the crash recorded. It reports other ends
+// in the background.
+func (g *Guard) reportEnd(a Attempt, c *snipecall.Call, err error) {
+	e := classifyEnd(c, err)
 	if e == Crashed && a.Mark != "" && g.survived(a) {
 		e = Abandoned
 	}
@@ -200,49 +207,51 @@
 		g.Log.Error(snipelog.UpstreamBrokeOff, err, snipelog.Fields{
 			"Call": c.ID, "Team": c.Team, "Upstream": c.Upstream, fingerprintField: a.Fingerprint.String(),
 		})
-		g.tell(a, e)
+		g.report(a, e)
 		return
 	}
 	go func() {
-		g.tell(a, e)
+		g.report(a, e)
 		if e == Abandoned {
 			g.verify(a)
 		}
 	}()
 }
 
-// tell reports an end to the member that has let the attempt start, or to
-// whoever coordinates now when that one does not answer. Where the others know
-// of the attempt they hear only that it is over: the rest is replicated.
-func (g *Guard) tell(a Attempt, e End) {
+// report reports an end to the member that the attempt is registered with, or to the
+// current coordinators if that member is unknown or does not answer. Further
+// coordinators that know of the attempt receive Refused in place of the end, which only
+// removes the attempt: the record is replicated to them. Withdrawn is reported
+// unchanged to all of them.
+func (g *Guard) report(a Attempt, e End) {
 	g.lock.Lock()
-	kept := g.inFlight[a.ID]
+	registered := g.inFlight[a.ID]
 	if e != Withdrawn {
 		delete(g.inFlight, a.ID)
 	}
 	g.lock.Unlock()
-	told := map[string]bool{"": true}
-	members := []Member{{ID: kept.coordinator}}
+	reported := map[string]bool{"": true}
+	members := []Member{{ID: registered.coordinator}}
 	members = append(members, Coordinators(a.Fingerprint, g.Members())...)
 	for _, m := range members {
-		if told[m.ID] || len(told) > 1 && !a.Alone && !a.Moved {
+		if reported[m.ID] || len(reported) > 1 && !a.Alone && !a.Moved {
 			continue
 		}
-		if !g.tellOne(m.ID, a, e) {
+		if !g.reportTo(m.ID, a, e) {
 			continue
 		}
-		told[m.ID] = true
+		reported[m.ID] = true
 		if e != Withdrawn {
 			e = Refused
 		}
 	}
-	if len(told) == 1 {
-		// Nobody answers: what this instance knows spreads from here.
+	if len(reported) == 1 {
+		// No coordinator answers: this instance records the end and spreads the record.
 		g.Registry.Finish(a, e)
 	}
 }
 
-func (g *Guard) tellOne(member string, a Attempt, e End) bool {
+func (g *Guard) reportTo(member string, a Attempt, e End) bool {
 	if member == g.Registry.Self {
 		g.Registry.Finish(a, e)
 		return true
@@ -251,13 +260,13 @@
 	defer cancel()
 	record, err := g.Finish(ctx, member, a, e)
 	if err == nil && e == Crashed && len(record) > 0 {
-		g.keepTold(a.Fingerprint, record)
+		g.keepReported(a.Fingerprint, record)
 	}
 	return err == nil
 }
 
-// Announce passes a record on that has changed: to the other coordinator before
-// it returns, so that the death of one instance loses nothing, then to all.
+// Announce replicates a changed record to the other coordinators, so that the death of
+// one instance does not lose the record, and then spreads it to all instances.
 func (g *Guard) Announce(f Fingerprint, record []byte, ttl time.Duration) {
 	for _, m := range Coordinators(f, g.Members()) {
 		if m.ID == g.Registry.Self {
@@ -272,16 +281,17 @@
 	g.Spread(f, record, ttl)
 }
 
-// keepTold keeps the record of a crash that this instance has told of, so that
-// it outlives both coordinators.
-func (g *Guard) keepTold(f Fingerprint, record []byte) {
-	if err := g.Keep(f, record); err != nil {
+// keepReported keeps the record of a crash that this instance has reported, so that the
+// record survives the loss of both coordinators.
+func (g *Guard) keepReported(f Fingerprint, record []byte) {
+	if err := g.MergeAndSpread(f, record); err != nil {
 		g.Log.Error(snipelog.CrashNotReplicated, err, snipelog.Fields{fingerprintField: f.String(), "Member": g.Registry.Self})
 	}
 }
 
-// Keep takes a record from the other coordinator and spreads it too.
-func (g *Guard) Keep(f Fingerprint, record []byte) error {
+// MergeAndSpread merges a record received from a coordinator and spreads it from this
+// instance too.
+func (g *Guard) MergeAndSpread(f Fingerprint, record []byte) error {
 	if err := g.Registry.Merge(f, record); err != nil {
 		return err
 	}
@@ -289,9 +299,9 @@
 	return nil
 }
 
-// endOf tells how an attempt ended from its failure. Whether an upstream that
-// broke off has really crashed is found out later.
-func endOf(c *snipecall.Call, err error) End {
+// classifyEnd derives the end of an attempt from its failure. Crashed means only that
+// the upstream broke off the call; whether the upstream has crashed is verified later.
+func classifyEnd(c *snipecall.Call, err error) End {
 	if err == nil {
 		return Answered
 	}
--- a/snipequarantine/interleaving_test.go
+++ b/snipequarantine/interleaving_test.go
@@ -12,11 +12,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// interleavings is how many seeds each test runs.
+// interleavings is the number of seeds that each test runs.
 const interleavings = 150
 
-// load sends crashers and innocent calls from every instance at random times.
-func (w *world) load(seed uint64, calls int, within time.Duration) {
+// sendCalls sends crashing and harmless calls through every instance at random times.
+func (cl *cluster) sendCalls(seed uint64, calls int, within time.Duration) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var all sync.WaitGroup
 	for n := range calls {
@@ -29,100 +29,105 @@
 		pick := random.IntN(1 << 20)
 		all.Go(func() {
 			time.Sleep(after)
-			w.lock.Lock()
-			i := w.instances[pick%len(w.instances)]
-			w.lock.Unlock()
-			w.call(i, strconv.Itoa(n), body(kind, number), own, 6)
+			cl.lock.Lock()
+			i := cl.instances[pick%len(cl.instances)]
+			cl.lock.Unlock()
+			cl.call(i, strconv.Itoa(n), body(kind, number), own, 6)
 		})
 	}
 	all.Wait()
 }
 
-// run runs one interleaving on a paused clock.
-func run(t *testing.T, seed uint64, f func(t *testing.T)) {
+// runSeed runs one interleaving on a fake clock.
+func runSeed(t *testing.T, seed uint64, f func(t *testing.T)) {
 	t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) { synctest.Test(t, f) })
 }
 
-// TestBound runs random interleavings: the same few crashers again and again,
-// also at once, through all instances, beside innocent calls.
+// TestBound runs random interleavings of harmless calls and a few crashing calls, which
+// are repeated, also concurrently, through all instances. It guards against a call that
+// crashes more than two engines and against a harmless call that is quarantined.
 func TestBound(t *testing.T) {
 	for seed := range uint64(interleavings) {
-		run(t, seed, func(t *testing.T) {
-			w := newWorld(5)
-			w.load(seed, 80, 20*time.Second)
-			w.check(t, seed)
-			w.stop()
+		runSeed(t, seed, func(t *testing.T) {
+			cl := newCluster(5)
+			cl.sendCalls(seed, 80, 20*time.Second)
+			cl.check(t, seed)
+			cl.stop()
 		})
 	}
 }
 
-// replace kills two instances at the given times and adds others.
-func (w *world) replace(first, second time.Duration) {
+// replace kills two instances at the given times and adds an instance for each.
+func (cl *cluster) replace(first, second time.Duration) {
 	for n, after := range []time.Duration{first, second} {
-		w.lock.Lock()
-		old := w.instances[n]
-		w.lock.Unlock()
+		cl.lock.Lock()
+		old := cl.instances[n]
+		cl.lock.Unlock()
 		time.AfterFunc(after, func() {
 			old.die()
-			w.add()
+			cl.add()
 		})
 	}
 }
 
-// TestBoundWhileInstancesDie kills two instances at any times, also both
-// coordinators of a fingerprint at once. The bound holds; innocence cannot be
-// shown any more when all who know of a suspect's run are gone.
+// TestBoundWhileInstancesDie kills two instances at random times, possibly both
+// coordinators of a fingerprint at once. It guards against a third crash by a call
+// whose record is lost. It does not check harmless calls: once all instances that know
+// of a suspect's run are gone, the suspect cannot be cleared.
 func TestBoundWhileInstancesDie(t *testing.T) {
 	for seed := range uint64(interleavings) {
-		run(t, seed, func(t *testing.T) {
-			w := newWorld(6)
+		runSeed(t, seed, func(t *testing.T) {
+			cl := newCluster(6)
 			random := rand.New(rand.NewPCG(seed, 0))
-			w.replace(time.Duration(random.Int64N(int64(20*time.Second))), time.Duration(random.Int64N(int64(20*time.Second))))
-			w.load(seed, 80, 20*time.Second)
-			w.checkBound(t, seed)
-			w.stop()
+			cl.replace(time.Duration(random.Int64N(int64(20*time.Second))), time.Duration(random.Int64N(int64(20*time.Second))))
+			cl.sendCalls(seed, 80, 20*time.Second)
+			cl.checkBound(t, seed)
+			cl.stop()
 		})
 	}
 }
 
-// TestInnocentWhileInstancesDie kills one instance and, once the others have
-// settled, another one.
+// TestInnocentWhileInstancesDie kills one instance and, once the others have settled,
+// another one. It guards against a third crash by one call and against a harmless call
+// that is quarantined.
 func TestInnocentWhileInstancesDie(t *testing.T) {
 	for seed := range uint64(interleavings) {
-		run(t, seed, func(t *testing.T) {
-			w := newWorld(6)
+		runSeed(t, seed, func(t *testing.T) {
+			cl := newCluster(6)
 			random := rand.New(rand.NewPCG(seed, 0))
 			first := time.Duration(random.Int64N(int64(10 * time.Second)))
-			w.replace(first, first+8*time.Second)
-			w.load(seed, 80, 20*time.Second)
-			w.check(t, seed)
-			w.stop()
+			cl.replace(first, first+8*time.Second)
+			cl.sendCalls(seed, 80, 20*time.Second)
+			cl.check(t, seed)
+			cl.stop()
 		})
 	}
 }
 
-// TestBoundEverywhereAtOnce sends one crasher through all instances at the
-// same instant.
+// TestBoundEverywhereAtOnce sends one crashing call through all instances at the same
+// instant. It guards against concurrent attempts that are permitted at more than two
+// engines.
 func TestBoundEverywhereAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(5)
+		cl := newCluster(5)
 		var all sync.WaitGroup
 		for n := range 40 {
 			all.Go(func() {
-				w.call(w.instances[n%5], strconv.Itoa(n), "crash", rand.New(rand.NewPCG(1, uint64(n))), 20)
+				cl.call(cl.instances[n%5], strconv.Itoa(n), "crash", rand.New(rand.NewPCG(1, uint64(n))), 20)
 			})
 		}
 		all.Wait()
-		w.check(t, 0)
-		must.Eq(t, 2, w.crashes["crash"], must.Sprint("the second run shows that it was this call"))
-		must.Greater(t, 0, w.refused["crash"])
-		w.stop()
+		cl.check(t, 0)
+		must.Eq(t, 2, cl.crashes["crash"], must.Sprint("the second crash proves that this call is the cause"))
+		must.Greater(t, 0, cl.quarantined["crash"])
+		cl.stop()
 	})
 }
 
-// TestBoundWitnessDies: the caller's instance owns the upstream and coordinates
-// the fingerprint as well, and dies with the crash or soon after it. It sends
-// the same again and again through all others.
+// TestBoundWitnessDies kills the caller's instance, which also owns the upstream and
+// coordinates the fingerprint, at or soon after the crash. The same call is then
+// repeated through all other instances. It guards against a crash whose record dies
+// with that instance.
 func TestBoundWitnessDies(t *testing.T) {
 	for name, after := range map[string]time.Duration{
 		"at the crash":            0,
@@ -131,32 +136,33 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(5)
-				first := w.instances[0]
-				text, upstream := first.alone()
-				crashed := w.engines[upstream].crashed
+				cl := newCluster(5)
+				first := cl.instances[0]
+				text, upstream := first.crasher()
+				crashed := cl.engines[upstream].crashed
 				go func() {
 					<-crashed
 					time.Sleep(after)
 					first.die()
 				}()
 				random := rand.New(rand.NewPCG(1, 1))
-				must.Error(t, w.callAt(first, "first", text, upstream))
+				must.Error(t, cl.callAt(first, "first", text, upstream))
 				for n := range 20 {
-					w.call(w.instances[1+n%4], strconv.Itoa(n), text, random, 3)
+					cl.call(cl.instances[1+n%4], strconv.Itoa(n), text, random, 3)
 				}
-				w.checkBound(t, 0)
-				must.Greater(t, 0, w.refused[text], must.Sprint("the caller has not been told"))
-				w.stop()
+				cl.checkBound(t, 0)
+				must.Greater(t, 0, cl.quarantined[text], must.Sprint("no repetition was refused as quarantined"))
+				cl.stop()
 			})
 		})
 	}
 }
 
-// alone returns a crasher whose first coordinator is i, and an engine of its.
-func (i *instance) alone() (text string, upstream int) {
+// crasher returns a crashing body whose first coordinator is i, and an engine that i
+// owns.
+func (i *instance) crasher() (text string, upstream int) {
 	for n := range engines {
-		if i.world.owner(strconv.Itoa(n)) == i {
+		if i.cluster.owner(strconv.Itoa(n)) == i {
 			upstream = n
 		}
 	}
@@ -168,34 +174,35 @@
 	}
 }
 
-// TestMeasureBound sends one crasher 40 times at once through five instances,
-// each up to 20 times more, with the guard and without it.
+// TestMeasureBound logs and checks how many engines one crashing call crashes with the
+// guard and without it. 40 callers send the call at once through five instances, each
+// up to 20 times.
 func TestMeasureBound(t *testing.T) {
 	t.Log("Table: one crasher, 40 callers at five instances before eight engines, each repeats up to 20 times")
 	t.Log("| guard | engines crashed | refused as quarantined |")
 	t.Log("|---|---|---|")
 	for _, guarded := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(5)
-			w.unguarded = !guarded
+			cl := newCluster(5)
+			cl.unguarded = !guarded
 			var all sync.WaitGroup
 			for n := range 40 {
 				all.Go(func() {
-					w.call(w.instances[n%5], strconv.Itoa(n), "crash", rand.New(rand.NewPCG(1, uint64(n))), 20)
+					cl.call(cl.instances[n%5], strconv.Itoa(n), "crash", rand.New(rand.NewPCG(1, uint64(n))), 20)
 				})
 			}
 			all.Wait()
-			w.lock.Lock()
-			crashes, refused := w.crashes["crash"], w.refused["crash"]
-			w.lock.Unlock()
+			cl.lock.Lock()
+			crashes, refused := cl.crashes["crash"], cl.quarantined["crash"]
+			cl.lock.Unlock()
 			t.Logf("| %s | %d | %d |", map[bool]string{false: "off", true: "on"}[guarded], crashes, refused)
 			must.Eq(t, guarded, crashes == quarantineCrashes)
-			w.stop()
+			cl.stop()
 		})
 	}
 }
 
-// BenchmarkFingerprint is the cost of a fingerprint of a body of 4 KiB.
+// BenchmarkFingerprint measures the fingerprint of a body of 4 KiB.
 func BenchmarkFingerprint(b *testing.B) {
 	c := newCall("id", strings.Repeat("x", 4096))
 	b.ReportAllocs()
@@ -204,7 +211,7 @@
 	}
 }
 
-// BenchmarkCoordinators is the choice of the coordinators among 340 members.
+// BenchmarkCoordinators measures the choice of the coordinators among 340 members.
 func BenchmarkCoordinators(b *testing.B) {
 	members := make([]Member, 340)
 	for n := range members {
@@ -216,7 +223,7 @@
 	}
 }
 
-// BenchmarkRegistry is the start and the end of an attempt at its coordinator.
+// BenchmarkRegistry measures the start and the end of an attempt at its coordinator.
 func BenchmarkRegistry(b *testing.B) {
 	r := &Registry{Settle: time.Second, Linger: time.Second, Hold: time.Hour}
 	a := Attempt{ID: "a", Upstream: "e", Left: time.Minute}
--- a/snipequarantine/isolation.go
+++ b/snipequarantine/isolation.go
@@ -13,80 +13,79 @@
 )
 
 const (
-	// maxIsolated bounds the suspects that wait at one upstream.
-	maxIsolated = 32
-	// isolatedRetry is when a call refused for the sake of a suspect is
-	// worthwhile again at the same upstream, for each suspect that waits.
-	isolatedRetry = time.Second
+	// maxWaitingSuspects bounds the suspects that wait at one upstream.
+	maxWaitingSuspects = 32
+	// retryPerSuspect is the Retry-After, for each suspect at an upstream, of a call
+	// that is refused there because of suspects.
+	retryPerSuspect = time.Second
 )
 
-// Isolation runs suspects alone at the upstreams that this instance owns: all
-// calls of such an upstream pass through Enter. Exported fields are set before
-// the first call.
+// Isolation runs suspects alone at the upstreams that this instance owns. All calls of
+// such an upstream pass through Enter. Exported fields are set before the first call.
 type Isolation struct {
-	// Linger is how long an upstream may still execute a call that was given
-	// up; the call counts as running for as long.
+	// Linger is how long an upstream may still execute an abandoned call. The call
+	// counts as running for that time.
 	Linger time.Duration
 
-	lock  sync.Mutex // guards lanes
-	lanes map[string]*lane
+	lock   sync.Mutex // guards states
+	states map[string]*upstreamState
 }
 
-// lane is one upstream.
-type lane struct {
+// upstreamState counts the calls that run at one upstream and queues its suspects.
+type upstreamState struct {
 	running int
 	alone   bool
-	waiting []chan struct{} // suspects in order; the first is closed for its turn
+	waiting []chan struct{} // suspects in order of arrival; closing the first admits it
 }
 
-// Enter waits until the call may run at its upstream. While a suspect waits or
-// runs there, other calls are refused at once, so that they go elsewhere. The
-// caller calls done with the call's failure.
+// Enter admits a call at its upstream. A suspect waits until no other call runs there.
+// While a suspect waits or runs, Enter refuses other calls at once, so that they are
+// sent to other upstreams. The caller calls done with the call's failure.
 func (i *Isolation) Enter(ctx context.Context, c *snipecall.Call) (done func(error), err error) {
 	if c.Alone {
 		return i.enterAlone(ctx, c)
 	}
 	i.lock.Lock()
 	defer i.lock.Unlock()
-	l := i.lane(c.Upstream)
-	if l.alone || len(l.waiting) > 0 {
-		return nil, busy(c.Upstream, len(l.waiting)+1)
+	s := i.state(c.Upstream)
+	if s.alone || len(s.waiting) > 0 {
+		return nil, busyError(c.Upstream, len(s.waiting)+1)
 	}
-	l.running++
-	return i.leaver(c, l), nil
+	s.running++
+	return i.releaser(c, s), nil
 }
 
-func busy(upstream string, suspects int) error {
-	wait := time.Duration(suspects) * isolatedRetry
+func busyError(upstream string, suspects int) error {
+	wait := time.Duration(suspects) * retryPerSuspect
 	return snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "upstream "+upstream+" is kept free for a suspect").After(wait)
 }
 
 func (i *Isolation) enterAlone(ctx context.Context, c *snipecall.Call) (func(error), error) {
 	upstream := c.Upstream
 	i.lock.Lock()
-	l := i.lane(upstream)
-	if len(l.waiting) >= maxIsolated {
+	s := i.state(upstream)
+	if len(s.waiting) >= maxWaitingSuspects {
 		i.lock.Unlock()
-		return nil, busy(upstream, len(l.waiting))
+		return nil, busyError(upstream, len(s.waiting))
 	}
-	turn := make(chan struct{})
-	l.waiting = append(l.waiting, turn)
-	i.next(upstream, l)
+	admitted := make(chan struct{})
+	s.waiting = append(s.waiting, admitted)
+	i.admitNext(upstream, s)
 	i.lock.Unlock()
 	select {
-	case <-turn:
-		return i.leaver(c, l), nil
+	case <-admitted:
+		return i.releaser(c, s), nil
 	case <-ctx.Done():
 	}
 	i.lock.Lock()
 	defer i.lock.Unlock()
-	n := slices.Index(l.waiting, turn)
+	n := slices.Index(s.waiting, admitted)
 	if n < 0 {
-		// The turn came at the same moment.
-		return i.leaver(c, l), nil
+		// The suspect was admitted just when ctx ended.
+		return i.releaser(c, s), nil
 	}
-	l.waiting = slices.Delete(l.waiting, n, n+1)
-	i.next(upstream, l)
+	s.waiting = slices.Delete(s.waiting, n, n+1)
+	i.admitNext(upstream, s)
 	kind := snipeerror.ErrCanceled
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		kind = snipeerror.ErrDeadline
@@ -94,52 +93,53 @@
 	return nil, snipeerror.New(kind, snipeerror.NotRun, "while waiting to run alone at upstream "+upstream)
 }
 
-// leaver returns what ends a call. One that may still run ends later.
-func (i *Isolation) leaver(c *snipecall.Call, l *lane) func(error) {
+// releaser returns the function that ends a call. A call that may still run at the
+// upstream ends after Linger.
+func (i *Isolation) releaser(c *snipecall.Call, s *upstreamState) func(error) {
 	return func(err error) {
-		if e := endOf(c, err); e == Answered || e == Refused {
-			i.leave(c.Upstream, l, c.Alone)
+		if e := classifyEnd(c, err); e == Answered || e == Refused {
+			i.release(c.Upstream, s, c.Alone)
 			return
 		}
-		time.AfterFunc(i.Linger, func() { i.leave(c.Upstream, l, c.Alone) })
+		time.AfterFunc(i.Linger, func() { i.release(c.Upstream, s, c.Alone) })
 	}
 }
 
-func (i *Isolation) leave(upstream string, l *lane, alone bool) {
+func (i *Isolation) release(upstream string, s *upstreamState, alone bool) {
 	i.lock.Lock()
 	defer i.lock.Unlock()
 	if alone {
-		l.alone = false
+		s.alone = false
 	} else {
-		l.running--
+		s.running--
 	}
-	i.next(upstream, l)
+	i.admitNext(upstream, s)
 }
 
-// next gives the turn to the first suspect once nothing runs, and forgets a
-// lane that is not in use. The lock is held.
-func (i *Isolation) next(upstream string, l *lane) {
-	if l.running > 0 || l.alone {
+// admitNext admits the first waiting suspect once nothing runs, and deletes the state
+// of an upstream that is not in use. The lock is held.
+func (i *Isolation) admitNext(upstream string, s *upstreamState) {
+	if s.running > 0 || s.alone {
 		return
 	}
-	if len(l.waiting) == 0 {
-		delete(i.lanes, upstream)
+	if len(s.waiting) == 0 {
+		delete(i.states, upstream)
 		return
 	}
-	l.alone = true
-	close(l.waiting[0])
-	l.waiting = l.waiting[1:]
+	s.alone = true
+	close(s.waiting[0])
+	s.waiting = s.waiting[1:]
 }
 
-// lane returns the lane of an upstream. The lock is held.
-func (i *Isolation) lane(upstream string) *lane {
-	if i.lanes == nil {
-		i.lanes = map[string]*lane{}
+// state returns the state of an upstream and creates it if needed. The lock is held.
+func (i *Isolation) state(upstream string) *upstreamState {
+	if i.states == nil {
+		i.states = map[string]*upstreamState{}
 	}
-	l, ok := i.lanes[upstream]
+	s, ok := i.states[upstream]
 	if !ok {
-		l = &lane{}
-		i.lanes[upstream] = l
+		s = &upstreamState{}
+		i.states[upstream] = s
 	}
-	return l
+	return s
 }
--- a/snipequarantine/membership.go
+++ b/snipequarantine/membership.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Step takes the members as they are now: it moves attempts in flight to new
-// coordinators and looks after those whose entry instance is gone.
+// Step applies the current member list. It moves attempts in flight to their new
+// coordinators, and verifies the upstreams of attempts whose entry instance is gone.
 func (g *Guard) Step(ctx context.Context) {
 	members := g.Members()
 	for _, a := range g.Registry.SetMembers(members) {
 		go g.verifyOrphan(a)
 	}
-	for _, a := range g.moved(members) {
+	for _, a := range g.misplaced(members) {
 		g.move(ctx, a, Coordinators(a.Fingerprint, members)[0].ID)
 	}
 }
 
-// move registers an attempt in flight with its new coordinator, and then has
-// the former one forget it.
-func (g *Guard) move(ctx context.Context, a asked, lead string) {
+// move registers an attempt in flight with its new coordinator, and then removes it
+// from the previous one.
+func (g *Guard) move(ctx context.Context, a inFlightAttempt, lead string) {
 	bounded, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	if lead == g.Registry.Self {
 		g.Registry.Begin(a.Attempt)
 	} else if _, err := g.Begin(bounded, lead, a.Attempt); err != nil {
-		// The next step tries again.
+		// The next step retries.
 		return
 	}
-	former := a.coordinator
+	previous := a.coordinator
 	g.lock.Lock()
 	_, ok := g.inFlight[a.ID]
 	if ok {
@@ -37,19 +37,20 @@
 	}
 	g.lock.Unlock()
 	if !ok {
-		// It has ended meanwhile, and only the former coordinator knows.
-		g.tellOne(lead, a.Attempt, Refused)
+		// The attempt has ended meanwhile, and only the previous coordinator was
+		// notified.
+		g.reportTo(lead, a.Attempt, Refused)
 		return
 	}
-	g.tellOne(former, a.Attempt, Refused)
+	g.reportTo(previous, a.Attempt, Refused)
 }
 
-// moved returns the attempts in flight whose first coordinator is another one
-// than the one that has let them start.
-func (g *Guard) moved(members []Member) []asked {
+// misplaced returns the attempts in flight whose first coordinator is no longer the one
+// that they are registered with.
+func (g *Guard) misplaced(members []Member) []inFlightAttempt {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	var all []asked
+	var all []inFlightAttempt
 	for _, a := range g.inFlight {
 		c := Coordinators(a.Fingerprint, members)
 		if len(c) == 0 || c[0].ID == a.coordinator {
@@ -62,9 +63,9 @@
 	return all
 }
 
-// Loop takes the members again and again until ctx ends.
+// Loop calls Step at once and then every stepInterval until ctx ends.
 func (g *Guard) Loop(ctx context.Context) error {
-	t := time.NewTicker(step)
+	t := time.NewTicker(stepInterval)
 	defer t.Stop()
 	for {
 		g.Step(ctx)
--- a/snipequarantine/owner.go
+++ b/snipequarantine/owner.go
@@ -8,28 +8,28 @@
 	"snipepitch.example/snipepitch/snipeerror"
 )
 
-// Enter waits until a call may run at an upstream that this instance owns; see
-// Isolation. The alias is what the call runs under there. The caller calls done
-// with the call's failure. The owner knows best whether the upstream has
-// crashed, and tells before it passes the failure on.
+// Enter admits a call at an upstream that this instance owns; see Isolation. The call
+// runs there under alias. The caller calls done with the call's failure. The owner has
+// the best information on whether the upstream has crashed, so done reports a crash
+// before the owner passes the failure on.
 func (g *Guard) Enter(ctx context.Context, c *snipecall.Call, alias string) (done func(error), err error) {
-	leave, err := g.Isolation.Enter(ctx, c)
+	release, err := g.Isolation.Enter(ctx, c)
 	if err != nil {
 		return nil, err
 	}
-	if err := g.start(ctx, c); err != nil {
-		leave(err)
+	if err := g.reportStart(ctx, c); err != nil {
+		release(err)
 		return nil, err
 	}
 	return func(err error) {
-		// In this order: no suspect starts here before the crash is known.
-		g.watch(c, alias, err)
-		leave(err)
+		// The order matters: no suspect may start here before the crash is recorded.
+		g.reportOwnerEnd(c, alias, err)
+		release(err)
 	}, nil
 }
 
-// start tells the coordinator that a suspect's turn has come.
-func (g *Guard) start(ctx context.Context, c *snipecall.Call) error {
+// reportStart reports to the coordinators that a suspect was admitted at its upstream.
+func (g *Guard) reportStart(ctx context.Context, c *snipecall.Call) error {
 	if !c.Alone {
 		return nil
 	}
@@ -39,46 +39,47 @@
 		return err
 	}
 	if v.Decision == RunAlone {
-		g.others(ctx, member, a)
+		g.registerWithOthers(ctx, member, a)
 		return nil
 	}
 	return snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "coordinator has changed").After(v.Wait)
 }
 
-func (g *Guard) watch(c *snipecall.Call, alias string, err error) {
-	e := endOf(c, err)
+func (g *Guard) reportOwnerEnd(c *snipecall.Call, alias string, err error) {
+	e := classifyEnd(c, err)
 	if c.Attempt == "" || e == Answered || e == Refused && !c.Alone {
 		return
 	}
 	a := Attempt{Fingerprint: FingerprintOf(c), ID: c.Attempt, Upstream: c.Upstream, Mark: alias, Alone: c.Alone}
 	if e == Refused {
-		g.tell(a, Withdrawn)
+		g.report(a, Withdrawn)
 		return
 	}
 	if alias == "" {
 		return
 	}
 	if e == Crashed && !g.survived(a) {
-		g.tell(a, Crashed)
+		g.report(a, Crashed)
 		return
 	}
 	go g.verify(a)
 }
 
-// verify finds out whether an upstream has survived an attempt that was
-// abandoned, and reports the crash if not.
+// verify waits for half of Linger, checks whether the upstream has survived an attempt
+// that may still run there, and reports a crash if it has not.
 func (g *Guard) verify(a Attempt) {
 	if a.Mark == "" {
 		return
 	}
 	time.Sleep(g.Registry.Linger / 2)
 	if !g.survived(a) {
-		g.tell(a, Crashed)
+		g.report(a, Crashed)
 	}
 }
 
-// verifyOrphan does the same for an attempt whose entry instance is gone. This
-// instance has let it start and knows most of it, whoever coordinates now.
+// verifyOrphan does the same for an attempt whose entry instance is gone. It reports to
+// this instance's own registry, which has the most information on the attempt,
+// whichever instance coordinates it now. An attempt without a mark counts as a crash.
 func (g *Guard) verifyOrphan(a Attempt) {
 	time.Sleep(g.Registry.Linger / 2)
 	if a.Mark == "" || !g.survived(a) {
--- a/snipequarantine/record.go
+++ b/snipequarantine/record.go
@@ -10,43 +10,42 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// quarantineCrashes is how many crashes quarantine a fingerprint.
+// quarantineCrashes is the number of uncleared crashes that quarantines a fingerprint.
 const quarantineCrashes = 2
 
-// maxCrashes bounds the crashes that a record keeps; the oldest gives way. An
-// encoded record stays below the 512 bytes of an announcement.
+// maxCrashes bounds the crashes that a record keeps; a new crash replaces the oldest.
+// An encoded record stays below the 512 bytes of an announcement.
 const maxCrashes = 4
 
-// ErrBadRecord is returned for data that is no record.
+// ErrBadRecord is returned for data that is not a valid record.
 var ErrBadRecord = errors.New("not a record of crashes")
 
-// Crash is one crash of an upstream, as a suspect of it knows it.
+// Crash is one crash of an upstream in the record of a suspect.
 type Crash struct {
 	// ID identifies the crash among those of one fingerprint.
 	ID uint64
 	// Upstream is a hash of the upstream's name.
 	Upstream uint64
-	// AgeMilliseconds is the time since the crash, when it was encoded.
+	// AgeMilliseconds is the time since the crash, as of the encoding.
 	AgeMilliseconds int64
-	// Cleared tells that another call must have caused the crash.
+	// Cleared means that another call must have caused the crash.
 	Cleared bool `json:",omitempty"`
 }
 
-// Record is what is known of a fingerprint's crashes. Records of several
-// instances merge as sets, so that neither the order nor a repetition of the
-// news matters.
+// Record holds the known crashes of a fingerprint. Records of several instances merge
+// as sets, so that neither the order nor the repetition of updates matters.
 type Record struct {
 	Crashes []Crash
-	// ReleaseMilliseconds is the time left until the record is forgotten, when
-	// it was encoded.
+	// ReleaseMilliseconds is the time until the record is forgotten, as of the
+	// encoding.
 	ReleaseMilliseconds int64
 }
 
-// record is a Record as an instance keeps it.
+// record is the form of a Record that an instance keeps in memory.
 type record struct {
-	crashes []crash
-	last    time.Time // when the last news of a crash came
-	until   time.Time
+	crashes   []crash
+	lastAdded time.Time // when the latest uncleared crash was added
+	expires   time.Time
 }
 
 type crash struct {
@@ -55,12 +54,12 @@
 	cleared      bool
 }
 
-// crashID identifies the crash that ended an attempt at an upstream, the same
-// whoever reports it.
+// crashID identifies the crash that ended an attempt at an upstream. All instances that
+// report the crash derive the same identifier.
 func crashID(attempt, upstream string) uint64 { return sniperoute.Hash(attempt, upstream) }
 
-// open returns the number of crashes that are not cleared.
-func (r *record) open() int {
+// uncleared returns the number of crashes that are not cleared.
+func (r *record) uncleared() int {
 	n := 0
 	for _, c := range r.crashes {
 		if !c.cleared {
@@ -70,7 +69,7 @@
 	return n
 }
 
-// find returns a crash by its identifier, or nil.
+// find returns the crash with the given identifier, or nil.
 func (r *record) find(id uint64) *crash {
 	for i := range r.crashes {
 		if r.crashes[i].id == id {
@@ -80,45 +79,45 @@
 	return nil
 }
 
-// at reports whether an upstream has crashed since then.
-func (r *record) at(upstream uint64, then time.Time) bool {
-	return slices.ContainsFunc(r.crashes, func(c crash) bool { return c.upstream == upstream && c.when.After(then) })
+// crashedAfter reports whether the record has a crash of an upstream after t.
+func (r *record) crashedAfter(upstream uint64, t time.Time) bool {
+	return slices.ContainsFunc(r.crashes, func(c crash) bool { return c.upstream == upstream && c.when.After(t) })
 }
 
-// add adds a crash, and reports whether it is news.
+// add adds a crash, or clears a known one, and reports whether the record has changed.
 func (r *record) add(c crash, now time.Time) bool {
 	if known := r.find(c.id); known != nil {
-		news := c.cleared && !known.cleared
+		changed := c.cleared && !known.cleared
 		known.cleared = known.cleared || c.cleared
-		return news
+		return changed
 	}
 	if len(r.crashes) >= maxCrashes {
 		r.crashes = slices.Delete(r.crashes, 0, 1)
 	}
 	r.crashes = append(r.crashes, c)
 	if !c.cleared {
-		r.last = now
+		r.lastAdded = now
 	}
 	return true
 }
 
-// extend keeps the record at least until then.
+// extend keeps the record at least until the given time.
 func (r *record) extend(until time.Time) {
-	if until.After(r.until) {
-		r.until = until
+	if until.After(r.expires) {
+		r.expires = until
 	}
 }
 
-// clear clears all crashes.
+// clear marks all crashes as cleared.
 func (r *record) clear() {
 	for i := range r.crashes {
 		r.crashes[i].cleared = true
 	}
 }
 
-// encode returns the record to pass on.
+// encode returns the encoded record for other instances.
 func (r *record) encode(now time.Time) []byte {
-	out := Record{ReleaseMilliseconds: r.until.Sub(now).Milliseconds()}
+	out := Record{ReleaseMilliseconds: r.expires.Sub(now).Milliseconds()}
 	for _, c := range r.crashes {
 		out.Crashes = append(out.Crashes, Crash{c.id, c.upstream, now.Sub(c.when).Milliseconds(), c.cleared})
 	}
@@ -130,7 +129,8 @@
 	return data
 }
 
-// DecodeRecord reads and checks an encoded record.
+// DecodeRecord decodes a record and checks it. The time until its release must not
+// exceed hold.
 func DecodeRecord(data []byte, hold time.Duration) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(data, &r); err != nil {
--- a/snipequarantine/registry.go
+++ b/snipequarantine/registry.go
@@ -8,88 +8,93 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// Bounds of a Registry.
+// Limits of a Registry.
 const (
-	// maxRecords bounds the records; the one that is released first gives way.
+	// maxRecords bounds the records; a new record replaces the one that would be
+	// released first.
 	maxRecords = 10000
-	// maxAttempts bounds the attempts in flight that are known.
+	// maxAttempts bounds the known attempts in flight.
 	maxAttempts = 200000
-	// maxLingering is how many upstreams may hold abandoned attempts of a
-	// fingerprint while another one starts it.
+	// maxLingering bounds the other upstreams at which abandoned attempts of a
+	// fingerprint may still run when a new attempt of it starts.
 	maxLingering = 1
-	// askAgain is how long an attempt waits for another one to end.
-	askAgain = 500 * time.Millisecond
+	// retryInterval is how long an attempt waits before it asks again, for example for
+	// the end of another attempt.
+	retryInterval = 500 * time.Millisecond
 )
 
-// Registry is what an instance knows as the coordinator of fingerprints, and of
-// crashes in the whole system. Exported fields are set before the first call.
-// Its decisions do no I/O; it is safe for concurrent use.
+// Registry holds the attempts of the fingerprints that an instance coordinates, and the
+// crashes known in the whole system. Exported fields are set before the first call. Its
+// decisions do no I/O; it is safe for concurrent use.
 type Registry struct {
-	// Self is the member that this instance is.
+	// Self is this instance's member ID.
 	Self string
-	// Settle is how long after a crash, or a change of the members, a suspect
-	// does not start: by then every instance has heard and has moved its
-	// attempts to their new coordinator.
+	// Settle is how long no suspect starts after a crash or a change of the members.
+	// After that time every instance has received the crash and has moved its attempts
+	// to their new coordinators.
 	Settle time.Duration
 	// Linger is how long an abandoned attempt may still crash its upstream.
 	Linger time.Duration
-	// Hold is how long a fingerprint is remembered after its last crash.
+	// Hold is how long the record of a fingerprint is kept after its last crash.
 	Hold time.Duration
-	// Announce passes a record on to all instances; nil for none.
+	// Announce sends a changed record to all instances; nil sends nothing.
 	Announce func(f Fingerprint, record []byte, ttl time.Duration)
 
-	lock     sync.Mutex // guards the fields below; not held during Announce
-	attempts int
-	active   map[Fingerprint]map[string]*attempt
-	records  map[Fingerprint]*record
-	members  []Member
-	changed  time.Time // when members last changed
+	lock           sync.Mutex // guards the fields below; not held during Announce
+	attempts       int
+	active         map[Fingerprint]map[string]*attempt
+	records        map[Fingerprint]*record
+	members        []Member
+	membersChanged time.Time // when members last changed
 }
 
 // attempt is an attempt that may still run.
 type attempt struct {
 	Attempt
-	// started tells that the attempt may have begun to run.
+	// started means that the attempt may have begun to run.
 	started bool
-	// counted tells that the crash of its upstream has been counted already.
+	// counted means that a further report of a crash of the attempt's upstream is not
+	// counted, because the crash is already counted or was caused by another call.
 	counted bool
-	// abandoned tells that nobody waits for the attempt any more.
+	// abandoned means that the attempt is no longer awaited.
 	abandoned bool
-	// until is when the attempt is forgotten.
-	until time.Time
+	// expires is when the attempt is forgotten.
+	expires time.Time
 }
 
-// Begin decides whether an attempt may start.
+// Begin decides whether an attempt may start. It only registers an attempt that a
+// coordinator has already permitted (Moved or Alone), and only records the start of one
+// that runs alone (Started).
 func (r *Registry) Begin(a Attempt) Verdict {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	now := time.Now()
-	r.setup(now)
+	r.initialize(now)
 	crashes, known := 0, r.recordOf(a.Fingerprint, now)
 	if known != nil {
-		crashes = known.open()
+		crashes = known.uncleared()
 	}
 	switch {
 	case a.Started:
-		return r.turn(a)
+		return r.recordStart(a)
 	case a.Moved || a.Alone:
 		if r.active[a.Fingerprint][a.ID] == nil {
-			r.start(a, now).started = a.Moved
+			r.addAttempt(a, now).started = a.Moved
 		}
 		return Verdict{Decision: Run}
 	case crashes >= quarantineCrashes:
-		return Verdict{Decision: Quarantined, Wait: known.until.Sub(now)}
+		return Verdict{Decision: Quarantined, Wait: known.expires.Sub(now)}
 	case crashes > 0:
 		return r.beginSuspect(a, known, now)
 	case r.attempts >= maxAttempts:
-		return Verdict{Decision: Wait, Wait: askAgain}
+		return Verdict{Decision: Wait, Wait: retryInterval}
 	}
-	return r.beginFresh(a, now)
+	return r.beginUnsuspected(a, now)
 }
 
-// beginFresh decides about an attempt whose fingerprint has crashed nothing.
+// beginUnsuspected decides about an attempt whose fingerprint has no uncleared crash.
 // The lock is held.
-func (r *Registry) beginFresh(a Attempt, now time.Time) Verdict {
+func (r *Registry) beginUnsuspected(a Attempt, now time.Time) Verdict {
 	v := Verdict{Decision: Run}
 	var lingering []string
 	for _, other := range r.running(a.Fingerprint, now) {
@@ -102,36 +107,37 @@
 		}
 	}
 	if v.Upstream == "" && len(lingering) > maxLingering {
-		return Verdict{Decision: Wait, Wait: askAgain}
+		return Verdict{Decision: Wait, Wait: retryInterval}
 	}
 	a.Alone = false
-	r.start(a, now).started = true
+	r.addAttempt(a, now).started = true
 	return v
 }
 
 // beginSuspect decides about an attempt of a suspect. The lock is held.
 func (r *Registry) beginSuspect(a Attempt, known *record, now time.Time) Verdict {
-	settled := known.last
-	if r.changed.After(settled) {
-		settled = r.changed
+	settled := known.lastAdded
+	if r.membersChanged.After(settled) {
+		settled = r.membersChanged
 	}
 	if wait := settled.Add(r.Settle).Sub(now); wait > 0 {
 		return Verdict{Decision: Wait, Wait: wait}
 	}
 	if len(r.running(a.Fingerprint, now)) > 0 || !r.leads(a.Fingerprint) {
-		return Verdict{Decision: Wait, Wait: askAgain}
+		return Verdict{Decision: Wait, Wait: retryInterval}
 	}
 	a.Alone = true
-	r.start(a, now)
+	r.addAttempt(a, now)
 	return Verdict{Decision: RunAlone}
 }
 
-// turn notes that a suspect's turn at its upstream has come. Only then can it
-// crash the upstream: whatever happens before is another's. The lock is held.
-func (r *Registry) turn(a Attempt) Verdict {
+// recordStart records that the owner has admitted a suspect at its upstream. Only from
+// then on can the suspect crash the upstream; an earlier crash is caused by another
+// call. The lock is held.
+func (r *Registry) recordStart(a Attempt) Verdict {
 	known := r.active[a.Fingerprint][a.ID]
 	if known == nil || !known.Alone || known.abandoned {
-		return Verdict{Decision: Wait, Wait: askAgain}
+		return Verdict{Decision: Wait, Wait: retryInterval}
 	}
 	known.started = true
 	return Verdict{Decision: RunAlone}
@@ -143,18 +149,19 @@
 	return len(all) == 0 || all[0].ID == r.Self
 }
 
-// Finish takes the end of an attempt. It also takes ends of attempts that this
-// instance does not know, as a coordinator that is new. It returns the
-// fingerprint's record when there is one, so that the teller keeps it too.
+// Finish records the end of an attempt. It accepts attempts that this instance does not
+// know, because this instance may have become their coordinator recently. It returns
+// the encoded record of the fingerprint, or nil if there is none, so that the reporting
+// instance keeps the record too.
 func (r *Registry) Finish(a Attempt, e End) []byte {
 	r.lock.Lock()
 	now := time.Now()
-	r.setup(now)
+	r.initialize(now)
 	changed := r.finish(a, e, now)
 	var data []byte
 	var ttl time.Duration
 	if known := r.recordOf(a.Fingerprint, now); known != nil {
-		data, ttl = known.encode(now), known.until.Sub(now)
+		data, ttl = known.encode(now), known.expires.Sub(now)
 	}
 	r.lock.Unlock()
 	if changed && r.Announce != nil {
@@ -163,8 +170,8 @@
 	return data
 }
 
-// finish reports whether the fingerprint's record has changed. The lock is
-// held.
+// finish records the end of an attempt and reports whether the fingerprint's record has
+// changed. The lock is held.
 func (r *Registry) finish(a Attempt, e End, now time.Time) bool {
 	known := r.active[a.Fingerprint][a.ID]
 	switch e {
@@ -179,7 +186,7 @@
 	case Crashed:
 		return r.crash(a, known, now)
 	}
-	r.remove(a.Fingerprint, a.ID)
+	r.removeAttempt(a.Fingerprint, a.ID)
 	record := r.recordOf(a.Fingerprint, now)
 	if e != Answered || known == nil || !known.Alone || record == nil {
 		return false
@@ -188,31 +195,32 @@
 	return true
 }
 
-// abandon keeps an attempt that may still run. The lock is held.
+// abandon marks an attempt as abandoned and keeps it for Linger, since it may still
+// run. The lock is held.
 func (r *Registry) abandon(a Attempt, known *attempt, now time.Time) {
 	if known == nil {
 		record := r.recordOf(a.Fingerprint, now)
 		if record != nil && record.find(crashID(a.ID, a.Upstream)) != nil {
-			// Its upstream's owner has told of the crash already.
+			// The owner of the upstream has already reported the crash.
 			return
 		}
-		known = r.start(a, now)
+		known = r.addAttempt(a, now)
 		known.started = true
 	}
 	known.abandoned = true
-	known.until = now.Add(r.Linger)
+	known.expires = now.Add(r.Linger)
 }
 
-// crash counts a crash unless it has been counted, and reports whether it has
-// changed the record. The lock is held.
+// crash counts a crash unless it is already counted, and reports whether the record has
+// changed. The lock is held.
 func (r *Registry) crash(a Attempt, known *attempt, now time.Time) bool {
 	if known != nil && !known.started {
-		// Others crashed the upstream while the suspect waited for its turn.
-		// The attempt is kept as counted, since there may be more reports.
-		known.counted, known.until = true, now.Add(r.Linger)
+		// Other calls crashed the upstream while the suspect waited there. The attempt
+		// is kept as counted, because further reports of the crash may follow.
+		known.counted, known.expires = true, now.Add(r.Linger)
 		return false
 	}
-	r.remove(a.Fingerprint, a.ID)
+	r.removeAttempt(a.Fingerprint, a.ID)
 	if known != nil && known.counted {
 		return false
 	}
@@ -221,8 +229,8 @@
 		record = r.newRecord(a.Fingerprint)
 	}
 	upstream := sniperoute.Hash(a.Upstream)
-	if !a.Alone && record.at(upstream, now.Add(-r.Linger)) {
-		// Another attempt has told of the same crash.
+	if !a.Alone && record.crashedAfter(upstream, now.Add(-r.Linger)) {
+		// Another attempt has already reported this crash.
 		return false
 	}
 	for _, other := range r.active[a.Fingerprint] {
@@ -232,24 +240,24 @@
 	return record.add(crash{id: crashID(a.ID, a.Upstream), upstream: upstream, when: now}, now)
 }
 
-// SetMembers takes the live instances. It returns the attempts whose entry
-// instance is gone: whether their upstreams have survived them is to be found
-// out, and told by Finish.
+// SetMembers sets the live instances. It returns the attempts whose entry instance is
+// gone. The caller verifies whether their upstreams have survived and reports crashes
+// to Finish.
 func (r *Registry) SetMembers(members []Member) []Attempt {
 	sorted := slices.SortedFunc(slices.Values(members), compareMembers)
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	now := time.Now()
-	r.setup(now)
+	r.initialize(now)
 	r.sweep(now)
 	if slices.Equal(sorted, r.members) {
 		return nil
 	}
-	r.members, r.changed = sorted, now
+	r.members, r.membersChanged = sorted, now
 	var orphans []Attempt
 	for _, all := range r.active {
 		for _, a := range all {
-			if !a.abandoned && !r.member(a.Entry) {
+			if !a.abandoned && !r.isMember(a.Entry) {
 				r.abandon(a.Attempt, a, now)
 				orphans = append(orphans, a.Attempt)
 			}
@@ -258,11 +266,11 @@
 	return orphans
 }
 
-func (r *Registry) member(id string) bool {
+func (r *Registry) isMember(id string) bool {
 	return slices.ContainsFunc(r.members, func(m Member) bool { return m.ID == id })
 }
 
-// Merge takes a record that another instance has announced.
+// Merge merges a record that another instance has announced.
 func (r *Registry) Merge(f Fingerprint, data []byte) error {
 	in, err := DecodeRecord(data, r.Hold)
 	if err != nil {
@@ -271,7 +279,7 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	now := time.Now()
-	r.setup(now)
+	r.initialize(now)
 	known := r.recordOf(f, now)
 	if known == nil {
 		if in.ReleaseMilliseconds == 0 {
@@ -287,25 +295,25 @@
 	return nil
 }
 
-// Refuses returns how long a fingerprint stays in quarantine, as far as this
-// instance knows.
-func (r *Registry) Refuses(f Fingerprint) (time.Duration, bool) {
+// QuarantinedFor reports whether a fingerprint is in quarantine as far as this instance
+// knows, and returns the time until its release.
+func (r *Registry) QuarantinedFor(f Fingerprint) (time.Duration, bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	now := time.Now()
 	known := r.recordOf(f, now)
-	if known == nil || known.open() < quarantineCrashes {
+	if known == nil || known.uncleared() < quarantineCrashes {
 		return 0, false
 	}
-	return known.until.Sub(now), true
+	return known.expires.Sub(now), true
 }
 
-// Suspects reports whether a fingerprint has a crash that is not cleared.
+// Suspects reports whether a fingerprint has an uncleared crash.
 func (r *Registry) Suspects(f Fingerprint) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	known := r.recordOf(f, time.Now())
-	return known != nil && known.open() > 0
+	return known != nil && known.uncleared() > 0
 }
 
 // Counts returns the numbers of records and of attempts that may still run.
--- a/snipequarantine/simulation_test.go
+++ b/snipequarantine/simulation_test.go
@@ -21,88 +21,88 @@
 
 var errUnreachable = errors.New("unreachable")
 
-// world is a few instances before a few engines, in memory.
-type world struct {
-	engines   []*fakeEngine
-	delay     time.Duration // of each message
-	spread    time.Duration // of an announcement
-	lag       time.Duration // of the view of members
-	unguarded bool          // attempts run without their coordinators
-	lock      sync.Mutex    // guards the fields below
-	instances []*instance
-	crashes   map[string]int // by body
-	refused   map[string]int // calls in quarantine, by body
-	answered  map[string]int
-	cut       map[[2]string]bool
-	digests   map[Fingerprint][][]byte
-	owners    map[int]*instance
+// cluster simulates a few instances in front of a few engines in memory.
+type cluster struct {
+	engines      []*fakeEngine
+	messageDelay time.Duration // of a message
+	spreadDelay  time.Duration // of an announcement
+	memberDelay  time.Duration // of the member list
+	unguarded    bool          // attempts run without asking their coordinators
+	lock         sync.Mutex    // guards the fields below
+	instances    []*instance
+	crashes      map[string]int // by body
+	quarantined  map[string]int // calls refused as quarantined, by body
+	answered     map[string]int
+	partitioned  map[[2]string]bool
+	digests      map[Fingerprint][][]byte
+	owners       map[int]*instance
 }
 
-// instance is one run of an instance.
+// instance is one run of an instance's process.
 type instance struct {
-	world *world
-	guard *Guard
-	id    string
-	born  time.Time
-	died  time.Time
-	ctx   context.Context
-	kill  context.CancelFunc
+	cluster *cluster
+	guard   *Guard
+	id      string
+	started time.Time
+	died    time.Time
+	ctx     context.Context
+	kill    context.CancelFunc
 }
 
-// fakeEngine executes calls; a call whose body says so crashes it.
+// fakeEngine executes calls; a call whose body starts with "crash" crashes it.
 type fakeEngine struct {
-	world      *world
+	cluster    *cluster
 	name       string
 	lock       sync.Mutex
 	up         bool
 	generation int
-	loaded     map[string]int // generation by owner
+	loaded     map[string]int // generation at an owner's latest load, by owner
 	crashed    chan struct{}
 	running    int
-	most       int
+	maxRunning int
 }
 
-// engines is how many engines there are.
+// engines is the number of engines.
 const engines = 8
 
-func newWorld(instances int) *world {
-	w := &world{
-		delay: time.Millisecond, spread: 200 * time.Millisecond, lag: time.Second,
-		crashes: map[string]int{}, refused: map[string]int{}, answered: map[string]int{}, cut: map[[2]string]bool{},
+func newCluster(instances int) *cluster {
+	cl := &cluster{
+		messageDelay: time.Millisecond, spreadDelay: 200 * time.Millisecond, memberDelay: time.Second,
+		crashes: map[string]int{}, quarantined: map[string]int{}, answered: map[string]int{}, partitioned: map[[2]string]bool{},
 		digests: map[Fingerprint][][]byte{}, owners: map[int]*instance{},
 	}
 	for n := range engines {
-		w.engines = append(w.engines, &fakeEngine{world: w, name: strconv.Itoa(n), up: true, crashed: make(chan struct{}), loaded: map[string]int{}})
+		cl.engines = append(cl.engines, &fakeEngine{cluster: cl, name: strconv.Itoa(n), up: true, crashed: make(chan struct{}), loaded: map[string]int{}})
 	}
 	for range instances {
-		w.add()
+		cl.add()
 	}
-	return w
+	return cl
 }
 
 // add starts an instance.
-func (w *world) add() {
-	w.lock.Lock()
-	i := &instance{world: w, id: "i" + strconv.Itoa(len(w.instances)), born: time.Now()}
+func (cl *cluster) add() {
+	cl.lock.Lock()
+	i := &instance{cluster: cl, id: "i" + strconv.Itoa(len(cl.instances)), started: time.Now()}
 	i.ctx, i.kill = context.WithCancel(context.Background())
-	w.instances = append(w.instances, i)
-	w.lock.Unlock()
+	cl.instances = append(cl.instances, i)
+	cl.lock.Unlock()
 	r := &Registry{Self: i.id, Settle: 3 * time.Second, Linger: 2 * time.Second, Hold: time.Hour}
 	i.guard = &Guard{
-		Registry: r, Members: i.members, Begin: i.begin, Finish: i.finish, Run: i.hop,
+		Registry: r, Members: i.members, Begin: i.begin, Finish: i.finish, Run: i.forward,
 		Replicate: i.replicate, Spread: i.announce,
-		Isolation: &Isolation{Linger: 2 * time.Second}, Mark: i.mark, Survived: w.survived, Log: snipelog.Discard(),
+		Isolation: &Isolation{Linger: 2 * time.Second}, Mark: i.mark, Survived: cl.survived, Log: snipelog.Discard(),
 	}
 	r.Announce = i.guard.Announce
 	go func() { _ = i.guard.Loop(i.ctx) }()
-	time.AfterFunc(w.spread, i.join)
+	time.AfterFunc(cl.spreadDelay, i.join)
 }
 
-// join gives a new instance what has been announced before.
+// join gives a new instance the records announced earlier.
 func (i *instance) join() {
-	i.world.lock.Lock()
-	digests := maps.Clone(i.world.digests)
-	i.world.lock.Unlock()
+	i.cluster.lock.Lock()
+	digests := maps.Clone(i.cluster.digests)
+	i.cluster.lock.Unlock()
 	for f, all := range digests {
 		for _, data := range all {
 			_ = i.guard.Registry.Merge(f, data)
@@ -110,25 +110,25 @@
 	}
 }
 
-// members are the live instances as the table shows them, which lags behind.
+// members returns the live instances as the table shows them after memberDelay.
 func (i *instance) members() []Member {
-	i.world.lock.Lock()
-	defer i.world.lock.Unlock()
-	then := time.Now().Add(-i.world.lag)
+	i.cluster.lock.Lock()
+	defer i.cluster.lock.Unlock()
+	asOf := time.Now().Add(-i.cluster.memberDelay)
 	var all []Member
-	for n, o := range i.world.instances {
-		started := !o.born.After(then) || o.born.Equal(i.world.instances[0].born) || o == i
-		if started && (o.died.IsZero() || o.died.After(then)) {
-			all = append(all, NewMember(o.id, strconv.Itoa(n%3)))
+	for n, other := range i.cluster.instances {
+		started := !other.started.After(asOf) || other.started.Equal(i.cluster.instances[0].started) || other == i
+		if started && (other.died.IsZero() || other.died.After(asOf)) {
+			all = append(all, NewMember(other.id, strconv.Itoa(n%3)))
 		}
 	}
 	return all
 }
 
-func (w *world) find(id string) *instance {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	for _, i := range w.instances {
+func (cl *cluster) find(id string) *instance {
+	cl.lock.Lock()
+	defer cl.lock.Unlock()
+	for _, i := range cl.instances {
 		if i.id == id && i.died.IsZero() {
 			return i
 		}
@@ -136,81 +136,83 @@
 	return nil
 }
 
-// reach returns a live member after the message's delay.
+// reach returns a live member after the delay of a message.
 func (i *instance) reach(ctx context.Context, id string) (*instance, error) {
-	time.Sleep(i.world.delay)
-	i.world.lock.Lock()
-	cut := i.world.cut[[2]string{i.id, id}] || i.world.cut[[2]string{id, i.id}]
-	i.world.lock.Unlock()
-	o := i.world.find(id)
-	if o == nil || cut || ctx.Err() != nil || i.ctx.Err() != nil {
+	time.Sleep(i.cluster.messageDelay)
+	i.cluster.lock.Lock()
+	partitioned := i.cluster.partitioned[[2]string{i.id, id}] || i.cluster.partitioned[[2]string{id, i.id}]
+	i.cluster.lock.Unlock()
+	other := i.cluster.find(id)
+	if other == nil || partitioned || ctx.Err() != nil || i.ctx.Err() != nil {
 		return nil, errUnreachable
 	}
-	return o, nil
+	return other, nil
 }
 
 func (i *instance) begin(ctx context.Context, id string, a Attempt) (Verdict, error) {
-	o, err := i.reach(ctx, id)
+	other, err := i.reach(ctx, id)
 	if err != nil {
 		return Verdict{}, err
 	}
-	return o.guard.Registry.Begin(a), nil
+	return other.guard.Registry.Begin(a), nil
 }
 
 func (i *instance) finish(ctx context.Context, id string, a Attempt, e End) ([]byte, error) {
-	o, err := i.reach(ctx, id)
+	other, err := i.reach(ctx, id)
 	if err != nil {
 		return nil, err
 	}
-	return o.guard.Registry.Finish(a, e), nil
+	return other.guard.Registry.Finish(a, e), nil
 }
 
 func (i *instance) replicate(ctx context.Context, id string, f Fingerprint, data []byte) error {
-	o, err := i.reach(ctx, id)
+	other, err := i.reach(ctx, id)
 	if err != nil {
 		return err
 	}
-	return o.guard.Keep(f, data)
+	return other.guard.MergeAndSpread(f, data)
 }
 
-// announce reaches all later, unless this instance dies first.
+// announce delivers a record to all live instances after spreadDelay, unless this
+// instance dies first.
 func (i *instance) announce(f Fingerprint, data []byte, _ time.Duration) {
-	time.AfterFunc(i.world.spread, func() {
+	time.AfterFunc(i.cluster.spreadDelay, func() {
 		if i.ctx.Err() != nil {
 			return
 		}
-		i.world.lock.Lock()
-		all := slices.Clone(i.world.instances)
-		i.world.digests[f] = append(i.world.digests[f], data)
-		i.world.lock.Unlock()
-		for _, o := range all {
-			if o.ctx.Err() == nil {
-				_ = o.guard.Registry.Merge(f, data)
+		i.cluster.lock.Lock()
+		all := slices.Clone(i.cluster.instances)
+		i.cluster.digests[f] = append(i.cluster.digests[f], data)
+		i.cluster.lock.Unlock()
+		for _, other := range all {
+			if other.ctx.Err() == nil {
+				_ = other.guard.Registry.Merge(f, data)
 			}
 		}
 	})
 }
 
-// lapse is how long an engine has no owner after its owner's death.
-const lapse = 4 * time.Second
+// ownerlessTime is how long an engine has no owner after the death of its owner.
+const ownerlessTime = 4 * time.Second
 
-// owner is the instance that owns an engine; it changes only with its death.
-func (w *world) owner(engine string) *instance {
+// owner returns the instance that owns an engine, or nil. The owner changes only when
+// it dies.
+func (cl *cluster) owner(engine string) *instance {
 	n, err := strconv.Atoi(engine)
 	if err != nil {
 		return nil
 	}
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	old := w.owners[n]
-	if old != nil && (old.died.IsZero() || time.Since(old.died) < lapse) {
+	cl.lock.Lock()
+	defer cl.lock.Unlock()
+	old := cl.owners[n]
+	if old != nil && (old.died.IsZero() || time.Since(old.died) < ownerlessTime) {
 		if old.died.IsZero() {
 			return old
 		}
 		return nil
 	}
 	var live []*instance
-	for _, i := range w.instances {
+	for _, i := range cl.instances {
 		if i.died.IsZero() {
 			live = append(live, i)
 		}
@@ -218,53 +220,54 @@
 	if len(live) == 0 {
 		return nil
 	}
-	w.owners[n] = live[n%len(live)]
-	return w.owners[n]
+	cl.owners[n] = live[n%len(live)]
+	return cl.owners[n]
 }
 
-// mark is what another instance than the owner knows: the ownership, not the
-// load of the adapter.
+// mark returns what an instance other than the owner can determine: the owner, but not
+// whether it has loaded the adapter.
 func (i *instance) mark(c *snipecall.Call) string {
-	if o := i.world.owner(c.Upstream); o != nil {
-		return "owner " + o.id
+	if owner := i.cluster.owner(c.Upstream); owner != nil {
+		return "owner " + owner.id
 	}
 	return ""
 }
 
-func (w *world) survived(_ context.Context, upstream, mark string) bool {
+func (cl *cluster) survived(_ context.Context, upstream, mark string) bool {
 	n, err := strconv.Atoi(upstream)
 	if err != nil {
 		return false
 	}
-	e := w.engines[n]
+	e := cl.engines[n]
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	if owner, ok := strings.CutPrefix(mark, "owner "); ok {
-		// A live owner may have loaded the adapter again after a restart.
-		return e.up && (e.loaded[owner] == e.generation || w.find(owner) != nil)
+		// A live owner may have reloaded the adapter after a restart.
+		return e.up && (e.loaded[owner] == e.generation || cl.find(owner) != nil)
 	}
 	return e.up && mark == strconv.Itoa(e.generation)
 }
 
-// hop runs an attempt at the owner of its upstream.
-func (i *instance) hop(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
-	o := i.world.owner(c.Upstream)
-	time.Sleep(i.world.delay)
-	if o == nil || o.ctx.Err() != nil {
+// forward runs an attempt at the owner of its upstream.
+func (i *instance) forward(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
+	owner := i.cluster.owner(c.Upstream)
+	time.Sleep(i.cluster.messageDelay)
+	if owner == nil || owner.ctx.Err() != nil {
 		return snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "no owner")
 	}
 	forwarded := *c
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(o.ctx, cancel)()
-	err := o.serve(ctx, &forwarded, sink)
-	if o.ctx.Err() != nil {
-		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, "hop broke")
+	defer context.AfterFunc(owner.ctx, cancel)()
+	err := owner.serve(ctx, &forwarded, sink)
+	if owner.ctx.Err() != nil {
+		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, "connection to the owner broke")
 	}
 	return err
 }
 
-// errNotResident is what an engine says that has restarted since the load.
+// errNotResident is the failure of an engine that has restarted since the load of the
+// adapter.
 var errNotResident = snipeerror.New(snipeerror.ErrLoadFailed, snipeerror.NotRun, "not resident")
 
 func (i *instance) serve(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
@@ -273,7 +276,7 @@
 		return err
 	}
 	for range 3 {
-		err = i.attempt(ctx, i.world.engines[n], c, sink)
+		err = i.attempt(ctx, i.cluster.engines[n], c, sink)
 		if !errors.Is(err, errNotResident) {
 			return err
 		}
@@ -293,13 +296,13 @@
 	}
 	err = e.execute(ctx, c, generation, sink)
 	if i.ctx.Err() == nil {
-		// A dead owner tells nothing.
+		// A dead owner reports nothing.
 		done(err)
 	}
 	return err
 }
 
-// execute takes some seconds; a crasher crashes halfway.
+// execute takes one to seven seconds; a crashing call crashes the engine halfway.
 func (e *fakeEngine) execute(ctx context.Context, c *snipecall.Call, generation int, sink snipecall.Sink) error {
 	e.lock.Lock()
 	if !e.up {
@@ -312,7 +315,7 @@
 	}
 	crashed := e.crashed
 	e.running++
-	e.most = max(e.most, e.running)
+	e.maxRunning = max(e.maxRunning, e.running)
 	e.lock.Unlock()
 	defer func() {
 		e.lock.Lock()
@@ -333,17 +336,17 @@
 	}
 }
 
-// crash ends all calls; the engine is up again, empty, after two seconds. A
-// call that was canceled does not crash it any more.
+// crash breaks off all calls of the engine. The engine is up again, without adapters,
+// after two seconds. A canceled call does not crash it.
 func (e *fakeEngine) crash(ctx context.Context, of chan struct{}, body string) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	if ctx.Err() != nil || e.crashed != of {
 		return
 	}
-	e.world.lock.Lock()
-	e.world.crashes[body]++
-	e.world.lock.Unlock()
+	e.cluster.lock.Lock()
+	e.cluster.crashes[body]++
+	e.cluster.lock.Unlock()
 	e.up = false
 	e.generation++
 	close(e.crashed)
@@ -362,11 +365,11 @@
 	}
 }
 
-// call sends one request through an instance and repeats it up to tries times,
-// at random engines.
-func (w *world) call(i *instance, id, body string, random *rand.Rand, tries int) {
+// call sends one request through an instance up to tries times, to random engines,
+// until it is answered.
+func (cl *cluster) call(i *instance, id, body string, random *rand.Rand, tries int) {
 	for n := range tries {
-		err := w.callAt(i, id+"-"+strconv.Itoa(n), body, random.IntN(engines))
+		err := cl.callAt(i, id+"-"+strconv.Itoa(n), body, random.IntN(engines))
 		if err == nil || i.ctx.Err() != nil {
 			return
 		}
@@ -374,73 +377,73 @@
 	}
 }
 
-// callAt sends one request once, with an engine chosen.
-func (w *world) callAt(i *instance, id, body string, engine int) error {
+// callAt sends one request once, with engine as the chosen upstream.
+func (cl *cluster) callAt(i *instance, id, body string, engine int) error {
 	c := newCall(id, body)
 	c.Upstream = strconv.Itoa(engine)
 	ctx, cancel := context.WithDeadline(i.ctx, c.Deadline)
 	defer cancel()
 	run := i.guard.Execute
-	if w.unguarded {
-		run = i.hop
+	if cl.unguarded {
+		run = i.forward
 	}
 	err := run(ctx, c, func(snipecall.Chunk) error { return nil })
 	if i.ctx.Err() == nil {
-		w.count(body, err)
+		cl.count(body, err)
 	}
 	return err
 }
 
-func (w *world) count(body string, err error) {
-	w.lock.Lock()
-	defer w.lock.Unlock()
+func (cl *cluster) count(body string, err error) {
+	cl.lock.Lock()
+	defer cl.lock.Unlock()
 	switch {
 	case err == nil:
-		w.answered[body]++
+		cl.answered[body]++
 	case errors.Is(err, snipeerror.ErrQuarantined):
-		w.refused[body]++
+		cl.quarantined[body]++
 	}
 }
 
-// check asserts the bound and that no innocent call was refused.
-func (w *world) check(t *testing.T, seed uint64) {
+// check asserts the bound and that no harmless call was quarantined.
+func (cl *cluster) check(t *testing.T, seed uint64) {
 	t.Helper()
-	w.checkBound(t, seed)
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	for _, body := range slices.Sorted(maps.Keys(w.refused)) {
+	cl.checkBound(t, seed)
+	cl.lock.Lock()
+	defer cl.lock.Unlock()
+	for _, body := range slices.Sorted(maps.Keys(cl.quarantined)) {
 		if !strings.HasPrefix(body, "crash") {
-			t.Errorf("seed %d: %q was refused %d times", seed, body, w.refused[body])
+			t.Errorf("seed %d: %q was quarantined %d times", seed, body, cl.quarantined[body])
 		}
 	}
 }
 
 // checkBound asserts that no body has crashed more than two engines.
-func (w *world) checkBound(t *testing.T, seed uint64) {
+func (cl *cluster) checkBound(t *testing.T, seed uint64) {
 	t.Helper()
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	for _, body := range slices.Sorted(maps.Keys(w.crashes)) {
-		if n := w.crashes[body]; n > quarantineCrashes {
+	cl.lock.Lock()
+	defer cl.lock.Unlock()
+	for _, body := range slices.Sorted(maps.Keys(cl.crashes)) {
+		if n := cl.crashes[body]; n > quarantineCrashes {
 			t.Errorf("seed %d: %q crashed %d engines", seed, body, n)
 		}
 	}
 }
 
-// stop ends all instances and waits for what runs on its own.
-func (w *world) stop() {
-	w.lock.Lock()
-	for _, i := range w.instances {
+// stop stops all instances and waits for their background work.
+func (cl *cluster) stop() {
+	cl.lock.Lock()
+	for _, i := range cl.instances {
 		i.kill()
 	}
-	w.lock.Unlock()
+	cl.lock.Unlock()
 	time.Sleep(time.Minute)
 }
 
 func (i *instance) die() {
-	i.world.lock.Lock()
+	i.cluster.lock.Lock()
 	i.died = time.Now()
-	i.world.lock.Unlock()
+	i.cluster.lock.Unlock()
 	i.kill()
 }
 
--- a/snipequarantine/snipequarantine.go
+++ b/snipequarantine/snipequarantine.go
@@ -1,33 +1,35 @@
-// Package snipequarantine bounds what a call that crashes upstreams can do: at
-// most two crashes for each fingerprint in the whole system, and no innocent
-// call refused.
+// Package snipequarantine limits the damage of calls that crash upstreams: each
+// fingerprint causes at most two crashes in the whole system, and no call that crashes
+// nothing is quarantined.
 //
-// Design. A fingerprint is a team, an adapter (or service) and a body. Each
-// fingerprint has two coordinators: the instance that ranks first for it by
-// rendezvous hash, and the first one of another failure domain for when that
-// one does not answer. Every attempt is announced to a coordinator before it
-// starts and when it has ended, so that besides the instance that executes it
-// there is always another one that knows of it.
+// Design. A fingerprint is a hash of a team, an adapter (or a service with method and
+// path) and a body. Each fingerprint has two coordinators: the instance that ranks
+// first for it by rendezvous hash, and, as a fallback if that instance does not answer,
+// the highest-ranking instance of another failure domain. Every attempt is reported to
+// a coordinator before it starts and after it has ended, so that at least one instance
+// besides the one that executes the attempt has a record of it.
 //
-//   - Registry is a coordinator's state and its decisions.
-//   - Guard is the entry instance's side: it asks the coordinator before each
-//     attempt and reports its end.
+//   - Registry holds the state of a coordinator and makes its decisions.
+//   - Guard is the entry instance's side: it asks the coordinator before each attempt
+//     and reports the attempt's end.
 //   - Isolation is the side of an upstream's owner: it runs a suspect alone.
 //
-// Invariants. The bound is two because of these rules:
+// Invariants. The limit of two crashes follows from these rules:
 //
-//   - A coordinator lets attempts of one fingerprint be in flight at one
-//     upstream at a time; others are directed there. So they can crash one
-//     upstream, and two while two coordinators are asked.
-//   - After a crash all fingerprints that were in flight are suspects. A suspect
-//     starts again only alone on its upstream, one attempt in the whole system,
-//     by leave of the first coordinator, and not before all its other attempts
-//     have ended and the news of the crash has had time to reach everybody. Its
-//     turn there is told to the coordinator too; until then no crash is its own.
-//   - An answer of an attempt that ran alone clears the suspect. A crash of it
-//     quarantines the fingerprint: nothing else was running there.
+//   - A coordinator lets attempts of one fingerprint be in flight at one upstream at a
+//     time, and directs further attempts to that upstream. These attempts can therefore
+//     crash one upstream, or two while two coordinators are in use.
+//   - After a crash, every fingerprint that was in flight at the upstream is a suspect.
+//     A suspect starts again only alone on its upstream, with one attempt at a time in
+//     the whole system, with the permission of the first coordinator, and not before
+//     all its other attempts have ended and the record of the crash has had time to
+//     reach every instance. The owner of the upstream reports the start of this attempt
+//     to the coordinators; until then no crash is attributed to the suspect.
+//   - A complete answer of an attempt that ran alone clears the suspect. A crash during
+//     such an attempt quarantines the fingerprint, because nothing else was running at
+//     the upstream.
 //
-// What remains open is in docs/design/limits-quarantine.md.
+// Known gaps are listed in docs/design/limits-quarantine.md.
 package snipequarantine
 
 import (
@@ -43,17 +45,17 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// ErrBadFingerprint is returned for a text that is no fingerprint.
+// ErrBadFingerprint is returned for text or bytes that are not a fingerprint.
 var ErrBadFingerprint = errors.New("not a fingerprint")
 
 // fingerprintSize is the number of bytes of a Fingerprint.
 const fingerprintSize = 16
 
-// Fingerprint identifies calls that are the same to an upstream.
+// Fingerprint identifies calls that are identical for an upstream.
 type Fingerprint [fingerprintSize]byte
 
-// FingerprintOf returns the fingerprint of a call: a hash of the team, what is
-// called, and the body.
+// FingerprintOf returns the fingerprint of a call: a hash of the team, the target and
+// the body. The target is the adapter, or the service with method and path.
 func FingerprintOf(c *snipecall.Call) Fingerprint {
 	h := sha256.New()
 	target := c.Adapter.String()
@@ -66,10 +68,10 @@
 	return Fingerprint(h.Sum(sum[:0])[:fingerprintSize])
 }
 
-// String returns the hexadecimal form.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads the hexadecimal form.
+// ParseFingerprint parses the hexadecimal form of a fingerprint.
 func ParseFingerprint(s string) (Fingerprint, error) {
 	b, err := hex.DecodeString(s)
 	if err != nil {
@@ -78,7 +80,8 @@
 	return FingerprintFrom(b)
 }
 
-// FingerprintFrom reads the bytes of a fingerprint.
+// FingerprintFrom converts bytes to a fingerprint. It returns ErrBadFingerprint if
+// their number is wrong.
 func FingerprintFrom(b []byte) (Fingerprint, error) {
 	if len(b) != fingerprintSize {
 		return Fingerprint{}, errors.Wrapf(ErrBadFingerprint, "%d bytes", len(b))
@@ -86,80 +89,86 @@
 	return Fingerprint(b), nil
 }
 
-// Decision is what a coordinator says to an attempt.
+// Decision is a coordinator's decision about the start of an attempt.
 type Decision uint8
 
-// The decisions.
+// Decisions of a coordinator. Instances exchange their numeric values.
 const (
-	// Run: start the attempt.
+	// Run permits the attempt to start.
 	Run Decision = iota
-	// RunAlone: start the attempt with nothing else at its upstream.
+	// RunAlone permits the attempt to start with no other call at its upstream.
 	RunAlone
-	// Wait: ask again after the verdict's Wait.
+	// Wait requires the attempt to ask again after Verdict.Wait.
 	Wait
-	// Quarantined: refuse the call; it is released after the verdict's Wait.
+	// Quarantined refuses the call. The fingerprint is released after Verdict.Wait.
 	Quarantined
-	decisions
+	decisionCount
 )
 
-// Verdict is a coordinator's answer to the start of an attempt.
+// Verdict is a coordinator's answer to Begin.
 type Verdict struct {
 	Decision Decision
-	// Wait is the time to wait, for Wait and Quarantined.
+	// Wait is the time to wait if Decision is Wait, and the time until the release if
+	// Decision is Quarantined.
 	Wait time.Duration
-	// Upstream is where the attempt must run; empty for its own choice.
+	// Upstream is where the attempt must run. If it is empty, the attempt runs at the
+	// upstream that its entry instance chose.
 	Upstream string
 }
 
-// Attempt is one attempt of a call, as its coordinator sees it.
+// Attempt is one attempt of a call, as reported to a coordinator.
 type Attempt struct {
 	Fingerprint Fingerprint
-	// ID is the attempt's identifier, unique in the system.
+	// ID identifies the attempt in the whole system.
 	ID string
-	// Entry is the member that the caller is connected to.
+	// Entry is the ID of the member that the caller is connected to.
 	Entry string
 	// Upstream is where the attempt runs.
 	Upstream string
-	// Mark is what an upstream that has not restarted since still has: the
-	// beginning of the alias that the call runs under. Empty for services.
+	// Mark is what Guard.Survived looks for at the upstream: the alias, or the prefix
+	// of the alias, under which the call runs. An engine loses it in a restart.
+	// Services have no aliases and use a mark of their own. If Mark is empty, a crash
+	// cannot be verified.
 	Mark string
 	// Left is the time until the call's deadline.
 	Left time.Duration
-	// Alone tells that the attempt is a suspect's and may run alone, by leave of
-	// the first coordinator; the second one is told so.
+	// Alone means that the attempt belongs to a suspect and that the first coordinator
+	// has permitted it to run alone. The second coordinator only registers such an
+	// attempt.
 	Alone bool
-	// Started tells that the turn of an attempt that runs alone has come.
+	// Started means that the owner of the upstream has admitted an attempt that runs
+	// alone.
 	Started bool
-	// Moved tells that another coordinator has let the attempt start.
+	// Moved means that another coordinator has already permitted the attempt to start.
 	Moved bool
 }
 
 // End is how an attempt ended.
 type End uint8
 
-// The ends of an attempt.
+// Ends of an attempt. Instances exchange their numeric values.
 const (
-	// Answered: the upstream has answered in full.
+	// Answered: the upstream has returned a complete answer.
 	Answered End = iota
-	// Refused: the upstream has not executed the call, or has failed it and
-	// gone on.
+	// Refused: the upstream did not execute the call, or failed it and kept running.
 	Refused
-	// Abandoned: nobody waits any more, but the upstream may still execute it.
+	// Abandoned: the call is no longer awaited, but the upstream may still execute it.
 	Abandoned
-	// Crashed: the upstream broke off and may have crashed.
+	// Crashed: the upstream broke off the call and may have crashed.
 	Crashed
-	// Withdrawn: the turn of a suspect was not used; another one will come.
+	// Withdrawn: the owner admitted a suspect's attempt, but the attempt was refused;
+	// it may be admitted again.
 	Withdrawn
-	ends
+	endCount
 )
 
 // Member is a live instance.
 type Member struct {
-	// ID names one run of an instance's process.
+	// ID identifies one run of an instance's process.
 	ID string
 	// Domain is its failure domain.
 	Domain string
-	// Hash is the hash of ID that ranks it.
+	// Hash is the hash of ID that determines the member's rank.
 	Hash uint64
 }
 
@@ -168,8 +177,9 @@
 	return Member{ID: id, Domain: domain, Hash: sniperoute.Hash(id)}
 }
 
-// Coordinators returns the coordinators of a fingerprint: the member that
-// ranks first, and the first one of another failure domain, or the second.
+// Coordinators returns the coordinators of a fingerprint, at most two: the member that
+// ranks first, and the highest-ranking member of another failure domain. Without
+// another failure domain the second is the member that ranks second.
 func Coordinators(f Fingerprint, members []Member) []Member {
 	key := sniperoute.Hash(string(f[:]))
 	first := bestMember(key, members, func(Member) bool { return true })
@@ -187,8 +197,8 @@
 	return []Member{lead, members[second]}
 }
 
-// bestMember returns the index of the allowed member with the highest rank, or
-// -1 when there is none.
+// bestMember returns the index of the allowed member with the highest rank, or -1 if
+// there is none.
 func bestMember(key uint64, members []Member, allowed func(Member) bool) int {
 	best, bestScore := -1, uint64(0)
 	for i, m := range members {
@@ -202,13 +212,13 @@
 	return best
 }
 
-// isolationShare is the part of the upstreams at which suspects may run: one
-// in so many, at least one.
-const isolationShare = 6
+// isolationDivisor limits the upstreams at which suspects may run: one in
+// isolationDivisor of the usable upstreams, and at least one.
+const isolationDivisor = 6
 
-// IsolationUpstream returns which of the usable upstreams a suspect runs at.
-// All suspects share a few upstreams, the same on every instance, so that most
-// stay free for other calls.
+// IsolationUpstream returns the usable upstream at which a suspect runs, or false if
+// there is none. All instances choose from the same few upstreams, so that most
+// upstreams remain available to other calls.
 func IsolationUpstream(f Fingerprint, usable []string) (string, bool) {
 	if len(usable) == 0 {
 		return "", false
@@ -217,6 +227,6 @@
 	slices.SortFunc(ranked, func(a, b string) int {
 		return cmp.Or(cmp.Compare(sniperoute.Hash(a), sniperoute.Hash(b)), cmp.Compare(a, b))
 	})
-	n := max(len(ranked)/isolationShare, 1)
+	n := max(len(ranked)/isolationDivisor, 1)
 	return ranked[int(f[0])%n], true
 }
--- a/snipequarantine/state.go
+++ b/snipequarantine/state.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// The functions below keep the Registry's maps. The lock is held in each.
+// The functions below maintain the maps of a Registry. The lock is held in each.
 
-func (r *Registry) setup(now time.Time) {
+func (r *Registry) initialize(now time.Time) {
 	if r.active != nil {
 		return
 	}
 	r.active = map[Fingerprint]map[string]*attempt{}
 	r.records = map[Fingerprint]*record{}
-	// A new instance may be the coordinator of attempts it has not heard of.
-	r.changed = now
+	// A new instance may be the coordinator of attempts that are not registered with it
+	// yet; suspects wait for Settle.
+	r.membersChanged = now
 }
 
-// running returns the attempts of a fingerprint that may still run; those
-// whose upstream has crashed do not.
+// running returns the attempts of a fingerprint that may still run, without those whose
+// upstream has crashed. It removes expired attempts.
 func (r *Registry) running(f Fingerprint, now time.Time) []*attempt {
 	var all []*attempt
 	for id, a := range r.active[f] {
 		switch {
-		case !now.Before(a.until):
-			r.remove(f, id)
+		case !now.Before(a.expires):
+			r.removeAttempt(f, id)
 		case !a.counted:
 			all = append(all, a)
 		}
@@ -32,7 +33,7 @@
 	return all
 }
 
-// sweep forgets attempts and records whose time is over.
+// sweep removes expired attempts and records.
 func (r *Registry) sweep(now time.Time) {
 	for f := range r.active {
 		r.running(f, now)
@@ -42,7 +43,7 @@
 	}
 }
 
-func (r *Registry) start(a Attempt, now time.Time) *attempt {
+func (r *Registry) addAttempt(a Attempt, now time.Time) *attempt {
 	all := r.active[a.Fingerprint]
 	if all == nil {
 		all = map[string]*attempt{}
@@ -51,12 +52,12 @@
 	if _, ok := all[a.ID]; !ok {
 		r.attempts++
 	}
-	s := &attempt{Attempt: a, until: now.Add(a.Left + r.Linger)}
+	s := &attempt{Attempt: a, expires: now.Add(a.Left + r.Linger)}
 	all[a.ID] = s
 	return s
 }
 
-func (r *Registry) remove(f Fingerprint, id string) {
+func (r *Registry) removeAttempt(f Fingerprint, id string) {
 	all := r.active[f]
 	if _, ok := all[id]; !ok {
 		return
@@ -68,28 +69,29 @@
 	}
 }
 
-// recordOf returns the record of a fingerprint unless it is released.
+// recordOf returns the record of a fingerprint, or nil if there is none. It removes an
+// expired record.
 func (r *Registry) recordOf(f Fingerprint, now time.Time) *record {
 	known, ok := r.records[f]
 	if !ok {
 		return nil
 	}
-	if !now.Before(known.until) {
+	if !now.Before(known.expires) {
 		delete(r.records, f)
 		return nil
 	}
 	return known
 }
 
-// newRecord adds an empty record, in place of the one released first when
-// there are too many.
+// newRecord adds an empty record. If there are too many records, it replaces the one
+// that would be released first.
 func (r *Registry) newRecord(f Fingerprint) *record {
 	if len(r.records) >= maxRecords {
 		var first Fingerprint
 		var until time.Time
 		for g, known := range r.records {
-			if until.IsZero() || known.until.Before(until) {
-				first, until = g, known.until
+			if until.IsZero() || known.expires.Before(until) {
+				first, until = g, known.expires
 			}
 		}
 		delete(r.records, first)
--- a/snipequarantine/wire.go
+++ b/snipequarantine/wire.go
@@ -13,26 +13,26 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// Bounds of what peers may send.
+// Limits of the values that peers may send.
 const (
-	maxID   = 512
-	maxLeft = 24 * time.Hour
+	maxTextBytes = 512
+	maxLeft      = 24 * time.Hour
 )
 
 // ErrUnknownMember is returned for a member whose address is not known.
 var ErrUnknownMember = errors.New("unknown member")
 
-// PathPrefix is where Handler is mounted.
+// PathPrefix is the path prefix at which Handler is mounted.
 const PathPrefix = snipeproto.QuarantinePathPrefix
 
-// Handler returns the handler of peers' requests; the caller checks the secret.
+// Handler returns the handler of peers' requests. The caller checks the peer secret.
 func (g *Guard) Handler() http.Handler { return snipeproto.NewQuarantineServer(&server{guard: g}) }
 
 type server struct{ guard *Guard }
 
 // Begin implements snipeproto.Quarantine.
 func (s *server) Begin(_ context.Context, in *snipeproto.AttemptState) (*snipeproto.VerdictState, error) {
-	a, err := readAttempt(in)
+	a, err := decodeAttempt(in)
 	if err != nil {
 		return nil, twirp.InvalidArgument.Error(err.Error())
 	}
@@ -44,8 +44,8 @@
 
 // Finish implements snipeproto.Quarantine.
 func (s *server) Finish(_ context.Context, in *snipeproto.FinishRequest) (*snipeproto.FinishResponse, error) {
-	a, err := readAttempt(in.Attempt)
-	if err != nil || in.End >= uint32(ends) {
+	a, err := decodeAttempt(in.Attempt)
+	if err != nil || in.End >= uint32(endCount) {
 		return nil, twirp.InvalidArgument.Errorf("attempt: %v, end %d", err, in.End)
 	}
 	return &snipeproto.FinishResponse{Record: s.guard.Registry.Finish(a, End(in.End))}, nil
@@ -55,7 +55,7 @@
 func (s *server) Replicate(_ context.Context, in *snipeproto.ReplicateRequest) (*snipeproto.ReplicateResponse, error) {
 	f, err := FingerprintFrom(in.Fingerprint)
 	if err == nil {
-		err = s.guard.Keep(f, in.Record)
+		err = s.guard.MergeAndSpread(f, in.Record)
 	}
 	if err != nil {
 		return nil, twirp.InvalidArgument.Error(err.Error())
@@ -63,14 +63,14 @@
 	return &snipeproto.ReplicateResponse{}, nil
 }
 
-func readAttempt(in *snipeproto.AttemptState) (Attempt, error) {
+func decodeAttempt(in *snipeproto.AttemptState) (Attempt, error) {
 	f, err := FingerprintFrom(in.GetFingerprint())
 	if err != nil {
 		return Attempt{}, err
 	}
 	left := time.Duration(in.GetLeftMilliseconds()) * time.Millisecond
 	for _, s := range []string{in.GetId(), in.GetEntry(), in.GetUpstream(), in.GetMark()} {
-		if len(s) > maxID {
+		if len(s) > maxTextBytes {
 			return Attempt{}, errors.Wrapf(snipecall.ErrBadName, "%d bytes", len(s))
 		}
 	}
@@ -81,22 +81,22 @@
 	}, nil
 }
 
-func writeAttempt(a Attempt) *snipeproto.AttemptState {
+func encodeAttempt(a Attempt) *snipeproto.AttemptState {
 	return &snipeproto.AttemptState{
 		Fingerprint: a.Fingerprint[:], Id: a.ID, Entry: a.Entry, Upstream: a.Upstream, Mark: a.Mark,
 		LeftMilliseconds: a.Left.Milliseconds(), Alone: a.Alone, Started: a.Started, Moved: a.Moved,
 	}
 }
 
-// Client asks other members; its methods fit the fields of a Guard.
+// Client sends requests to other members; its methods fit the fields of a Guard.
 type Client struct {
 	// HTTP sends requests with the peer secret.
 	HTTP snipeproto.HTTPClient
-	// Address returns the peers' address of a member.
+	// Address returns the address at which a member serves its peers.
 	Address func(member string) (netip.AddrPort, bool)
 }
 
-func (c *Client) open(member string) (snipeproto.Quarantine, error) {
+func (c *Client) remote(member string) (snipeproto.Quarantine, error) {
 	address, ok := c.Address(member)
 	if !ok {
 		return nil, errors.Wrap(ErrUnknownMember, member)
@@ -104,39 +104,39 @@
 	return snipeproto.NewQuarantineProtobufClient("http://"+address.String(), c.HTTP), nil
 }
 
-// Begin asks a member whether an attempt may start.
+// Begin calls Registry.Begin on a member.
 func (c *Client) Begin(ctx context.Context, member string, a Attempt) (Verdict, error) {
-	remote, err := c.open(member)
+	remote, err := c.remote(member)
 	if err != nil {
 		return Verdict{}, err
 	}
-	out, err := remote.Begin(ctx, writeAttempt(a))
+	out, err := remote.Begin(ctx, encodeAttempt(a))
 	if err != nil {
-		return Verdict{}, errors.Wrapf(err, "ask %s", member)
+		return Verdict{}, errors.Wrapf(err, "begin attempt at %s", member)
 	}
-	if out.Decision >= uint32(decisions) {
-		return Verdict{}, errors.Errorf("ask %s: decision %d", member, out.Decision)
+	if out.Decision >= uint32(decisionCount) {
+		return Verdict{}, errors.Errorf("begin attempt at %s: unknown decision %d", member, out.Decision)
 	}
 	wait := time.Duration(out.WaitMilliseconds) * time.Millisecond
 	return Verdict{Decision: Decision(out.Decision), Wait: max(wait, time.Millisecond), Upstream: out.Upstream}, nil
 }
 
-// Finish tells a member how an attempt ended.
+// Finish calls Registry.Finish on a member and returns the fingerprint's record.
 func (c *Client) Finish(ctx context.Context, member string, a Attempt, e End) ([]byte, error) {
-	remote, err := c.open(member)
+	remote, err := c.remote(member)
 	if err != nil {
 		return nil, err
 	}
-	out, err := remote.Finish(ctx, &snipeproto.FinishRequest{Attempt: writeAttempt(a), End: uint32(e)})
+	out, err := remote.Finish(ctx, &snipeproto.FinishRequest{Attempt: encodeAttempt(a), End: uint32(e)})
 	if err != nil {
-		return nil, errors.Wrapf(err, "tell %s", member)
+		return nil, errors.Wrapf(err, "finish attempt at %s", member)
 	}
 	return out.Record, nil
 }
 
-// Replicate gives a member a record to keep and to spread.
+// Replicate sends a record to a member, which merges and spreads it.
 func (c *Client) Replicate(ctx context.Context, member string, f Fingerprint, record []byte) error {
-	remote, err := c.open(member)
+	remote, err := c.remote(member)
 	if err != nil {
 		return err
 	}
--- a/snipequarantine/wire_test.go
+++ b/snipequarantine/wire_test.go
@@ -15,7 +15,7 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// newRemote returns a member's registry and a client that asks it over HTTP.
+// newRemote returns the registry of member "m" and a client that calls it over HTTP.
 func newRemote(t *testing.T) (*Registry, *Client) {
 	r := &Registry{Self: "m", Settle: time.Millisecond, Linger: time.Second, Hold: time.Hour}
 	g := &Guard{Registry: r, Spread: func(Fingerprint, []byte, time.Duration) {}, Log: snipelog.Discard()}
@@ -28,8 +28,8 @@
 	}}
 }
 
-// TestWire is the contract between coordinators: what is asked and told arrives
-// whole. A replication that succeeded was reported as an error.
+// TestWire checks that attempts, verdicts, ends and records reach another coordinator
+// unchanged. It guards against a successful replication that is reported as an error.
 func TestWire(t *testing.T) {
 	r, client := newRemote(t)
 	a := Attempt{Fingerprint: Fingerprint{1}, ID: "a", Entry: "e", Upstream: "u", Mark: "m", Left: time.Minute}
@@ -56,14 +56,14 @@
 	_, client := newRemote(t)
 	good := Attempt{ID: "a", Upstream: "u"}
 	long := good
-	long.ID = strings.Repeat("x", maxID+1)
+	long.ID = strings.Repeat("x", maxTextBytes+1)
 	tests := map[string]func() error{
 		"unknown member": func() error { _, err := client.Begin(t.Context(), "x", good); return err },
 		"long name":      func() error { _, err := client.Begin(t.Context(), "m", long); return err },
-		"unknown end":    func() error { _, err := client.Finish(t.Context(), "m", good, ends); return err },
+		"unknown end":    func() error { _, err := client.Finish(t.Context(), "m", good, endCount); return err },
 		"no record":      func() error { return client.Replicate(t.Context(), "m", Fingerprint{1}, []byte("{")) },
 		"too many crashes": func() error {
-			r := &record{until: time.Now().Add(time.Minute)}
+			r := &record{expires: time.Now().Add(time.Minute)}
 			for n := range uint64(maxCrashes + 1) {
 				r.crashes = append(r.crashes, crash{id: n})
 			}
@@ -75,40 +75,40 @@
 	}
 }
 
-// counted counts the bytes that a listener's connections carry.
-type counted struct {
+// countingListener counts the bytes that its connections carry.
+type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
 }
 
-func (l *counted) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return &countedConn{c, l}, err
+	return &countingConn{c, l}, err
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
-	of *counted
+	listener *countingListener
 }
 
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.of.bytes.Add(int64(n))
+	c.listener.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.of.bytes.Add(int64(n))
+	c.listener.bytes.Add(int64(n))
 	return n, err
 }
 
-// TestMeasureTraffic is what a call costs between its entry instance and its
-// coordinator.
+// TestMeasureTraffic logs the bytes that one call costs between its entry instance and
+// its coordinator, and bounds them.
 func TestMeasureTraffic(t *testing.T) {
 	g := &Guard{Registry: &Registry{Self: "m", Hold: time.Hour}, Log: snipelog.Discard()}
 	server := httptest.NewUnstartedServer(g.Handler())
-	l := &counted{Listener: server.Listener}
+	l := &countingListener{Listener: server.Listener}
 	server.Listener = l
 	server.Start()
 	defer server.Close()
