--- a/snipeclaim/attempt.go
+++ b/snipeclaim/attempt.go
@@ -13,7 +13,7 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// step writes the attempt's record over the row's given version.
+// step writes the attempt's record if the row has the given version.
 func (a *attempt) step(ctx context.Context, version uint64) error {
 	a.record.Changed = time.Now().UTC()
 	a.record.Expires = a.record.Changed.Add(Retention)
@@ -29,14 +29,15 @@
 	return nil
 }
 
-// dispatch marks the call as dispatched, once, and checks that it may still be
-// handed on. Its failures mean that this attempt did not hand the call on.
+// dispatch marks the call as dispatched before its first dispatch, and checks before
+// each dispatch that the call may still be dispatched. A failure means that this
+// dispatch does not take place.
 func (a *attempt) dispatch(ctx context.Context, c *snipecall.Call) error {
 	if !a.dispatched {
 		if a.caller.Err() != nil {
 			return snipeerror.New(snipeerror.ErrCanceled, snipeerror.NotRun, "before the dispatch")
 		}
-		if !before(c.Deadline) {
+		if !isAhead(c.Deadline) {
 			return snipeerror.New(snipeerror.ErrDeadline, snipeerror.NotRun, "before the dispatch")
 		}
 		bounded, cancel := context.WithTimeout(ctx, a.claims.Timeout)
@@ -46,26 +47,26 @@
 			if errors.Is(err, snipeplatform.ErrConflict) {
 				return snipeerror.New(snipeerror.ErrDuplicate, snipeerror.NotRun, "another attempt took the key over").After(inFlightRetry)
 			}
-			return down("dispatch", err)
+			return unavailableError("dispatch", err)
 		}
 	}
-	// The write's reply may have come after a long pause of this instance.
-	if ctx.Err() != nil || !before(c.Deadline) {
+	// The reply to the write may have arrived after a long pause of this instance.
+	if ctx.Err() != nil || !isAhead(c.Deadline) {
 		return snipeerror.New(snipeerror.ErrDeadline, snipeerror.NotRun, "before the dispatch")
 	}
 	a.dispatched = true
 	return nil
 }
 
-// before reports whether a deadline is still to come, by the monotonic clock
-// and by the wall clock: the one may stand still while a machine is suspended.
-func before(deadline time.Time) bool {
+// isAhead reports whether a deadline is still ahead by the monotonic clock and by the
+// wall clock, because the monotonic clock may stop while a machine is suspended.
+func isAhead(deadline time.Time) bool {
 	now := time.Now()
 	return now.Before(deadline) && now.Round(0).Before(deadline.Round(0))
 }
 
-// collect returns a sink that keeps the answer, up to a bound, and goes on
-// when the caller has gone away.
+// collect returns a sink that stores the answer, up to MaxKept, and accepts the rest of
+// the answer after the caller has disconnected.
 func (a *attempt) collect(sink snipecall.Sink) snipecall.Sink {
 	return func(k snipecall.Chunk) error {
 		a.size += len(k.Data)
@@ -74,33 +75,35 @@
 		} else {
 			a.kept = nil
 		}
-		if a.gone {
+		if a.callerGone {
 			return nil
 		}
 		err := sink(k)
-		var wrong *snipeerror.CallError
-		if err != nil && !errors.As(err, &wrong) {
-			a.gone = true
+		var callErr *snipeerror.CallError
+		if err != nil && !errors.As(err, &callErr) {
+			a.callerGone = true
 			return nil
 		}
 		return err
 	}
 }
 
-// errTooMany is logged when a row is left as it is.
-var errTooMany = errors.New("too many rows wait for the table")
+// errTooMany is logged when a row is not completed because maxFinishing others are in
+// progress.
+var errTooMany = errors.New("too many claim rows are being completed")
 
-// finish completes the row after the final answer, without holding it up.
+// finish completes the row after the final answer, in the background so that the answer
+// is not delayed.
 func (s *Claims) finish(a *attempt, err error) {
-	s.once.Do(func() { s.slots = make(chan struct{}, maxFinishing) })
+	s.initSlots.Do(func() { s.finishSlots = make(chan struct{}, maxFinishing) })
 	select {
-	case s.slots <- struct{}{}:
+	case s.finishSlots <- struct{}{}:
 	default:
 		s.Log.Error(snipelog.ClaimNotCompleted, errTooMany, nil)
 		return
 	}
 	s.finishing.Go(func() {
-		defer func() { <-s.slots }()
+		defer func() { <-s.finishSlots }()
 		ctx, cancel := context.WithTimeout(context.Background(), finishTime)
 		defer cancel()
 		if err := a.complete(ctx, err); err != nil {
@@ -109,8 +112,8 @@
 	})
 }
 
-// complete makes the last step: the answer, the knowledge that there is none,
-// or the release of a key whose call was not run.
+// complete makes the last step of a claim. It stores the answer, records that there is
+// none, or releases the key of a call that did not run.
 func (a *attempt) complete(ctx context.Context, err error) error {
 	switch {
 	case err == nil:
@@ -125,7 +128,7 @@
 	return a.persist(ctx, func(ctx context.Context) error { return a.step(ctx, a.version) })
 }
 
-// persist repeats a step while the table is down and ctx lasts.
+// persist retries a step while the table is down, until ctx ends.
 func (a *attempt) persist(ctx context.Context, f func(context.Context) error) error {
 	for {
 		err := f(ctx)
@@ -142,9 +145,9 @@
 	}
 }
 
-// release gives the key back as long as the row is this attempt's. The attempt
-// is certain not to have run, also where a step of its own may have taken
-// effect without its knowledge. The row stays, so that its version goes on.
+// release releases the key if the row still belongs to this attempt. The call is
+// certain not to have run, even if a step of this attempt has taken effect without its
+// knowledge. The row is kept, so that its version continues.
 func (a *attempt) release(ctx context.Context) error {
 	const tries = 3
 	for range tries {
--- a/snipeclaim/claim_test.go
+++ b/snipeclaim/claim_test.go
@@ -22,80 +22,81 @@
 
 var errGone = errors.New("caller has gone away")
 
-// bench is some instances that share a table, and an upstream that counts.
-type bench struct {
+// cluster is a group of instances that share a table, with an upstream that counts its
+// runs.
+type cluster struct {
 	t      *testing.T
 	table  *snipestand.Table
 	claims []*snipeclaim.Claims
 
-	lock   sync.Mutex // guards the fields below
-	runs   int
-	answer string
-	fails  []error
-	dead   map[string]bool
-	// before is called ahead of a dispatch, during after it was sent.
+	lock     sync.Mutex // guards the fields below
+	runs     int
+	answer   string
+	failures []error
+	dead     map[string]bool
+	// before runs ahead of a dispatch, during after the call was sent.
 	before, during func()
-	wait           sync.WaitGroup
+	background     sync.WaitGroup
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, table: snipestand.NewTable(), answer: "done", dead: map[string]bool{}}
+func newCluster(t *testing.T) *cluster {
+	cl := &cluster{t: t, table: snipestand.NewTable(), answer: "done", dead: map[string]bool{}}
 	for _, name := range []string{"one", "two", "three", "four"} {
-		b.claims = append(b.claims, b.instance(name, b.table.Client()))
+		cl.claims = append(cl.claims, cl.instance(name, cl.table.Client()))
 	}
-	return b
+	return cl
 }
 
-func (b *bench) instance(name string, table snipeplatform.Table) *snipeclaim.Claims {
+func (cl *cluster) instance(name string, table snipeplatform.Table) *snipeclaim.Claims {
 	c := &snipeclaim.Claims{
-		Table: table, SweepTable: table, Instance: name, Dispatch: b.dispatch, Sweep: time.Second, Timeout: 2 * time.Second,
+		Table: table, SweepTable: table, Instance: name, Dispatch: cl.dispatch, Sweep: time.Second, Timeout: 2 * time.Second,
 		Live: func(instance string) bool {
-			b.lock.Lock()
-			defer b.lock.Unlock()
-			return !b.dead[instance]
+			cl.lock.Lock()
+			defer cl.lock.Unlock()
+			return !cl.dead[instance]
 		},
 		Mine: func(string) bool { return true }, Operation: rand.Text, Log: snipelog.Discard(),
 	}
 	c.Serve = func(ctx context.Context, call *snipecall.Call, sink snipecall.Sink) error {
-		b.call(&b.before)
+		cl.runHook(&cl.before)
 		return c.Execute(ctx, call, sink)
 	}
 	return c
 }
 
-func (b *bench) set(hook *func(), f func()) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
+func (cl *cluster) setHook(hook *func(), f func()) {
+	cl.lock.Lock()
+	defer cl.lock.Unlock()
 	*hook = f
 }
 
-func (b *bench) call(hook *func()) {
-	b.lock.Lock()
+func (cl *cluster) runHook(hook *func()) {
+	cl.lock.Lock()
 	f := *hook
-	b.lock.Unlock()
+	cl.lock.Unlock()
 	if f != nil {
 		f()
 	}
 }
 
-func (b *bench) kill(instance string) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	b.dead[instance] = true
+func (cl *cluster) kill(instance string) {
+	cl.lock.Lock()
+	defer cl.lock.Unlock()
+	cl.dead[instance] = true
 }
 
-func (b *bench) dispatch(ctx context.Context, _ *snipecall.Call, sink snipecall.Sink) error {
-	b.lock.Lock()
-	if len(b.fails) > 0 {
-		err := b.fails[0]
-		b.fails = b.fails[1:]
-		b.lock.Unlock()
+func (cl *cluster) dispatch(ctx context.Context, _ *snipecall.Call, sink snipecall.Sink) error {
+	cl.lock.Lock()
+	if len(cl.failures) > 0 {
+		err := cl.failures[0]
+		cl.failures = cl.failures[1:]
+		cl.lock.Unlock()
 		return err
 	}
-	b.runs++
-	answer := b.answer
-	b.lock.Unlock()
-	b.call(&b.during)
+	cl.runs++
+	answer := cl.answer
+	cl.lock.Unlock()
+	cl.runHook(&cl.during)
 	if ctx.Err() != nil {
 		return snipeerror.New(snipeerror.ErrCanceled, snipeerror.MayHaveRun, "in the middle")
 	}
@@ -109,138 +110,138 @@
 	}
 }
 
-// send makes the call through an instance and returns the answer.
-func (b *bench) send(n int, body string) (string, error) {
+// send sends the call through instance n and returns the answer.
+func (cl *cluster) send(n int, body string) (string, error) {
 	var out strings.Builder
-	err := b.claims[n].Call(b.t.Context(), newCall(body), func(k snipecall.Chunk) error {
+	err := cl.claims[n].Call(cl.t.Context(), newCall(body), func(k snipecall.Chunk) error {
 		out.Write(k.Data)
 		return nil
 	})
 	return out.String(), err
 }
 
-// later makes the call in a goroutine of its own.
-func (b *bench) later(n int) { b.wait.Go(func() { _, _ = b.send(n, "body") }) }
+// sendInBackground sends the call through instance n in a goroutine.
+func (cl *cluster) sendInBackground(n int) { cl.background.Go(func() { _, _ = cl.send(n, "body") }) }
 
 func TestAtMostOnce(t *testing.T) {
 	hang := func() { time.Sleep(30 * time.Second) }
 	notRun := snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "x")
 	mayHaveRun := snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, "x")
 	tests := map[string]struct {
-		first func(b *bench)
-		body  string
-		// kind, outcome and answer are what the repetition through the other
-		// instance gets; runs is how often the call ran in all.
+		prepare func(cl *cluster)
+		body    string
+		// kind, outcome and answer are the result of the repetition through another
+		// instance; runs is how often the call has run in total.
 		kind    error
 		outcome snipeerror.Outcome
 		answer  string
 		runs    int
 	}{
-		"alone":            {first: func(*bench) {}, answer: "done", runs: 1},
-		"after the answer": {first: func(b *bench) { _, _ = b.send(0, "body") }, answer: "done", runs: 1},
-		"after a large answer": {first: func(b *bench) {
-			b.answer = strings.Repeat("x", snipeclaim.MaxKept+1)
-			_, _ = b.send(0, "body")
+		"alone":            {prepare: func(*cluster) {}, answer: "done", runs: 1},
+		"after the answer": {prepare: func(cl *cluster) { _, _ = cl.send(0, "body") }, answer: "done", runs: 1},
+		"after a large answer": {prepare: func(cl *cluster) {
+			cl.answer = strings.Repeat("x", snipeclaim.MaxKept+1)
+			_, _ = cl.send(0, "body")
 		}, kind: snipeerror.ErrDuplicate, outcome: snipeerror.MayHaveRun, runs: 1},
 		"another body": {
-			first: func(b *bench) { _, _ = b.send(0, "body") }, body: "other",
+			prepare: func(cl *cluster) { _, _ = cl.send(0, "body") }, body: "other",
 			kind: snipeerror.ErrBadRequest, outcome: snipeerror.NotRun, runs: 1,
 		},
-		"in flight before the dispatch": {func(b *bench) {
-			b.set(&b.before, hang)
-			b.later(0)
+		"in flight before the dispatch": {func(cl *cluster) {
+			cl.setHook(&cl.before, hang)
+			cl.sendInBackground(0)
 			time.Sleep(time.Second)
 		}, "", snipeerror.ErrDuplicate, snipeerror.MayHaveRun, "", 1},
-		"in flight after the dispatch": {func(b *bench) {
-			b.set(&b.during, hang)
-			b.later(0)
+		"in flight after the dispatch": {func(cl *cluster) {
+			cl.setHook(&cl.during, hang)
+			cl.sendInBackground(0)
 			time.Sleep(time.Second)
 		}, "", snipeerror.ErrDuplicate, snipeerror.MayHaveRun, "", 1},
-		"claimant killed before the dispatch": {func(b *bench) {
-			b.set(&b.before, hang)
-			b.later(0)
+		"claimant killed before the dispatch": {func(cl *cluster) {
+			cl.setHook(&cl.before, hang)
+			cl.sendInBackground(0)
 			time.Sleep(time.Second)
-			b.set(&b.before, nil)
-			b.kill("one")
+			cl.setHook(&cl.before, nil)
+			cl.kill("one")
 		}, "", nil, "", "done", 1},
-		"claimant killed after the dispatch": {func(b *bench) {
-			b.set(&b.during, hang)
-			b.later(0)
+		"claimant killed after the dispatch": {func(cl *cluster) {
+			cl.setHook(&cl.during, hang)
+			cl.sendInBackground(0)
 			time.Sleep(time.Second)
-			b.kill("one")
+			cl.kill("one")
 		}, "", snipeerror.ErrDuplicate, snipeerror.MayHaveRun, "", 1},
-		"claimant paused before the dispatch, past its claim": {func(b *bench) {
-			b.set(&b.before, hang)
-			b.later(0)
+		"claimant paused before the dispatch, past its claim": {func(cl *cluster) {
+			cl.setHook(&cl.before, hang)
+			cl.sendInBackground(0)
 			time.Sleep(20 * time.Second)
-			b.set(&b.before, nil)
+			cl.setHook(&cl.before, nil)
 		}, "", nil, "", "done", 1},
-		"not run by the upstream": {func(b *bench) {
-			b.fails = []error{notRun}
-			_, err := b.send(0, "body")
-			must.ErrorIs(b.t, err, snipeerror.ErrNoUpstream)
+		"not run by the upstream": {func(cl *cluster) {
+			cl.failures = []error{notRun}
+			_, err := cl.send(0, "body")
+			must.ErrorIs(cl.t, err, snipeerror.ErrNoUpstream)
 		}, "", nil, "", "done", 1},
-		"may have run at the upstream": {func(b *bench) {
-			b.fails = []error{mayHaveRun}
-			_, err := b.send(0, "body")
-			must.ErrorIs(b.t, err, snipeerror.ErrIncomplete)
+		"may have run at the upstream": {func(cl *cluster) {
+			cl.failures = []error{mayHaveRun}
+			_, err := cl.send(0, "body")
+			must.ErrorIs(cl.t, err, snipeerror.ErrIncomplete)
 		}, "", snipeerror.ErrDuplicate, snipeerror.MayHaveRun, "", 0},
-		"table down":           {func(b *bench) { b.down() }, "", snipeerror.ErrUnavailable, snipeerror.NotRun, "", 0},
-		"table slow":           {func(b *bench) { b.slow() }, "", snipeerror.ErrUnavailable, snipeerror.NotRun, "", 0},
-		"replies lost":         {func(b *bench) { b.table.SetFault(snipestand.TableFault{LoseReplies: 3}) }, "", nil, "", "done", 1},
-		"all replies are lost": {func(b *bench) { b.table.SetFault(snipestand.TableFault{LoseReplies: 1000}) }, "", snipeerror.ErrUnavailable, snipeerror.NotRun, "", 0},
-		"table down before the dispatch": {func(b *bench) {
-			b.before = b.down
-			_, err := b.send(0, "body")
-			must.ErrorIs(b.t, err, snipeerror.ErrUnavailable)
-			must.Eq(b.t, snipeerror.NotRun, snipeerror.From(err).Outcome)
-			b.set(&b.before, nil)
-			b.up()
+		"table down":           {func(cl *cluster) { cl.stopTable() }, "", snipeerror.ErrUnavailable, snipeerror.NotRun, "", 0},
+		"table slow":           {func(cl *cluster) { cl.slowTable() }, "", snipeerror.ErrUnavailable, snipeerror.NotRun, "", 0},
+		"replies lost":         {func(cl *cluster) { cl.table.SetFault(snipestand.TableFault{LoseReplies: 3}) }, "", nil, "", "done", 1},
+		"all replies are lost": {func(cl *cluster) { cl.table.SetFault(snipestand.TableFault{LoseReplies: 1000}) }, "", snipeerror.ErrUnavailable, snipeerror.NotRun, "", 0},
+		"table down before the dispatch": {func(cl *cluster) {
+			cl.before = cl.stopTable
+			_, err := cl.send(0, "body")
+			must.ErrorIs(cl.t, err, snipeerror.ErrUnavailable)
+			must.Eq(cl.t, snipeerror.NotRun, snipeerror.From(err).Outcome)
+			cl.setHook(&cl.before, nil)
+			cl.restoreTable()
 			time.Sleep(5 * time.Second)
 		}, "", nil, "", "done", 1},
-		"table down before the answer": {func(b *bench) {
-			b.during = b.down
-			answer, err := b.send(0, "body")
-			must.NoError(b.t, err)
-			must.Eq(b.t, "done", answer)
-			b.up()
-			b.set(&b.during, nil)
+		"table down before the answer": {func(cl *cluster) {
+			cl.during = cl.stopTable
+			answer, err := cl.send(0, "body")
+			must.NoError(cl.t, err)
+			must.Eq(cl.t, "done", answer)
+			cl.restoreTable()
+			cl.setHook(&cl.during, nil)
 			time.Sleep(5 * time.Second)
 		}, "", nil, "", "done", 1},
-		"table down for long before the answer": {func(b *bench) {
-			b.during = b.down
-			_, err := b.send(0, "body")
-			must.NoError(b.t, err)
+		"table down for long before the answer": {func(cl *cluster) {
+			cl.during = cl.stopTable
+			_, err := cl.send(0, "body")
+			must.NoError(cl.t, err)
 			time.Sleep(2 * time.Minute)
-			b.up()
+			cl.restoreTable()
 		}, "", snipeerror.ErrDuplicate, snipeerror.MayHaveRun, "", 1},
-		"caller gone in the middle": {func(b *bench) {
-			ctx, cancel := context.WithCancel(b.t.Context())
-			b.set(&b.during, cancel)
-			err := b.claims[0].Call(ctx, newCall("body"), func(snipecall.Chunk) error { return errGone })
-			must.NoError(b.t, err)
+		"caller gone in the middle": {func(cl *cluster) {
+			ctx, cancel := context.WithCancel(cl.t.Context())
+			cl.setHook(&cl.during, cancel)
+			err := cl.claims[0].Call(ctx, newCall("body"), func(snipecall.Chunk) error { return errGone })
+			must.NoError(cl.t, err)
 		}, "", nil, "", "done", 1},
-		"caller gone before the dispatch": {func(b *bench) {
-			ctx, cancel := context.WithCancel(b.t.Context())
-			b.set(&b.before, cancel)
-			err := b.claims[0].Call(ctx, newCall("body"), func(snipecall.Chunk) error { return errGone })
-			must.ErrorIs(b.t, err, snipeerror.ErrCanceled)
-			must.Eq(b.t, snipeerror.NotRun, snipeerror.From(err).Outcome)
-			b.set(&b.before, nil)
+		"caller gone before the dispatch": {func(cl *cluster) {
+			ctx, cancel := context.WithCancel(cl.t.Context())
+			cl.setHook(&cl.before, cancel)
+			err := cl.claims[0].Call(ctx, newCall("body"), func(snipecall.Chunk) error { return errGone })
+			must.ErrorIs(cl.t, err, snipeerror.ErrCanceled)
+			must.Eq(cl.t, snipeerror.NotRun, snipeerror.From(err).Outcome)
+			cl.setHook(&cl.before, nil)
 		}, "", nil, "", "done", 1},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
-				tc.first(b)
+				cl := newCluster(t)
+				tc.prepare(cl)
 				synctest.Wait()
 				if tc.body == "" {
 					tc.body = "body"
 				}
 				began := time.Now()
-				answer, err := b.send(1, tc.body)
-				must.Less(t, 5*time.Second, time.Since(began), must.Sprint("an answer was held back"))
+				answer, err := cl.send(1, tc.body)
+				must.Less(t, 5*time.Second, time.Since(began), must.Sprint("the answer was delayed"))
 				must.Eq(t, tc.answer, answer)
 				if tc.kind != nil {
 					must.ErrorIs(t, err, tc.kind)
@@ -248,25 +249,26 @@
 				} else {
 					must.NoError(t, err)
 				}
-				b.wait.Wait()
-				b.claims[0].Wait()
-				b.claims[1].Wait()
-				must.Eq(t, tc.runs, b.runs)
+				cl.background.Wait()
+				cl.claims[0].Wait()
+				cl.claims[1].Wait()
+				must.Eq(t, tc.runs, cl.runs)
 			})
 		})
 	}
 }
 
-func (b *bench) down() { b.table.SetFault(snipestand.TableFault{Down: true}) }
-func (b *bench) up()   { b.table.SetFault(snipestand.TableFault{}) }
-func (b *bench) slow() { b.table.SetFault(snipestand.TableFault{Delay: time.Minute}) }
+func (cl *cluster) stopTable()    { cl.table.SetFault(snipestand.TableFault{Down: true}) }
+func (cl *cluster) restoreTable() { cl.table.SetFault(snipestand.TableFault{}) }
+func (cl *cluster) slowTable()    { cl.table.SetFault(snipestand.TableFault{Delay: time.Minute}) }
 
-// TestPausedPastRetention: a claimant whose Dispatched row took effect is
-// paused until the row has expired and was swept; it must not dispatch then.
+// TestPausedPastRetention pauses a claimant whose Dispatched row took effect until the
+// row has expired and was swept. It guards against a dispatch by this claimant after
+// another attempt has run the call.
 func TestPausedPastRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		table := b.table.Client()
+		cl := newCluster(t)
+		table := cl.table.Client()
 		pause := time.Duration(0)
 		paused := table
 		paused.Write = func(ctx context.Context, operation string, changes []snipeplatform.Change) error {
@@ -274,48 +276,49 @@
 			time.Sleep(pause)
 			return err
 		}
-		b.claims[0] = b.instance("one", paused)
-		b.set(&b.before, func() { pause = snipeclaim.Retention + 3*time.Hour })
+		cl.claims[0] = cl.instance("one", paused)
+		cl.setHook(&cl.before, func() { pause = snipeclaim.Retention + 3*time.Hour })
 		var first error
-		b.wait.Go(func() { _, first = b.send(0, "body") })
+		cl.background.Go(func() { _, first = cl.send(0, "body") })
 		ctx, cancel := context.WithCancel(t.Context())
-		b.wait.Go(func() { _ = b.claims[1].Run(ctx) })
+		cl.background.Go(func() { _ = cl.claims[1].Run(ctx) })
 		time.Sleep(snipeclaim.Retention + 2*time.Hour)
-		b.set(&b.before, nil)
-		_, err := b.send(1, "body")
+		cl.setHook(&cl.before, nil)
+		_, err := cl.send(1, "body")
 		must.NoError(t, err)
 		cancel()
-		b.wait.Wait()
+		cl.background.Wait()
 		must.ErrorIs(t, first, snipeerror.ErrDeadline)
 		must.Eq(t, snipeerror.NotRun, snipeerror.From(first).Outcome)
-		must.Eq(t, 1, b.runs)
+		must.Eq(t, 1, cl.runs)
 	})
 }
 
-// TestReleasedAndClaimedAgain: an attempt that took a key over is paused; the
-// key goes to another attempt, is released, and is claimed and dispatched by
-// a third one. The paused attempt must find that the row is not its own.
+// TestReleasedAndClaimedAgain pauses an attempt that took over a key. Meanwhile the key
+// goes to another attempt, is released, and is claimed and dispatched by a third one.
+// It guards against a row version that restarts with the release, so that the paused
+// attempt takes the row for its own.
 func TestReleasedAndClaimedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		b.set(&b.before, func() { time.Sleep(time.Hour) })
-		b.later(0)
+		cl := newCluster(t)
+		cl.setHook(&cl.before, func() { time.Sleep(time.Hour) })
+		cl.sendInBackground(0)
 		time.Sleep(time.Second)
-		b.kill("one")
-		b.set(&b.before, func() { time.Sleep(20 * time.Second) })
-		b.later(1)
+		cl.kill("one")
+		cl.setHook(&cl.before, func() { time.Sleep(20 * time.Second) })
+		cl.sendInBackground(1)
 		time.Sleep(time.Second)
-		b.kill("two")
-		b.set(&b.before, nil)
-		b.fails = []error{snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "x")}
-		_, err := b.send(2, "body")
+		cl.kill("two")
+		cl.setHook(&cl.before, nil)
+		cl.failures = []error{snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "x")}
+		_, err := cl.send(2, "body")
 		must.ErrorIs(t, err, snipeerror.ErrNoUpstream)
-		b.claims[2].Wait()
-		b.set(&b.during, func() { time.Sleep(30 * time.Second) })
-		answer, err := b.send(3, "body")
+		cl.claims[2].Wait()
+		cl.setHook(&cl.during, func() { time.Sleep(30 * time.Second) })
+		answer, err := cl.send(3, "body")
 		must.NoError(t, err)
 		must.Eq(t, "done", answer)
-		b.wait.Wait()
-		must.Eq(t, 1, b.runs)
+		cl.background.Wait()
+		must.Eq(t, 1, cl.runs)
 	})
 }
--- a/snipeclaim/random_test.go
+++ b/snipeclaim/random_test.go
@@ -21,29 +21,31 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// dice are seeded and safe for concurrent use.
-type dice struct {
-	lock   sync.Mutex
-	random *mathrand.Rand
+// randomSource is seeded and safe for concurrent use.
+type randomSource struct {
+	lock      sync.Mutex
+	generator *mathrand.Rand
 }
 
-func (d *dice) roll(n int) int {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	return d.random.Intn(n)
+func (r *randomSource) intn(n int) int {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return r.generator.Intn(n)
 }
 
-// pause is mostly short, sometimes longer than each time that the protocol
-// knows. No two are equal, so that their order follows from the seed.
-func (d *dice) pause() time.Duration {
+// delay returns a duration that is mostly short and sometimes longer than Timeout and
+// claimAge. The random nanoseconds keep the durations distinct, so that the order of
+// events follows from the seed.
+func (r *randomSource) delay() time.Duration {
 	spans := []time.Duration{time.Millisecond, time.Millisecond, 20 * time.Millisecond, 3 * time.Second, 25 * time.Second}
-	return spans[d.roll(len(spans))] + time.Duration(d.roll(1000000))*time.Nanosecond
+	return spans[r.intn(len(spans))] + time.Duration(r.intn(1000000))*time.Nanosecond
 }
 
-// troubled returns a table that is late, loses replies and refuses.
-func (d *dice) troubled(table snipeplatform.Table) snipeplatform.Table {
+// faultyTable returns a table that delays requests, loses replies and refuses requests
+// at random.
+func (r *randomSource) faultyTable(table snipeplatform.Table) snipeplatform.Table {
 	wait := func(ctx context.Context) bool {
-		t := time.NewTimer(d.pause())
+		t := time.NewTimer(r.delay())
 		defer t.Stop()
 		select {
 		case <-ctx.Done():
@@ -53,22 +55,22 @@
 		}
 	}
 	get := func(ctx context.Context, key snipeplatform.Key) (snipeplatform.Row, error) {
-		if !wait(ctx) || d.roll(8) == 0 {
-			return snipeplatform.Row{}, errors.Wrap(snipeplatform.ErrUnavailable, "roll")
+		if !wait(ctx) || r.intn(8) == 0 {
+			return snipeplatform.Row{}, errors.Wrap(snipeplatform.ErrUnavailable, "random fault")
 		}
 		return table.Get(ctx, key)
 	}
 	write := func(ctx context.Context, operation string, changes []snipeplatform.Change) error {
-		if d.roll(8) == 0 {
-			return errors.Wrap(snipeplatform.ErrUnavailable, "roll")
+		if r.intn(8) == 0 {
+			return errors.Wrap(snipeplatform.ErrUnavailable, "random fault")
 		}
 		late := context.WithoutCancel(ctx)
-		if !wait(ctx) || d.roll(6) == 0 {
+		if !wait(ctx) || r.intn(6) == 0 {
 			go func() {
-				time.Sleep(d.pause())
+				time.Sleep(r.delay())
 				_ = table.Write(late, operation, changes)
 			}()
-			return errors.Wrap(snipeplatform.ErrUnknown, "roll")
+			return errors.Wrap(snipeplatform.ErrUnknown, "random fault")
 		}
 		err := table.Write(late, operation, changes)
 		if !wait(ctx) {
@@ -79,77 +81,77 @@
 	return snipeplatform.Table{Get: get, List: table.List, Write: write}
 }
 
-// world plays attempts at one key through instances, with trouble everywhere.
-type world struct {
-	dice  *dice
-	table *snipestand.Table
+// simulation runs attempts at one key through several instances with random faults.
+type simulation struct {
+	random *randomSource
+	table  *snipestand.Table
 
 	lock sync.Mutex // guards the fields below
-	// ran are the calls whose dispatch had an effect.
-	ran []string
-	// told are the outcomes that callers were told, by the call.
-	told map[string]error
+	// executed are the IDs of the calls whose dispatch had an effect.
+	executed []string
+	// reported are the results that the callers received, by call ID.
+	reported map[string]error
 }
 
-func (w *world) dispatch(_ context.Context, c *snipecall.Call, sink snipecall.Sink) error {
-	time.Sleep(w.dice.pause())
-	if w.dice.roll(3) == 0 {
-		return snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "roll")
+func (s *simulation) dispatch(_ context.Context, c *snipecall.Call, sink snipecall.Sink) error {
+	time.Sleep(s.random.delay())
+	if s.random.intn(3) == 0 {
+		return snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "random fault")
 	}
-	w.lock.Lock()
-	w.ran = append(w.ran, c.ID)
-	w.lock.Unlock()
-	time.Sleep(w.dice.pause())
-	if w.dice.roll(3) == 0 {
-		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, "roll")
+	s.lock.Lock()
+	s.executed = append(s.executed, c.ID)
+	s.lock.Unlock()
+	time.Sleep(s.random.delay())
+	if s.random.intn(3) == 0 {
+		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, "random fault")
 	}
 	return sink(snipecall.Chunk{Sequence: 1, Status: 200, Data: []byte(c.ID), Last: true})
 }
 
-func (w *world) attempt(t *testing.T, n int, claims *snipeclaim.Claims) {
-	time.Sleep(time.Duration(w.dice.roll(60000)) * time.Millisecond)
+func (s *simulation) attempt(t *testing.T, n int, claims *snipeclaim.Claims) {
+	time.Sleep(time.Duration(s.random.intn(60000)) * time.Millisecond)
 	c := newCall("body")
 	c.ID = fmt.Sprintf("call-%d", n)
 	err := claims.Call(t.Context(), c, func(snipecall.Chunk) error { return nil })
 	claims.Wait()
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	w.told[c.ID] = err
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.reported[c.ID] = err
 }
 
-func (w *world) play(t *testing.T) {
+func (s *simulation) run(t *testing.T) {
 	var wait sync.WaitGroup
 	for n := range 8 {
 		claims := &snipeclaim.Claims{
-			Table: w.dice.troubled(w.table.Client()), Instance: fmt.Sprintf("entry-%d", n%3), Dispatch: w.dispatch,
-			Live: func(string) bool { return w.dice.roll(2) == 0 }, Timeout: 10 * time.Second,
+			Table: s.random.faultyTable(s.table.Client()), Instance: fmt.Sprintf("entry-%d", n%3), Dispatch: s.dispatch,
+			Live: func(string) bool { return s.random.intn(2) == 0 }, Timeout: 10 * time.Second,
 			Operation: rand.Text, Log: snipelog.Discard(),
 		}
 		claims.Serve = func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
-			time.Sleep(w.dice.pause())
+			time.Sleep(s.random.delay())
 			return claims.Execute(ctx, c, sink)
 		}
-		wait.Go(func() { w.attempt(t, n, claims) })
+		wait.Go(func() { s.attempt(t, n, claims) })
 	}
 	wait.Wait()
 	time.Sleep(time.Minute)
 }
 
-// TestRandomInterleavings plays the protocol with late, lost and refused
-// steps, pauses and wrong beliefs about who lives. The call runs at most once,
-// and whoever was told NotRun did not run it.
+// TestRandomInterleavings runs the protocol with delayed, lost and refused steps,
+// pauses, and wrong assumptions about which instances are alive. It guards against a
+// call that runs more than once and against a call that ran but was reported as NotRun.
 func TestRandomInterleavings(t *testing.T) {
 	const seeds = 400
 	for seed := range int64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
-			w := &world{
-				dice:  &dice{random: mathrand.New(mathrand.NewSource(seed))},
-				table: snipestand.NewTable(), told: map[string]error{},
+			s := &simulation{
+				random: &randomSource{generator: mathrand.New(mathrand.NewSource(seed))},
+				table:  snipestand.NewTable(), reported: map[string]error{},
 			}
-			w.play(t)
-			must.LessEq(t, 1, len(w.ran), must.Sprintf("seed %d: ran %v", seed, w.ran))
-			for _, id := range w.ran {
-				if err := w.told[id]; err != nil {
+			s.run(t)
+			must.LessEq(t, 1, len(s.executed), must.Sprintf("seed %d: ran %v", seed, s.executed))
+			for _, id := range s.executed {
+				if err := s.reported[id]; err != nil {
 					must.Eq(t, snipeerror.MayHaveRun, snipeerror.From(err).Outcome, must.Sprintf("seed %d", seed))
 				}
 			}
--- a/snipeclaim/sweep.go
+++ b/snipeclaim/sweep.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// sweepMargin is how far clocks may differ.
+	// sweepMargin is how far the clocks of instances may differ.
 	sweepMargin = time.Hour
 	// sweepBatch bounds the rows deleted by one write.
 	sweepBatch = 25
 )
 
-// Run sweeps expired claims until ctx ends: one partition and at most one
-// write in each interval, so that the writes of all instances together stay
-// within their number divided by the interval.
+// Run sweeps expired claims until ctx ends. It sweeps one partition with at most one
+// write in each interval, so that the write rate of all instances together is at most
+// their number divided by the interval.
 func (s *Claims) Run(ctx context.Context) error {
 	return snipetime.Every(ctx, s.Sweep, func(ctx context.Context) {
 		if err := s.sweep(ctx); err != nil && ctx.Err() == nil {
@@ -30,8 +30,9 @@
 	})
 }
 
-// next returns the next partition that this instance sweeps.
-func (s *Claims) next() (string, bool) {
+// nextPartition returns the next partition that this instance sweeps, or false if there
+// is none.
+func (s *Claims) nextPartition() (string, bool) {
 	for range partitions {
 		s.cursor = (s.cursor + 1) % partitions
 		if name := partitionName(s.cursor); s.Mine(name) {
@@ -42,7 +43,7 @@
 }
 
 func (s *Claims) sweep(ctx context.Context) error {
-	name, ok := s.next()
+	name, ok := s.nextPartition()
 	if !ok {
 		return nil
 	}
@@ -64,7 +65,7 @@
 		return nil
 	}
 	if err := s.SweepTable.Write(ctx, s.Operation(), expired); err != nil {
-		// What is left is found again in the next round.
+		// The remaining rows are found again in the next round.
 		return errors.Wrapf(err, "sweep %d claims", len(expired))
 	}
 	return nil
