--- a/snipedirectory/edit.go
+++ b/snipedirectory/edit.go
@@ -7,72 +7,74 @@
 	"time"
 )
 
-// edit makes a new snapshot out of one. What is not changed is shared by both: most readings
-// of the registry change a few of some thousand entries.
-type edit struct {
+// builder derives a new snapshot from an existing one by copy-on-write. Unchanged data is shared
+// by both snapshots, because most reads of the registry change a few of several thousand entries.
+type builder struct {
 	byID     map[string]*Upstream
 	services map[string][]*Upstream
-	// copied tells that the maps are this edit's own, changed names the services whose
-	// upstreams are.
-	copied  bool
-	changed map[string]bool
+	// mapsCopied is set once byID and services are copies that the builder may modify;
+	// copiedServices holds the services whose slices of upstreams are such copies.
+	mapsCopied     bool
+	copiedServices map[string]bool
 }
 
-func newEdit(old *Snapshot) *edit {
-	e := &edit{changed: make(map[string]bool)}
+func newBuilder(old *Snapshot) *builder {
+	b := &builder{copiedServices: make(map[string]bool)}
 	if old != nil {
-		e.byID, e.services = old.byID, old.services
+		b.byID, b.services = old.byID, old.services
 	}
-	return e
+	return b
 }
 
-// own makes the maps and a service's upstreams this edit's own.
-func (e *edit) own(service string) {
-	if !e.copied {
-		e.byID, e.services, e.copied = maps.Clone(e.byID), maps.Clone(e.services), true
+// prepareWrite copies the maps and the service's slice of upstreams, if the builder has not
+// copied them yet.
+func (b *builder) prepareWrite(service string) {
+	if !b.mapsCopied {
+		b.byID, b.services, b.mapsCopied = maps.Clone(b.byID), maps.Clone(b.services), true
 	}
-	if e.byID == nil {
-		e.byID, e.services = make(map[string]*Upstream), make(map[string][]*Upstream)
+	if b.byID == nil {
+		b.byID, b.services = make(map[string]*Upstream), make(map[string][]*Upstream)
 	}
-	if !e.changed[service] {
-		e.services[service] = slices.Clone(e.services[service])
-		e.changed[service] = true
+	if !b.copiedServices[service] {
+		b.services[service] = slices.Clone(b.services[service])
+		b.copiedServices[service] = true
 	}
 }
 
-// put adds an upstream, or puts it in the place of the one with its identifier, which has to
-// be of the same service.
-func (e *edit) put(u *Upstream) {
-	e.own(u.Service)
-	e.byID[u.ID] = u
-	n, found := e.find(u)
-	if found {
-		e.services[u.Service][n] = u
+// put adds an upstream, or replaces the one with the same identifier, which must belong to the
+// same service.
+func (b *builder) put(u *Upstream) {
+	b.prepareWrite(u.Service)
+	b.byID[u.ID] = u
+	i, ok := b.find(u)
+	if ok {
+		b.services[u.Service][i] = u
 		return
 	}
-	e.services[u.Service] = slices.Insert(e.services[u.Service], n, u)
+	b.services[u.Service] = slices.Insert(b.services[u.Service], i, u)
 }
 
-// remove takes an upstream out.
-func (e *edit) remove(u *Upstream) {
-	e.own(u.Service)
-	delete(e.byID, u.ID)
-	if n, found := e.find(u); found {
-		e.services[u.Service] = slices.Delete(e.services[u.Service], n, n+1)
+// remove removes an upstream from the new snapshot.
+func (b *builder) remove(u *Upstream) {
+	b.prepareWrite(u.Service)
+	delete(b.byID, u.ID)
+	if i, ok := b.find(u); ok {
+		b.services[u.Service] = slices.Delete(b.services[u.Service], i, i+1)
 	}
-	if len(e.services[u.Service]) == 0 {
-		delete(e.services, u.Service)
+	if len(b.services[u.Service]) == 0 {
+		delete(b.services, u.Service)
 	}
 }
 
-// find returns the place of an upstream among those of its service, which are in order.
-func (e *edit) find(u *Upstream) (int, bool) {
-	return slices.BinarySearchFunc(e.services[u.Service], u.ID, func(other *Upstream, id string) int {
+// find returns the index of an upstream among those of its service, which are sorted by
+// identifier, and whether it is present; if not, the index is where to insert it.
+func (b *builder) find(u *Upstream) (int, bool) {
+	return slices.BinarySearchFunc(b.services[u.Service], u.ID, func(other *Upstream, id string) int {
 		return strings.Compare(other.ID, id)
 	})
 }
 
-// snapshot ends the edit.
-func (e *edit) snapshot(position uint64, read time.Time) *Snapshot {
-	return &Snapshot{Position: position, Read: read, byID: e.byID, services: e.services}
+// snapshot returns the new snapshot. The builder must not be used afterwards.
+func (b *builder) snapshot(position uint64, read time.Time) *Snapshot {
+	return &Snapshot{Position: position, Read: read, byID: b.byID, services: b.services}
 }
--- a/snipedirectory/snipedirectory.go
+++ b/snipedirectory/snipedirectory.go
@@ -1,20 +1,21 @@
-// Package snipedirectory knows the upstreams that have registered themselves.
+// Package snipedirectory tracks the upstreams that have registered themselves.
 //
-// A Snapshot is immutable. A Keeper applies what is read of the registry, in the
-// order of the registry's own positions.
+// A Snapshot is immutable. A Keeper applies the changes read from the registry, in the
+// order of the registry's positions.
 //
 // Invariants:
 //
-//   - An upstream that is marked as leaving or that is gone from the registry is
-//     not returned for new work, from the moment at which that was read. One that has
-//     said itself that it leaves is leaving until another start of it is known, whatever
+//   - An upstream that the registry marks as leaving or no longer lists gets no new work
+//     from the moment at which that was read; Keeper.Return makes an exception for entries
+//     that lapse during an outage of the registry. An upstream that has itself announced
+//     that it is leaving counts as leaving until another start of it is known, whatever
 //     the registry shows.
-//   - An upstream that starts again is another one, though its name and its address
-//     may be the same: it holds nothing of before, and nothing that was learned of the
-//     start before it is true of it. Starts are compared for equality only, since
-//     they are told by clocks that jump.
-//   - An entry that cannot be understood names no upstream to use, whatever the entry
-//     before it said.
+//   - Each start of an upstream is a separate upstream, even if the name and the address
+//     are the same: it holds none of the adapters of the previous start, and nothing that
+//     was learned about the previous start applies to it. Start times are compared for
+//     equality only, because the clocks that set them can jump.
+//   - An entry that cannot be decoded yields no usable upstream, whatever the previous
+//     entry contained.
 package snipedirectory
 
 import (
@@ -30,7 +31,7 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// Resident is an adapter that an engine holds.
+// Resident is an adapter version that an engine holds.
 type Resident struct {
 	Adapter snipecatalog.Adapter
 	Version int64
@@ -38,39 +39,38 @@
 
 // Upstream is one registered upstream.
 type Upstream struct {
-	// ID names this start of the upstream, and Name the upstream, which may start
-	// again under it; StartID makes the one of the other.
+	// ID identifies this start of the upstream; Name identifies the upstream across
+	// restarts. StartID derives ID from Name and Start.
 	ID   string
 	Name string
-	// Start is the moment at which it says that it started, in milliseconds; 0 when it
-	// does not say.
+	// Start is the start time that the upstream reports, in milliseconds; 0 if it reports
+	// none.
 	Start int64
-	// Again tells that the start before this one was known under the same name; the
-	// Keeper sets it.
+	// Again reports whether an earlier start of the same name was known when this start
+	// appeared. The Keeper sets it.
 	Again   bool
 	Service string
 	Address netip.AddrPort
-	// RankKey is the hash of the address by which the upstream ranks for an adapter; the
+	// RankKey is the hash of the address, by which upstreams are ranked for an adapter. The
 	// Keeper sets it.
 	RankKey uint64
-	// Domain is its failure domain.
+	// Domain is the upstream's failure domain.
 	Domain string
 	Slots  int
-	// Leaving upstreams take no new work. Remaining is the time until it is gone,
-	// zero when it did not say.
+	// Leaving upstreams take no new work. Remaining is the time until the upstream is gone;
+	// 0 if it reports none.
 	Leaving   bool
 	Remaining time.Duration
-	// Resident is what an engine held when it last wrote its entry, Models the
-	// base models.
+	// Resident holds the adapters, and Models the base models, that an engine held when it
+	// last wrote its entry.
 	Resident []Resident
 	Models   []string
-	// Position is the registry's position of the entry.
+	// Position is the registry's position at which the entry was written.
 	Position uint64
 }
 
-// StartID returns the identifier of one start of an upstream: its name and the moment
-// at which it says that it started, in milliseconds. One that does not say has its name
-// alone.
+// StartID returns the identifier of one start of an upstream: its name and its reported
+// start time in milliseconds, or the name alone if it reports none.
 func StartID(name string, start int64) string {
 	if start == 0 {
 		return name
@@ -80,14 +80,14 @@
 
 // Snapshot is the state of the directory at one position.
 type Snapshot struct {
-	// Position is the registry's position, Read when it was read.
+	// Position is the registry's position, Read the time at which it was read.
 	Position uint64
 	Read     time.Time
 	byID     map[string]*Upstream
 	services map[string][]*Upstream
 }
 
-// ByID returns an upstream by its identifier; nil when it is not registered.
+// ByID returns the upstream with the given identifier; nil if it is not registered.
 func (s *Snapshot) ByID(id string) *Upstream {
 	if s == nil {
 		return nil
@@ -95,7 +95,8 @@
 	return s.byID[id]
 }
 
-// Service returns the upstreams of a service, by identifier, leaving ones too.
+// Service returns the upstreams of a service, sorted by identifier and including those that
+// are leaving.
 func (s *Snapshot) Service(name string) []*Upstream {
 	if s == nil {
 		return nil
@@ -111,84 +112,87 @@
 	return len(s.byID)
 }
 
-// Change is what was read of the registry.
+// Change is the result of one read of the registry.
 type Change struct {
-	// Whole tells that the change holds all entries, not only those that differ
-	// from an earlier position.
+	// Whole reports whether the change holds all entries, not only those that changed since
+	// an earlier position.
 	Whole    bool
 	Position uint64
 	Changed  []*Upstream
-	// Removed names upstreams without an entry, Wrong those whose entry cannot be
-	// understood.
+	// Removed lists the names of upstreams whose entry was removed, Wrong those whose entry
+	// cannot be decoded.
 	Removed []string
 	Wrong   []string
 }
 
-// Keeper holds the newest snapshot. Exported fields are set before the first
-// call; it is safe for concurrent use.
+// Keeper holds the newest snapshot. Exported fields are set before the first call. A Keeper
+// is safe for concurrent use.
 type Keeper struct {
-	// Seen is told of upstreams that are new, leaving or gone; nil for nobody.
+	// Seen, if not nil, is called for each upstream that appears, starts to leave or is gone.
+	// It is called with the Keeper's lock held.
 	Seen func(u *Upstream, e Event)
-	// Return is how long entries that are missing after an outage of the registry
-	// are kept: they lapse while their owners cannot write.
+	// Return is how long, counted from the last call of Lost, missing entries are kept:
+	// entries lapse while an outage of the registry keeps the upstreams from renewing them.
 	Return time.Duration
 
 	current atomic.Pointer[Snapshot]
 
-	lock    sync.Mutex           // guards the fields below
-	names   map[string]*Upstream // by name
-	outage  time.Time            // when the registry last could not be read
-	missing map[string]time.Time
-	// leaving are the starts that have said themselves that they leave, and when that was noted.
-	leaving map[string]time.Time
-	// ended are the starts, by name, that are over though the registry still shows them.
-	ended map[string]string
+	lock       sync.Mutex           // guards the fields below
+	byName     map[string]*Upstream // the known upstreams
+	lastOutage time.Time            // when Lost was last called
+	lapsed     map[string]time.Time // when missing entries are removed, by name
+	// announcedLeaving holds the starts that have announced that they are leaving, and when
+	// that was recorded.
+	announcedLeaving map[string]time.Time
+	// endedStarts holds, by name, the starts that are over although the registry still
+	// lists them.
+	endedStarts map[string]string
 }
 
-// Event is what has become of an upstream.
+// Event is a change of an upstream's state.
 type Event uint8
 
-// The events.
+// The events that are reported to Keeper.Seen.
 const (
 	Appeared Event = iota
 	Leaving
 	Gone
 )
 
-// Snapshot returns the newest snapshot; nil before the registry was read.
+// Snapshot returns the newest snapshot; nil before the registry has been read.
 func (k *Keeper) Snapshot() *Snapshot { return k.current.Load() }
 
-// Lost notes that the registry could not be read.
+// Lost records that the registry could not be read.
 func (k *Keeper) Lost() {
 	k.lock.Lock()
 	defer k.lock.Unlock()
-	k.outage = time.Now()
+	k.lastOutage = time.Now()
 }
 
-// Apply takes a change into a new snapshot.
+// Apply applies a change and publishes the resulting snapshot.
 func (k *Keeper) Apply(c Change) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
-	e := k.edit()
-	gone := slices.Clone(c.Removed)
+	b := k.nextSnapshot()
+	removed := slices.Clone(c.Removed)
 	if c.Whole {
-		gone = append(gone, absent(k.names, c)...)
+		removed = append(removed, absentNames(k.byName, c)...)
 	}
 	for _, u := range c.Changed {
-		k.put(e, u)
+		k.put(b, u)
 	}
 	for _, name := range c.Wrong {
-		k.remove(e, name)
+		k.remove(b, name)
 	}
-	for _, name := range gone {
-		k.drop(e, name)
+	for _, name := range removed {
+		k.removeOrLapse(b, name)
 	}
-	k.expire(e)
-	k.current.Store(e.snapshot(c.Position, time.Now()))
+	k.removeExpired(b)
+	k.current.Store(b.snapshot(c.Position, time.Now()))
 }
 
-// End notes that a start is over though the registry still shows it: the upstream has
-// started again. It is not used until its entry tells of another start.
+// End records that a start is over although the registry still lists it, because the upstream
+// has restarted. The upstream is not used until its entry shows another start.
 func (k *Keeper) End(id string) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -197,52 +201,53 @@
 	if u == nil {
 		return
 	}
-	if k.ended == nil {
-		k.ended = make(map[string]string)
+	if k.endedStarts == nil {
+		k.endedStarts = make(map[string]string)
 	}
-	k.ended[u.Name] = id
-	e := k.edit()
-	k.remove(e, u.Name)
-	k.current.Store(e.snapshot(old.Position, old.Read))
+	k.endedStarts[u.Name] = id
+	b := k.nextSnapshot()
+	k.remove(b, u.Name)
+	k.current.Store(b.snapshot(old.Position, old.Read))
 }
 
-// leavingMemory is for how long a start that leaves is remembered: its entry may be lost for a while
+// leavingRetention is how long a leaving start is remembered: its entry may be missing for a while
 // and come back.
-const leavingMemory = 10 * time.Minute
+const leavingRetention = 10 * time.Minute
 
-// Leave notes that a start has said itself that it leaves, though the registry may not show it.
+// Leave records that a start has itself announced that it is leaving, which the registry may not
+// show yet.
 func (k *Keeper) Leave(id string) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
-	if k.leaving == nil {
-		k.leaving = make(map[string]time.Time)
+	if k.announcedLeaving == nil {
+		k.announcedLeaving = make(map[string]time.Time)
 	}
-	maps.DeleteFunc(k.leaving, func(_ string, noted time.Time) bool { return time.Since(noted) > leavingMemory })
-	k.leaving[id] = time.Now()
+	maps.DeleteFunc(k.announcedLeaving, func(_ string, recorded time.Time) bool { return time.Since(recorded) > leavingRetention })
+	k.announcedLeaving[id] = time.Now()
 	old := k.current.Load()
 	u := old.ByID(id)
 	if u == nil || u.Leaving {
 		return
 	}
-	left := *u
-	left.Leaving = true
-	k.names[u.Name] = &left
-	e := k.edit()
-	e.put(&left)
-	k.current.Store(e.snapshot(old.Position, old.Read))
-	k.tell(&left, Leaving)
+	updated := *u
+	updated.Leaving = true
+	k.byName[u.Name] = &updated
+	b := k.nextSnapshot()
+	b.put(&updated)
+	k.current.Store(b.snapshot(old.Position, old.Read))
+	k.notify(&updated, Leaving)
 }
 
-// edit begins a new snapshot. The lock is held.
-func (k *Keeper) edit() *edit {
-	if k.names == nil {
-		k.names = make(map[string]*Upstream)
+// nextSnapshot returns a builder that starts from the current snapshot. The lock is held.
+func (k *Keeper) nextSnapshot() *builder {
+	if k.byName == nil {
+		k.byName = make(map[string]*Upstream)
 	}
-	return newEdit(k.current.Load())
+	return newBuilder(k.current.Load())
 }
 
-// absent returns the names that a whole change does not hold.
-func absent(byName map[string]*Upstream, c Change) []string {
+// absentNames returns the known names that a whole change does not contain.
+func absentNames(byName map[string]*Upstream, c Change) []string {
 	present := make(map[string]bool, len(c.Changed))
 	for _, u := range c.Changed {
 		present[u.Name] = true
@@ -259,27 +264,27 @@
 	return names
 }
 
-// put takes an entry. The lock is held.
-func (k *Keeper) put(e *edit, u *Upstream) {
-	if k.ended[u.Name] == u.ID {
+// put applies a decoded entry, unless End has recorded its start as over. The lock is held.
+func (k *Keeper) put(b *builder, u *Upstream) {
+	if k.endedStarts[u.Name] == u.ID {
 		return
 	}
-	if _, left := k.leaving[u.ID]; left {
+	if _, ok := k.announcedLeaving[u.ID]; ok {
 		u.Leaving = true
 	}
-	_, u.Again = k.ended[u.Name]
-	delete(k.ended, u.Name)
-	delete(k.missing, u.Name)
-	old := k.names[u.Name]
+	_, u.Again = k.endedStarts[u.Name]
+	delete(k.endedStarts, u.Name)
+	delete(k.lapsed, u.Name)
+	old := k.byName[u.Name]
 	if old != nil && old.ID != u.ID {
-		k.remove(e, u.Name)
+		k.remove(b, u.Name)
 		u.Again, old = true, nil
 	}
-	k.names[u.Name] = u
+	k.byName[u.Name] = u
 	if old == nil {
 		u.RankKey = sniperoute.Hash(u.Address.String())
-		e.put(u)
-		k.tell(u, Appeared)
+		b.put(u)
+		k.notify(u, Appeared)
 		return
 	}
 	u.Again, u.RankKey = old.Again, old.RankKey
@@ -287,56 +292,57 @@
 		u.RankKey = sniperoute.Hash(u.Address.String())
 	}
 	if u.Service != old.Service {
-		e.remove(old)
+		b.remove(old)
 	}
-	e.put(u)
+	b.put(u)
 	if u.Leaving && !old.Leaving {
-		k.tell(u, Leaving)
+		k.notify(u, Leaving)
 	}
 }
 
-// drop takes an upstream out whose entry is gone, unless the registry is just back:
-// entries lapse during an outage and are written again by upstreams that live. The lock
-// is held.
-func (k *Keeper) drop(e *edit, name string) {
-	delete(k.ended, name)
-	if k.names[name] == nil {
+// removeOrLapse handles an upstream whose entry is gone. It removes the upstream, unless Lost
+// was called less than k.Return ago: entries lapse during an outage of the registry, and live
+// upstreams write them again. Such an upstream is kept until k.Return has passed. The lock is held.
+func (k *Keeper) removeOrLapse(b *builder, name string) {
+	delete(k.endedStarts, name)
+	if k.byName[name] == nil {
 		return
 	}
-	if k.outage.IsZero() || time.Since(k.outage) >= k.Return {
-		k.remove(e, name)
+	if k.lastOutage.IsZero() || time.Since(k.lastOutage) >= k.Return {
+		k.remove(b, name)
 		return
 	}
-	if k.missing == nil {
-		k.missing = make(map[string]time.Time)
+	if k.lapsed == nil {
+		k.lapsed = make(map[string]time.Time)
 	}
-	if _, ok := k.missing[name]; !ok {
-		k.missing[name] = k.outage.Add(k.Return)
+	if _, ok := k.lapsed[name]; !ok {
+		k.lapsed[name] = k.lastOutage.Add(k.Return)
 	}
 }
 
-// remove takes an upstream out. The lock is held.
-func (k *Keeper) remove(e *edit, name string) {
-	delete(k.missing, name)
-	u := k.names[name]
+// remove removes an upstream. The lock is held.
+func (k *Keeper) remove(b *builder, name string) {
+	delete(k.lapsed, name)
+	u := k.byName[name]
 	if u == nil {
 		return
 	}
-	delete(k.names, name)
-	e.remove(u)
-	k.tell(u, Gone)
+	delete(k.byName, name)
+	b.remove(u)
+	k.notify(u, Gone)
 }
 
-// expire drops the entries that did not come back in time. The lock is held.
-func (k *Keeper) expire(e *edit) {
-	for name, until := range k.missing {
-		if !time.Now().Before(until) {
-			k.remove(e, name)
+// removeExpired removes the upstreams whose lapsed entries did not come back in time. The lock
+// is held.
+func (k *Keeper) removeExpired(b *builder) {
+	for name, deadline := range k.lapsed {
+		if !time.Now().Before(deadline) {
+			k.remove(b, name)
 		}
 	}
 }
 
-func (k *Keeper) tell(u *Upstream, e Event) {
+func (k *Keeper) notify(u *Upstream, e Event) {
 	if k.Seen != nil {
 		k.Seen(u, e)
 	}
--- a/snipedirectory/snipedirectory_test.go
+++ b/snipedirectory/snipedirectory_test.go
@@ -24,11 +24,11 @@
 	return snipedirectory.Change{Whole: true, Changed: entries}
 }
 
-// TestApply: upstreams come, leave and go, each told once.
+// TestApply verifies that each appearance, leaving and removal of an upstream is reported once.
 func TestApply(t *testing.T) {
-	told := map[string][]snipedirectory.Event{}
+	got := map[string][]snipedirectory.Event{}
 	k := &snipedirectory.Keeper{Seen: func(u *snipedirectory.Upstream, e snipedirectory.Event) {
-		told[u.ID] = append(told[u.ID], e)
+		got[u.ID] = append(got[u.ID], e)
 	}}
 	must.Nil(t, k.Snapshot().ByID("a"))
 	k.Apply(whole(entry("a", false), entry("b", false)))
@@ -42,11 +42,11 @@
 	must.Eq(t, map[string][]snipedirectory.Event{
 		"a": {snipedirectory.Appeared, snipedirectory.Leaving, snipedirectory.Gone},
 		"b": {snipedirectory.Appeared, snipedirectory.Gone},
-	}, told)
+	}, got)
 }
 
-// TestLapsedDuringOutage: entries that lapsed while the registry could not be written
-// come back within the time for it, or are gone.
+// TestLapsedDuringOutage verifies that the upstreams of entries that lapsed during an outage of
+// the registry are kept until Return has passed, and removed if the entries have not come back.
 func TestLapsedDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := &snipedirectory.Keeper{Return: 2 * time.Second}
@@ -65,7 +65,7 @@
 	})
 }
 
-// started is the entry of one start of an upstream.
+// started returns the entry of one start of an upstream.
 func started(name string, start int64) *snipedirectory.Upstream {
 	u := entry(name, false)
 	u.ID = snipedirectory.StartID(name, start)
@@ -76,8 +76,8 @@
 	return snipedirectory.Change{Changed: entries}
 }
 
-// TestStarts: what becomes of an upstream that starts again under its name, and of
-// entries that cannot be understood.
+// TestStarts guards against an upstream that restarts under its name and is taken for its previous
+// start, and against the use of an upstream whose entry cannot be decoded.
 func TestStarts(t *testing.T) {
 	const appeared, gone = snipedirectory.Appeared, snipedirectory.Gone
 	wrong := func(names ...string) snipedirectory.Change { return snipedirectory.Change{Wrong: names} }
@@ -88,12 +88,13 @@
 	type events = map[string][]snipedirectory.Event
 	tests := map[string]struct {
 		changes []snipedirectory.Change
-		// ended is a start that is said to be over before the last change.
-		ended string
-		told  events
-		left  []string
-		// again are those that are known to have started again.
-		again []string
+		// ended is a start that is passed to End before the last change.
+		ended  string
+		events events
+		// remaining lists the upstreams that are in the last snapshot, restarted those of them
+		// that are marked as restarted.
+		remaining []string
+		restarted []string
 	}{
 		"Same":      {[]snipedirectory.Change{changed(started("a", 5)), changed(started("a", 5))}, "", events{"a@5": {appeared}}, []string{"a@5"}, nil},
 		"Later":     {[]snipedirectory.Change{changed(started("a", 5)), changed(started("a", 9))}, "", events{"a@5": {appeared, gone}, "a@9": {appeared}}, []string{"a@9"}, []string{"a@9"}},
@@ -116,9 +117,9 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			told := events{}
+			got := events{}
 			k := &snipedirectory.Keeper{Seen: func(u *snipedirectory.Upstream, e snipedirectory.Event) {
-				told[u.ID] = append(told[u.ID], e)
+				got[u.ID] = append(got[u.ID], e)
 			}}
 			for n, c := range tt.changes {
 				if n == len(tt.changes)-1 && tt.ended != "" {
@@ -126,19 +127,19 @@
 				}
 				k.Apply(c)
 			}
-			must.Eq(t, tt.told, told)
-			must.Eq(t, len(tt.left), k.Snapshot().Len())
-			for _, id := range tt.left {
+			must.Eq(t, tt.events, got)
+			must.Eq(t, len(tt.remaining), k.Snapshot().Len())
+			for _, id := range tt.remaining {
 				u := k.Snapshot().ByID(id)
 				must.NotNil(t, u)
-				must.Eq(t, slices.Contains(tt.again, id), u.Again)
+				must.Eq(t, slices.Contains(tt.restarted, id), u.Again)
 			}
 		})
 	}
 }
 
-// TestWrongInOutage: an entry that cannot be understood is not used while those that
-// lapsed in an outage of the registry are still waited for.
+// TestWrongInOutage guards against the use of an upstream whose entry cannot be decoded while
+// entries that lapsed during an outage of the registry are kept.
 func TestWrongInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := &snipedirectory.Keeper{Return: time.Minute}
@@ -150,18 +151,18 @@
 	})
 }
 
-// TestSnapshotsStay holds snapshots of random changes against a plain model, each again after
-// the changes that followed it: what a snapshot shares with the next one is never changed.
+// TestSnapshotsStay guards against a change to data that a snapshot shares with later snapshots. It
+// applies random changes and then compares every snapshot with a simple model of its time.
 func TestSnapshotsStay(t *testing.T) {
 	const rounds, names = 300, 12
 	r := rand.New(rand.NewPCG(3, 3))
 	k := &snipedirectory.Keeper{}
 	model := map[string]*snipedirectory.Upstream{}
-	type taken struct {
+	type observation struct {
 		snapshot *snipedirectory.Snapshot
 		want     map[string][]string
 	}
-	var all []taken
+	var observations []observation
 	for round := range rounds {
 		var c snipedirectory.Change
 		for range r.IntN(4) {
@@ -188,22 +189,22 @@
 			want[u.Service] = append(want[u.Service], name)
 			slices.Sort(want[u.Service])
 		}
-		all = append(all, taken{k.Snapshot(), want})
+		observations = append(observations, observation{k.Snapshot(), want})
 	}
-	for _, x := range all {
-		for service, names := range x.want {
+	for _, o := range observations {
+		for service, names := range o.want {
 			var got []string
-			for _, u := range x.snapshot.Service(service) {
+			for _, u := range o.snapshot.Service(service) {
 				got = append(got, u.ID)
-				must.Eq(t, u, x.snapshot.ByID(u.ID))
+				must.Eq(t, u, o.snapshot.ByID(u.ID))
 			}
 			must.Eq(t, names, got)
 		}
-		must.Eq(t, len(x.want["s"])+len(x.want["t"]), x.snapshot.Len())
+		must.Eq(t, len(o.want["s"])+len(o.want["t"]), o.snapshot.Len())
 	}
 }
 
-// BenchmarkApply measures a reading of the registry in which one entry has changed.
+// BenchmarkApply measures the application of a change of one entry.
 func BenchmarkApply(b *testing.B) {
 	for _, count := range []int{12, 600, 3000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
