--- a/snipecatalog/snipecatalog.go
+++ b/snipecatalog/snipecatalog.go
@@ -1,15 +1,15 @@
-// Package snipecatalog holds what operators declare for requests that are passed
-// on as they are: routes by host and path prefix, the services behind them, the
-// workspaces that callers' keys belong to, and the newest version of each adapter.
+// Package snipecatalog holds the operators' declarations for requests that are forwarded
+// unchanged: routes by host and path prefix, the services behind them, the workspaces
+// that callers' keys belong to, and the newest version of each adapter.
 //
-// A Catalog is an immutable snapshot. A Keeper holds the one in force.
+// A Catalog is an immutable snapshot. A Keeper holds the one in effect.
 //
 // Invariants:
 //
-//   - The catalog in force never goes back to a lower version.
-//   - An adapter's versions only grow. Each is remembered with the time at which
-//     this instance learned of it, so that the time until it must be everywhere
-//     is counted for each version by itself.
+//   - The catalog in effect is never replaced by one of a lower version.
+//   - An adapter's versions only increase. Each is stored with the time at which this
+//     instance learned of it, so that the grace period until requests require a version
+//     is counted for each version separately.
 package snipecatalog
 
 import (
@@ -19,7 +19,7 @@
 	"time"
 )
 
-// Repeat says how often a request of a route may run.
+// Repeat states whether a request of a route may run more than once.
 type Repeat uint8
 
 const (
@@ -29,46 +29,46 @@
 	Idempotent
 )
 
-// Backend is a service that a route's requests go to, with its share of them.
+// Backend is a service that receives a share of a route's requests, in proportion to Weight.
 type Backend struct {
 	Service string
 	Weight  uint32
 }
 
-// Route says what happens to the requests of a host below a path prefix.
+// Route describes how requests for a host and a path prefix are handled.
 type Route struct {
 	Name string
-	// Host and Prefix select the route; the longest prefix of a path wins.
+	// Host and Prefix select the route; the longest matching prefix wins.
 	Host   string
 	Prefix string
-	// Repeat says whether a request may run more than once.
+	// Repeat states whether a request may run more than once.
 	Repeat Repeat
-	// Streaming routes answer with events, Resumable ones can go on after the
-	// last event that was received, at any upstream.
+	// Streaming routes answer with events. The stream of a Resumable route can be
+	// continued at any upstream after the last event that was received.
 	Streaming bool
 	Resumable bool
-	// Timeout is the longest that a request may be kept without its answer.
+	// Timeout is the longest time that a request may wait for its answer.
 	Timeout time.Duration
-	// Target is the time to the answer, or to its first event, that callers
-	// count on; MaxGap the longest pause between two events.
+	// Target is the time to the answer, or to its first event, that callers expect;
+	// MaxGap is the longest pause between two events.
 	Target time.Duration
 	MaxGap time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
 	// Backends has at least one entry.
 	Backends []Backend
-	// MaxAttempts bounds the upstreams that may run one request.
+	// MaxAttempts limits the number of upstreams that may run one request.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
 }
 
-// MayRepeat reports whether a request that may have run can be sent again.
+// MayRepeat reports whether a request that may already have run can be sent again.
 func (r *Route) MayRepeat() bool { return r.Repeat == Idempotent }
 
-// Backend returns the service for a request, chosen by a number that is spread
-// evenly over all requests.
-func (r *Route) Backend(spread uint64) string {
+// Backend returns the service for a request according to the backends' weights. hash must be
+// evenly distributed over requests.
+func (r *Route) Backend(hash uint64) string {
 	var total uint64
 	for _, b := range r.Backends {
 		total += uint64(b.Weight)
@@ -76,7 +76,7 @@
 	if total == 0 {
 		return r.Backends[0].Service
 	}
-	n := spread % total
+	n := hash % total
 	for _, b := range r.Backends {
 		if n < uint64(b.Weight) {
 			return b.Service
@@ -89,74 +89,74 @@
 // Model is a base model that a service's engines can hold.
 type Model struct {
 	Name string
-	// Adapters is how many adapters the model has.
+	// Adapters is the number of adapters that the model has.
 	Adapters int
 }
 
 // Engine describes the upstreams of a service that run models.
 type Engine struct {
-	// Slots is how many requests an engine runs at once.
+	// Slots is the number of requests that an engine runs at once.
 	Slots int
-	// AdapterSlots is how many adapters it can hold.
+	// AdapterSlots is the number of adapters that an engine can hold.
 	AdapterSlots int
-	// MemoryTokens is the size of its memory for prompts.
+	// MemoryTokens is the size of an engine's prompt memory (KV cache), in tokens.
 	MemoryTokens int
 	Models       []Model
 }
 
-// Service is a group of equal upstreams.
+// Service is a group of interchangeable upstreams.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is what one upstream accepts from all instances together.
+	// MaxConnections is the number of connections that one upstream accepts from all
+	// instances together.
 	MaxConnections int
 	// Engine is nil for services that run no models.
 	Engine *Engine
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTime bounds the time to send a header, IdleTime the time that a
-	// connection may stay without a request.
+	// HeaderTime bounds the time to send a header, IdleTime the time that a connection
+	// may stay open without a request.
 	HeaderTime time.Duration
 	IdleTime   time.Duration
 }
 
-// Catalog is one version of what operators declared.
+// Catalog is one version of the operators' declarations.
 type Catalog struct {
 	Version  int64
 	Routes   []Route
 	Services map[string]*Service
-	// Workspaces are whom callers' keys belong to; where there are none no request needs a key.
+	// Workspaces are the owners of callers' keys. If there are none, no request needs a key.
 	Workspaces []Workspace
 	Limits     Limits
 
-	hosts map[string][]*Route
-	keys  map[KeyDigest]*Workspace
-	names map[string]*Workspace
-	// limited tells that a workspace has a quota.
-	limited bool
+	routesByHost    map[string][]*Route
+	workspaceByKey  map[KeyDigest]*Workspace
+	workspaceByName map[string]*Workspace
+	// anyLimited reports whether any workspace has a quota.
+	anyLimited bool
 }
 
-// Index prepares the catalog for Lookup and Workspace, and returns what is wrong with its
-// workspaces. It is called once, before the catalog is shared.
+// Index prepares the catalog for Lookup and Workspace. It returns an error that wraps
+// ErrWorkspace if a workspace is invalid. It is called once, before the catalog is shared.
 func (c *Catalog) Index() error {
-	c.hosts = make(map[string][]*Route)
+	c.routesByHost = make(map[string][]*Route)
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		host := strings.ToLower(r.Host)
-		c.hosts[host] = append(c.hosts[host], r)
+		c.routesByHost[host] = append(c.routesByHost[host], r)
 	}
 	return c.indexWorkspaces()
 }
 
-// Lookup returns the route of a host with the longest prefix of path; nil when
-// there is none.
+// Lookup returns the host's route with the longest prefix of path; nil if no route matches.
 func (c *Catalog) Lookup(host, path string) *Route {
 	var best *Route
-	for _, r := range c.hosts[strings.ToLower(host)] {
+	for _, r := range c.routesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, r.Prefix) && (best == nil || len(r.Prefix) > len(best.Prefix)) {
 			best = r
 		}
@@ -164,7 +164,7 @@
 	return best
 }
 
-// Adapter names an adapter of a base model; Name is empty for the model itself.
+// Adapter identifies an adapter of a base model; Name is empty for the model itself.
 type Adapter struct {
 	Model string
 	Name  string
@@ -176,37 +176,38 @@
 	Version int64
 }
 
-// Change is what was read of operators' documents.
+// Change is the result of one read of the operators' documents.
 type Change struct {
-	// Position is the store's position of the reading.
+	// Position is the store's position at the time of the read.
 	Position uint64
-	// Catalog is nil when it has not changed.
+	// Catalog is nil if it has not changed.
 	Catalog  *Catalog
 	Versions []Announcement
-	// Wrong tells of documents that could not be understood; the others hold.
+	// Wrong holds the errors of documents that could not be decoded; the other documents
+	// still apply.
 	Wrong []error
 }
 
-// Announced is a version of an adapter and when this instance learned of it.
+// Announced is a version of an adapter and the time at which this instance learned of it.
 type Announced struct {
 	Version int64
 	Learned time.Time
 }
 
-// Keeper holds the catalog in force and the adapters' versions. It is safe for
-// concurrent use.
+// Keeper holds the catalog in effect and the adapters' versions. It is safe for concurrent
+// use.
 type Keeper struct {
 	current atomic.Pointer[Catalog]
 
-	lock     sync.RWMutex // guards versions
-	versions map[Adapter][]Announced
+	lock     sync.RWMutex            // guards versions
+	versions map[Adapter][]Announced // in ascending order
 }
 
-// Catalog returns the catalog in force; nil before the first one is known.
+// Catalog returns the catalog in effect; nil before the first one is known.
 func (k *Keeper) Catalog() *Catalog { return k.current.Load() }
 
-// Adopt puts a catalog in force and reports whether it did: an older or equal
-// version changes nothing. The catalog must be indexed.
+// Adopt puts a catalog into effect and reports whether it did so: a catalog whose version is
+// not higher than the current one is ignored. The catalog must be indexed.
 func (k *Keeper) Adopt(c *Catalog) bool {
 	for {
 		old := k.current.Load()
@@ -219,11 +220,12 @@
 	}
 }
 
-// maxVersions bounds the versions that are remembered of one adapter: only those
-// of the last few seconds matter.
+// maxVersions limits the versions that are stored for one adapter: only those announced in the
+// last few seconds matter.
 const maxVersions = 8
 
-// Announce notes a version of an adapter and reports whether it is new.
+// Announce records a version of an adapter and reports whether it is higher than all versions
+// announced before.
 func (k *Keeper) Announce(a Adapter, version int64) bool {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -242,8 +244,8 @@
 	return true
 }
 
-// Newest returns the newest version of an adapter; false when none was announced
-// beside the one that it began with.
+// Newest returns the newest announced version of an adapter; false if none has been announced,
+// so that only the adapter's initial version exists.
 func (k *Keeper) Newest(a Adapter) (int64, bool) {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
@@ -254,8 +256,8 @@
 	return known[len(known)-1].Version, true
 }
 
-// Required returns the lowest version of an adapter that a request may begin on:
-// the newest one that has been known for at least grace.
+// Required returns the lowest version of an adapter that a new request may use: the newest one
+// that has been known for at least grace; 0 if there is none.
 func (k *Keeper) Required(a Adapter, grace time.Duration) int64 {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
@@ -268,7 +270,7 @@
 	return 0
 }
 
-// Announcements returns the newest version of each adapter that had one.
+// Announcements returns the newest version of each adapter that has an announced version.
 func (k *Keeper) Announcements() map[Adapter]int64 {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
--- a/snipecatalog/snipecatalog_test.go
+++ b/snipecatalog/snipecatalog_test.go
@@ -13,12 +13,13 @@
 func catalog(version int64, routes ...snipecatalog.Route) *snipecatalog.Catalog {
 	c := &snipecatalog.Catalog{Version: version, Routes: routes}
 	if err := c.Index(); err != nil {
-		panic(err) // the routes are those of the test
+		panic(err) // a fault of the test
 	}
 	return c
 }
 
-// TestLookup: the longest prefix of a host's routes wins, letter by letter.
+// TestLookup verifies that the route with the longest prefix of the path wins. Prefixes are
+// compared byte by byte, without decoding or cleaning the path.
 func TestLookup(t *testing.T) {
 	c := catalog(
 		1,
@@ -48,7 +49,7 @@
 	}
 }
 
-// TestBackend: requests spread over a route's services by their weights.
+// TestBackend verifies that requests are distributed over a route's services by weight.
 func TestBackend(t *testing.T) {
 	r := snipecatalog.Route{Backends: []snipecatalog.Backend{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	count := map[string]int{}
@@ -60,7 +61,7 @@
 	must.Eq(t, "only", r.Backend(7))
 }
 
-// TestNeverBack: a lower version is never put in force.
+// TestNeverBack guards against a catalog that is replaced by one of the same or a lower version.
 func TestNeverBack(t *testing.T) {
 	k := &snipecatalog.Keeper{}
 	must.Nil(t, k.Catalog())
@@ -70,8 +71,8 @@
 	must.Eq(t, 3, k.Catalog().Version)
 }
 
-// TestRequired: each version must be everywhere within its own time, also when the
-// next one was named before.
+// TestRequired verifies that the grace period is counted for each version separately, even if a
+// newer version is announced before it ends.
 func TestRequired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const grace = 3 * time.Second
--- a/snipecatalog/workspace.go
+++ b/snipecatalog/workspace.go
@@ -8,41 +8,43 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrWorkspace says that a workspace is declared wrongly.
+// ErrWorkspace is wrapped by every error about an invalid declaration of a workspace.
 var ErrWorkspace = errors.New("workspace")
 
-// KeyDigest stands for a caller's key, which is itself kept nowhere. How far two digests agree
-// tells nothing of the keys, so that they need no comparison in constant time.
+// KeyDigest is the SHA-256 digest of a caller's key; the key itself is not stored. The length of
+// the common prefix of two digests reveals nothing about the keys, so digests need no
+// constant-time comparison.
 type KeyDigest [sha256.Size]byte
 
-// DigestKey returns a key's digest.
+// DigestKey returns the digest of a key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// Workspace is whom callers' keys belong to.
+// Workspace is a customer that owns callers' keys.
 type Workspace struct {
 	Name string
 	Keys []KeyDigest
-	// Priority goes before that of routes, 0 first; nil for the route's.
+	// Priority overrides the priority of routes, 0 being the most urgent; nil keeps the route's.
 	Priority *int
 	Quota    Quota
 }
 
-// Quota bounds what a workspace may use, over all instances together. The zero Quota is none.
+// Quota limits what a workspace may use on all instances together. The zero Quota is no limit.
 type Quota struct {
-	// PerSecond is how many units may be used in a second, Burst how many can be saved up.
+	// PerSecond is the number of units that may be used in a second, Burst the number of unused
+	// units that can accumulate.
 	PerSecond float64
 	Burst     float64
-	// Tokens tells that units are tokens of prompts and answers; they are requests otherwise.
+	// Tokens reports whether units are tokens of prompts and answers; otherwise they are requests.
 	Tokens bool
-	// PlainTokens is what a request counts that does not state its size.
+	// PlainTokens is the number of tokens charged for a request that does not state its size.
 	PlainTokens int
 }
 
-// Limited reports whether there is a quota.
+// Limited reports whether q limits a workspace at all.
 func (q Quota) Limited() bool { return q.PerSecond > 0 }
 
-// Cost returns how many units a request of so many tokens counts; stated is false for one that
-// does not say.
+// Cost returns the number of units that a request of the given number of tokens is charged;
+// stated is false for a request that does not state its size.
 func (q Quota) Cost(tokens int, stated bool) float64 {
 	switch {
 	case !q.Tokens:
@@ -54,56 +56,57 @@
 	}
 }
 
-// Check returns what is wrong with a workspace; its error names the field.
+// Check returns an error that wraps ErrWorkspace and gives the reason if the workspace is
+// invalid.
 func (w *Workspace) Check() error {
-	wrong := func(reason string) error { return errors.Wrapf(ErrWorkspace, "%q: %s", w.Name, reason) }
+	invalid := func(reason string) error { return errors.Wrapf(ErrWorkspace, "%q: %s", w.Name, reason) }
 	switch {
 	case w.Name == "":
-		return wrong("has no name")
-	case !finite(w.Quota.PerSecond) || !finite(w.Quota.Burst):
-		return wrong("rate or burst is no number from 0 on")
+		return invalid("has no name")
+	case !finiteNonNegative(w.Quota.PerSecond) || !finiteNonNegative(w.Quota.Burst):
+		return invalid("rate or burst is no number from 0 on")
 	case w.Quota.PlainTokens < 0:
-		return wrong("the size of plain requests is negative")
+		return invalid("the size of plain requests is negative")
 	case slices.Contains(w.Keys, DigestKey("")):
-		return wrong("a key is empty")
+		return invalid("a key is empty")
 	}
 	return nil
 }
 
-func finite(f float64) bool { return f >= 0 && !math.IsInf(f, 1) }
+func finiteNonNegative(f float64) bool { return f >= 0 && !math.IsInf(f, 1) }
 
-// Keyed reports whether requests need a key, but for those of public routes.
+// Keyed reports whether requests need a key, except for those of public routes.
 func (c *Catalog) Keyed() bool { return len(c.Workspaces) > 0 }
 
 // Limited reports whether any workspace has a quota.
-func (c *Catalog) Limited() bool { return c.limited }
+func (c *Catalog) Limited() bool { return c.anyLimited }
 
-// Workspace returns the workspace that holds a key; nil when none does.
-func (c *Catalog) Workspace(key KeyDigest) *Workspace { return c.keys[key] }
+// Workspace returns the workspace that a key belongs to; nil if there is none.
+func (c *Catalog) Workspace(key KeyDigest) *Workspace { return c.workspaceByKey[key] }
 
-// WorkspaceNamed returns a workspace by its name; nil when there is none.
-func (c *Catalog) WorkspaceNamed(name string) *Workspace { return c.names[name] }
+// WorkspaceNamed returns the workspace with the given name; nil if there is none.
+func (c *Catalog) WorkspaceNamed(name string) *Workspace { return c.workspaceByName[name] }
 
-// indexWorkspaces prepares the search for keys. Of two workspaces with one key or name neither
-// can be told from the other, which is an error.
+// indexWorkspaces builds the indexes of workspaces by key and by name. Two workspaces with the
+// same key or name cannot be distinguished, so this is an error.
 func (c *Catalog) indexWorkspaces() error {
-	c.keys = make(map[KeyDigest]*Workspace)
-	c.names = make(map[string]*Workspace, len(c.Workspaces))
-	for n := range c.Workspaces {
-		w := &c.Workspaces[n]
+	c.workspaceByKey = make(map[KeyDigest]*Workspace)
+	c.workspaceByName = make(map[string]*Workspace, len(c.Workspaces))
+	for i := range c.Workspaces {
+		w := &c.Workspaces[i]
 		if err := w.Check(); err != nil {
 			return err
 		}
-		if c.names[w.Name] != nil {
+		if c.workspaceByName[w.Name] != nil {
 			return errors.Wrapf(ErrWorkspace, "%q: is declared twice", w.Name)
 		}
-		c.names[w.Name] = w
-		c.limited = c.limited || w.Quota.Limited()
+		c.workspaceByName[w.Name] = w
+		c.anyLimited = c.anyLimited || w.Quota.Limited()
 		for _, k := range w.Keys {
-			if other := c.keys[k]; other != nil && other != w {
+			if other := c.workspaceByKey[k]; other != nil && other != w {
 				return errors.Wrapf(ErrWorkspace, "%q: has a key of %q", w.Name, other.Name)
 			}
-			c.keys[k] = w
+			c.workspaceByKey[k] = w
 		}
 	}
 	return nil
--- a/snipecatalog/workspace_test.go
+++ b/snipecatalog/workspace_test.go
@@ -9,7 +9,7 @@
 	"snipepitch.example/snipepitch/snipecatalog"
 )
 
-// keyed returns a catalog of so many workspaces with so many keys each.
+// keyed returns a catalog with the given number of workspaces and of keys for each.
 func keyed(tb testing.TB, workspaces, keys int) *snipecatalog.Catalog {
 	c := &snipecatalog.Catalog{Version: 1}
 	for n := range workspaces {
@@ -23,7 +23,7 @@
 	return c
 }
 
-// TestWorkspace finds workspaces by their keys, and nothing by others.
+// TestWorkspace verifies that a workspace is found by its keys only.
 func TestWorkspace(t *testing.T) {
 	c := keyed(t, 3, 2)
 	must.True(t, c.Keyed())
@@ -36,7 +36,7 @@
 	must.False(t, keyed(t, 0, 0).Keyed())
 }
 
-// TestCost is what requests count.
+// TestCost verifies the units that requests are charged.
 func TestCost(t *testing.T) {
 	tokens := snipecatalog.Quota{PerSecond: 1, Tokens: true, PlainTokens: 200}
 	tests := map[string]struct {
@@ -56,7 +56,7 @@
 	}
 }
 
-// BenchmarkWorkspace is the search for a key among a hundred thousand.
+// BenchmarkWorkspace measures the lookup of one key among 100,000.
 func BenchmarkWorkspace(b *testing.B) {
 	c := keyed(b, 1000, 100)
 	b.ReportAllocs()
