--- a/snipetree/document.go
+++ b/snipetree/document.go
@@ -17,26 +17,26 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// Rows of the tree. The revision row is small, as it is read all the time; the
-// head row names the document of each branch; documents are immutable and
-// stored under their hashes; the history has a row for each version of a branch.
+// Rows of the tree. The revision row is small because it is read in every poll. The head
+// row names the document of each branch. Documents are immutable and stored under their
+// hashes. The history has a row for each version of a branch.
 const (
 	partition          = "Settings"
 	revisionSort       = "Revision"
 	headSort           = "Head"
 	historyPrefix      = "SettingsHistory/"
 	documentsPartition = "SettingsDocuments"
-	platformSort       = "Platform"
+	platformBranchName = "Platform"
 	teamPrefix         = "Team/"
 )
 
-// Bounds of rows and documents, in bytes.
+// Limits of rows and documents, in bytes except for maxParts.
 const (
-	// maxRow is what a row may hold; the table service takes 400 KiB.
+	// maxRow limits the data of a row; the table service accepts 400 KiB.
 	maxRow = 350 << 10
-	// maxParts is over how many rows a document is spread.
+	// maxParts limits the number of rows over which a document is spread.
 	maxParts = 32
-	// maxDocument bounds a branch before compression.
+	// maxDocument limits a branch before compression.
 	maxDocument = 64 << 20
 )
 
@@ -45,15 +45,15 @@
 	headKey     = snipeplatform.Key{Partition: partition, Sort: headSort}
 )
 
-// branchRef says which document a branch has.
+// branchRef identifies a branch's document.
 type branchRef struct {
 	// Version counts the edits of the branch; Edit identifies the last one.
 	Version uint64
 	Edit    string
-	// Hash names the document, Parts is over how many rows it is spread.
+	// Hash names the document, Parts is the number of rows over which it is spread.
 	Hash  string
 	Parts int
-	// Revision is the one that the branch's last edit made.
+	// Revision is the revision that the branch's last edit created.
 	Revision uint64
 }
 
@@ -63,7 +63,7 @@
 	Branches map[string]branchRef
 }
 
-// clone returns a copy that can be edited.
+// clone returns a copy whose Branches can be modified.
 func (h head) clone() head {
 	c := head{Revision: h.Revision, Branches: make(map[string]branchRef, len(h.Branches)+1)}
 	for name, r := range h.Branches {
@@ -80,18 +80,18 @@
 	return h, nil
 }
 
-// document is a branch's document with what it decodes to. It never changes.
+// document is a branch's document in compressed and in decoded form. It is immutable.
 type document struct {
-	// packed is the compressed document.
-	packed []byte
-	// platform or branch is set unless wrong says why not.
-	platform *Platform
-	branch   *Branch
-	wrong    error
+	// compressed is the document as it is stored.
+	compressed []byte
+	// platform or branch holds the decoded document; it is valid only if decodeErr is nil.
+	platform  *Platform
+	branch    *Branch
+	decodeErr error
 }
 
-// pack compresses a document and returns its hash.
-func pack(data []byte) (packed []byte, hash string, err error) {
+// compress compresses a document and returns the result and its hash.
+func compress(data []byte) (compressed []byte, hash string, err error) {
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestCompression)
 	if err != nil {
@@ -106,13 +106,13 @@
 	return b.Bytes(), hashOf(b.Bytes()), nil
 }
 
-func hashOf(packed []byte) string {
-	sum := sha256.Sum256(packed)
+func hashOf(compressed []byte) string {
+	sum := sha256.Sum256(compressed)
 	return base64.RawURLEncoding.EncodeToString(sum[:])
 }
 
-func unpack(packed []byte) ([]byte, error) {
-	r, err := gzip.NewReader(bytes.NewReader(packed))
+func decompress(compressed []byte) ([]byte, error) {
+	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, errors.Wrap(err, "decompress")
 	}
@@ -123,22 +123,22 @@
 	return data, nil
 }
 
-// newDocument decodes a compressed document. A document that cannot be decoded
-// is kept as wrong, so that it blocks its own branch alone.
-func newDocument(name string, packed []byte) *document {
-	d := &document{packed: packed}
-	data, err := unpack(packed)
+// newDocument decodes a compressed document. A document that cannot be decoded is kept
+// with its error, so that it blocks only its own branch.
+func newDocument(name string, compressed []byte) *document {
+	d := &document{compressed: compressed}
+	data, err := decompress(compressed)
 	if err != nil {
-		d.wrong = err
+		d.decodeErr = err
 		return d
 	}
-	if name == platformSort {
+	if name == platformBranchName {
 		d.platform = &Platform{}
-		d.wrong = snipejson.Decode(data, d.platform)
+		d.decodeErr = snipejson.Decode(data, d.platform)
 		return d
 	}
 	d.branch = &Branch{}
-	d.wrong = snipejson.Decode(data, d.branch)
+	d.decodeErr = snipejson.Decode(data, d.branch)
 	return d
 }
 
@@ -146,20 +146,21 @@
 	return snipeplatform.Key{Partition: documentsPartition, Sort: hash + "/" + strconv.Itoa(part)}
 }
 
-// historyKey returns the row of a branch's version in the history.
+// historyKey returns the key of the history row of a branch's version.
 func historyKey(name string, version uint64) snipeplatform.Key {
 	return snipeplatform.Key{Partition: historyPrefix + name, Sort: fmt.Sprintf("%020d", version)}
 }
 
-// parts returns over how many rows a document is spread.
-func parts(packed []byte) int { return max(1, (len(packed)+maxRow-1)/maxRow) }
+// partCount returns the number of rows over which a document is spread.
+func partCount(compressed []byte) int { return max(1, (len(compressed)+maxRow-1)/maxRow) }
 
-// writeDocument stores a document. It is there already if it was ever stored.
-func (s *Store) writeDocument(ctx context.Context, hash string, packed []byte) error {
-	for n := range parts(packed) {
-		data := packed[n*maxRow : min((n+1)*maxRow, len(packed))]
+// writeDocument stores a document. A conflict means that the part is already stored: documents
+// are immutable and stored under their hashes.
+func (s *Store) writeDocument(ctx context.Context, hash string, compressed []byte) error {
+	for n := range partCount(compressed) {
+		data := compressed[n*maxRow : min((n+1)*maxRow, len(compressed))]
 		changes := []snipeplatform.Change{{Key: partKey(hash, n), Data: data}}
-		err := patient(ctx, func() error { return s.Table.Settle(ctx, s.Operation(), changes) })
+		err := retryUnavailable(ctx, func() error { return s.Table.Settle(ctx, s.Operation(), changes) })
 		if err != nil && !errors.Is(err, snipeplatform.ErrConflict) {
 			return errors.Wrapf(err, "store part %d", n)
 		}
@@ -169,20 +170,20 @@
 
 // readDocument reads a document from the table.
 func (s *Store) readDocument(ctx context.Context, name string, ref branchRef) (*document, error) {
-	var packed []byte
+	var compressed []byte
 	for n := range min(ref.Parts, maxParts) {
 		var row snipeplatform.Row
-		err := patient(ctx, func() (err error) {
+		err := retryUnavailable(ctx, func() (err error) {
 			row, err = s.Table.Get(ctx, partKey(ref.Hash, n))
 			return err
 		})
 		if err != nil {
 			return nil, errors.Wrapf(err, "read branch %s", name)
 		}
-		packed = append(packed, row.Data...)
+		compressed = append(compressed, row.Data...)
 	}
-	if hashOf(packed) != ref.Hash {
+	if hashOf(compressed) != ref.Hash {
 		return nil, errors.Wrapf(snipeplatform.ErrUnavailable, "branch %s: document %s is damaged", name, ref.Hash)
 	}
-	return newDocument(name, packed), nil
+	return newDocument(name, compressed), nil
 }
--- a/snipetree/edit.go
+++ b/snipetree/edit.go
@@ -16,24 +16,24 @@
 
 // Entry is one accepted edit in the history.
 type Entry struct {
-	// Revision is the one that the edit made, Edit identifies it.
+	// Revision is the revision that the edit created, Edit the identifier of the edit.
 	Revision uint64
 	Edit     string
-	// Team is the branch; empty for the platform's.
+	// Team is the team of the branch; empty for the platform's branch.
 	Team string
-	// Version is the branch's version since the edit.
+	// Version is the branch's version after the edit.
 	Version uint64
-	// Accepted is when, by the clock of the instance that accepted it.
+	// Accepted is the time of acceptance by the clock of the instance that accepted the edit.
 	Accepted time.Time
-	// Hash and Parts name the document.
+	// Hash and Parts identify the document, as in branchRef.
 	Hash  string
 	Parts int
 }
 
-// Edit replaces one branch.
+// Edit is a request to replace the document of one branch.
 type Edit struct {
-	// ID identifies the edit. Sending it again, through any instance, finds
-	// out whether it was accepted, and does not make it twice.
+	// ID identifies the edit. Sending an edit again, through any instance, returns
+	// whether it was accepted, and never applies it twice.
 	ID string
 	// Team is the branch's team; empty for the platform's branch.
 	Team string
@@ -43,14 +43,14 @@
 	Document []byte
 }
 
-// Apply makes an edit that is not sent again; see ApplyEdit.
+// Apply makes an edit under a new identifier, so that it cannot be sent again; see ApplyEdit.
 func (s *Store) Apply(ctx context.Context, team string, expect uint64, data []byte) (uint64, error) {
 	return s.ApplyEdit(ctx, Edit{ID: s.Operation(), Team: team, Expect: expect, Document: data})
 }
 
-// ApplyEdit makes an edit and returns the new revision. ErrInvalid and
-// ErrConflict mean that nothing was written. ErrUnknown of snipeplatform means
-// that the edit may be or become accepted; sending it again finds out.
+// ApplyEdit makes an edit and returns the new revision. ErrInvalid and ErrConflict mean
+// that the edit was not accepted. snipeplatform.ErrUnknown means that the edit may have
+// been accepted or may still be; sending it again returns the outcome.
 func (s *Store) ApplyEdit(ctx context.Context, e Edit) (uint64, error) {
 	if len(e.Document) > maxDocument {
 		return 0, invalid("document", "too large")
@@ -58,20 +58,21 @@
 	if err := checkBranch(e.Team, e.Document); err != nil {
 		return 0, err
 	}
-	packed, hash, err := pack(e.Document)
+	compressed, hash, err := compress(e.Document)
 	if err != nil {
 		return 0, err
 	}
-	if parts(packed) > maxParts {
+	if partCount(compressed) > maxParts {
 		return 0, invalid("document", "too large")
 	}
-	name := branchSort(e.Team)
-	ref := branchRef{Version: e.Expect + 1, Edit: e.ID, Hash: hash, Parts: parts(packed)}
-	// Only edits of other branches make an attempt fail, and each failure is
-	// somebody's success; the bound keeps one request finite.
+	name := branchName(e.Team)
+	ref := branchRef{Version: e.Expect + 1, Edit: e.ID, Hash: hash, Parts: partCount(compressed)}
+	// A conflict means that another edit was accepted and has replaced the head that this
+	// attempt read. If that edit was of the same branch, the next attempt refuses this
+	// one; otherwise it can succeed. The bound keeps one request finite.
 	const attempts = 20
 	for n := range attempts {
-		revision, err := s.try(ctx, name, ref, newDocument(name, packed))
+		revision, err := s.tryEdit(ctx, name, ref, newDocument(name, compressed))
 		if !errors.Is(err, snipeplatform.ErrConflict) {
 			return revision, err
 		}
@@ -82,8 +83,9 @@
 	return 0, errors.Wrapf(ErrConflict, "%d attempts", attempts)
 }
 
-// patient repeats a step that the table refuses at times.
-func patient(ctx context.Context, step func() error) error {
+// retryUnavailable calls step up to three times while it fails with
+// snipeplatform.ErrUnavailable, because the table sometimes refuses requests.
+func retryUnavailable(ctx context.Context, step func() error) error {
 	const tries, wait = 3, 50 * time.Millisecond
 	for n := 1; ; n++ {
 		err := step()
@@ -111,10 +113,10 @@
 	return b.Check()
 }
 
-// try makes the edit on the head as it is now.
-func (s *Store) try(ctx context.Context, name string, ref branchRef, d *document) (uint64, error) {
+// tryEdit attempts the edit on the current head.
+func (s *Store) tryEdit(ctx context.Context, name string, ref branchRef, d *document) (uint64, error) {
 	var h head
-	err := patient(ctx, func() (err error) {
+	err := retryUnavailable(ctx, func() (err error) {
 		h, err = s.readHead(ctx)
 		return err
 	})
@@ -123,47 +125,48 @@
 	}
 	last := h.Branches[name]
 	if last.Version == ref.Version && last.Edit == ref.Edit {
-		// This very edit is in effect: its reply was lost.
-		return last.Revision, s.follow(ctx, h)
+		// This edit is already in effect; only its reply was lost.
+		return last.Revision, s.catchUp(ctx, h)
 	}
 	if last.Version > ref.Version {
-		// It may have been in effect before somebody edited the branch again.
-		if e, err := s.entry(ctx, name, ref.Version); err == nil && e.Edit == ref.Edit {
+		// This edit may have been accepted before the branch was edited again.
+		if e, err := s.historyEntry(ctx, name, ref.Version); err == nil && e.Edit == ref.Edit {
 			return e.Revision, nil
 		}
 	}
 	if last.Version != ref.Version-1 {
 		return 0, errors.Wrapf(ErrConflict, "branch %s has version %d, not %d", name, last.Version, ref.Version-1)
 	}
-	// The check needs all branches as they are at this head.
-	if err := s.follow(ctx, h); err != nil {
+	// The check needs all branches at the revision of this head.
+	if err := s.catchUp(ctx, h); err != nil {
 		return 0, err
 	}
-	if err := s.checkAcross(h.Revision, name, d); err != nil {
+	if err := s.checkCrossBranch(h.Revision, name, d); err != nil {
 		return 0, err
 	}
-	if err := s.writeDocument(ctx, ref.Hash, d.packed); err != nil {
+	if err := s.writeDocument(ctx, ref.Hash, d.compressed); err != nil {
 		return 0, err
 	}
 	revision, err := s.commit(ctx, h, name, ref)
 	if err != nil {
 		return 0, err
 	}
-	s.accepted(h, name, ref, revision, d)
+	s.activateAccepted(h, name, ref, revision, d)
 	return revision, nil
 }
 
-// accepted puts an edit that was accepted here in force here, before others
-// learn of it: they can then take it from this instance if the table fails.
-func (s *Store) accepted(old head, name string, ref branchRef, revision uint64, d *document) {
+// activateAccepted puts an edit that this instance accepted into effect here before it
+// announces the revision, so that other instances can fetch it from this instance if the
+// table fails.
+func (s *Store) activateAccepted(old head, name string, ref branchRef, revision uint64, d *document) {
 	h := old.clone()
 	ref.Revision, h.Revision = revision, revision
 	h.Branches[name] = ref
-	docs, missing := s.known(h)
+	docs, missing := s.cachedDocuments(h)
 	delete(missing, name)
 	docs[ref.Hash] = d
 	if len(missing) == 0 {
-		if err := s.adopt(h, docs); err != nil {
+		if err := s.activate(h, docs); err != nil {
 			s.Log.Error(snipelog.SettingsReadFailed, err, nil)
 		}
 	}
@@ -172,47 +175,47 @@
 	}
 }
 
-// follow makes sure that a head which was read is in force here.
-func (s *Store) follow(ctx context.Context, h head) error {
+// catchUp makes sure that the revision of a head, or a higher one, is in effect here.
+func (s *Store) catchUp(ctx context.Context, h head) error {
 	if h.Revision == 0 || s.revision() >= h.Revision {
 		return nil
 	}
 	s.refreshing.Lock()
 	defer s.refreshing.Unlock()
-	return s.take(ctx, h, s.readDocument)
+	return s.applyHead(ctx, h, s.readDocument)
 }
 
-// commit writes the new head, revision and history in one transaction. The
-// versions of the head and revision rows equal the revision.
+// commit writes the new head, the revision and the history entry in one transaction. The
+// versions of the head row and of the revision row equal the revision.
 func (s *Store) commit(ctx context.Context, old head, name string, ref branchRef) (uint64, error) {
 	h := old.clone()
 	h.Revision++
 	ref.Revision = h.Revision
 	h.Branches[name] = ref
-	document, err := json.Marshal(h)
+	headData, err := json.Marshal(h)
 	if err != nil {
 		return 0, errors.Wrap(err, "encode head")
 	}
-	if len(document) > maxRow {
+	if len(headData) > maxRow {
 		return 0, invalid("branches", "too many")
 	}
 	entry, err := json.Marshal(Entry{
-		Revision: h.Revision, Edit: ref.Edit, Team: teamName(name), Version: ref.Version, Accepted: time.Now().UTC(),
+		Revision: h.Revision, Edit: ref.Edit, Team: teamOrEmpty(name), Version: ref.Version, Accepted: time.Now().UTC(),
 		Hash: ref.Hash, Parts: ref.Parts,
 	})
 	if err != nil {
 		return 0, errors.Wrap(err, "encode history")
 	}
-	feed, err := s.report(ctx, old.Revision, change{Branch: name, branchRef: ref})
+	reportData, err := s.nextReport(ctx, old.Revision, change{Branch: name, branchRef: ref})
 	if err != nil {
 		return 0, err
 	}
 	operation, changes := s.Operation(), []snipeplatform.Change{
-		{Key: revisionKey, Expect: old.Revision, Data: feed},
-		{Key: headKey, Expect: old.Revision, Data: document},
+		{Key: revisionKey, Expect: old.Revision, Data: reportData},
+		{Key: headKey, Expect: old.Revision, Data: headData},
 		{Key: historyKey(name, ref.Version), Data: entry},
 	}
-	err = patient(ctx, func() error { return s.Table.Settle(ctx, operation, changes) })
+	err = retryUnavailable(ctx, func() error { return s.Table.Settle(ctx, operation, changes) })
 	if err != nil {
 		return 0, errors.Wrapf(err, "write revision %d", h.Revision)
 	}
@@ -220,16 +223,16 @@
 	return h.Revision, nil
 }
 
-func teamName(name string) string {
-	if name == platformSort {
+func teamOrEmpty(name string) string {
+	if name == platformBranchName {
 		return ""
 	}
 	return teamOf(name)
 }
 
-// History returns the accepted edits of a branch, the last one first.
+// History returns the accepted edits of a branch, the most recent one first.
 func (s *Store) History(ctx context.Context, team string) ([]Entry, error) {
-	rows, err := s.Table.List(ctx, historyPrefix+branchSort(team))
+	rows, err := s.Table.List(ctx, historyPrefix+branchName(team))
 	if err != nil {
 		return nil, errors.Wrap(err, "read history")
 	}
@@ -244,8 +247,8 @@
 	return all, nil
 }
 
-// entry returns the edit that made a version of a branch.
-func (s *Store) entry(ctx context.Context, name string, version uint64) (Entry, error) {
+// historyEntry returns the history entry of a version of a branch.
+func (s *Store) historyEntry(ctx context.Context, name string, version uint64) (Entry, error) {
 	var e Entry
 	row, err := s.Table.Get(ctx, historyKey(name, version))
 	if errors.Is(err, snipeplatform.ErrNotFound) {
@@ -260,10 +263,10 @@
 	return e, nil
 }
 
-// Document returns the branch's document of an earlier version.
+// Document returns the document of a version of the branch.
 func (s *Store) Document(ctx context.Context, team string, version uint64) ([]byte, error) {
-	name := branchSort(team)
-	e, err := s.entry(ctx, name, version)
+	name := branchName(team)
+	e, err := s.historyEntry(ctx, name, version)
 	if err != nil {
 		return nil, err
 	}
@@ -271,12 +274,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return unpack(d.packed)
+	return decompress(d.compressed)
 }
 
-// Rollback makes the document of an earlier version the branch's document
-// again, as a new version and revision, provided that the branch still has the
-// version expect. The old document is checked like any other edit.
+// Rollback applies the document of an earlier version to the branch again, as a new
+// version and revision, if the branch is still at version expect. The document is checked
+// like that of any other edit.
 func (s *Store) Rollback(ctx context.Context, team string, expect, version uint64) (uint64, error) {
 	data, err := s.Document(ctx, team, version)
 	if err != nil {
--- a/snipetree/export_test.go
+++ b/snipetree/export_test.go
@@ -2,10 +2,10 @@
 
 import "context"
 
-// WriteUnchecked makes an edit without the checks, as a later program with
-// other checks may do.
+// WriteUnchecked makes an edit without checking the document, as a later version of the
+// program with other checks may do.
 func (s *Store) WriteUnchecked(ctx context.Context, team string, expect uint64, data []byte) error {
-	packed, hash, err := pack(data)
+	compressed, hash, err := compress(data)
 	if err != nil {
 		return err
 	}
@@ -13,9 +13,9 @@
 	if err != nil {
 		return err
 	}
-	if err := s.writeDocument(ctx, hash, packed); err != nil {
+	if err := s.writeDocument(ctx, hash, compressed); err != nil {
 		return err
 	}
-	_, err = s.commit(ctx, h, branchSort(team), branchRef{Version: expect + 1, Hash: hash, Parts: parts(packed)})
+	_, err = s.commit(ctx, h, branchName(team), branchRef{Version: expect + 1, Hash: hash, Parts: partCount(compressed)})
 	return err
 }
--- a/snipetree/feed.go
+++ b/snipetree/feed.go
@@ -9,9 +9,9 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// window is how many of the last edits the revision row reports, so that it
-// stays within one read unit of 4 KiB.
-const window = 24
+// maxReportedEdits is the number of most recent edits in the revision row. It keeps the row
+// within one read unit of 4 KiB.
+const maxReportedEdits = 24
 
 // change is one edit in the report.
 type change struct {
@@ -19,19 +19,20 @@
 	branchRef
 }
 
-// report is the document of the revision row: the last edits in the order of
-// their revisions, without gaps. Whoever is behind by no more than the window
-// brings its head up to date from it; whoever is further behind reads the head
-// row, which names all branches.
+// report is the document of the revision row: the most recent edits in the order of their
+// revisions, without gaps. An instance that is behind by at most maxReportedEdits revisions
+// updates its head from the report. An instance that is further behind reads the head row,
+// which names all branches.
 type report struct {
 	Changes []change
 }
 
-// report returns the report after one more edit on a revision.
-func (s *Store) report(ctx context.Context, revision uint64, last change) ([]byte, error) {
+// nextReport returns the encoded report with the edit last added, which is made on the given
+// revision.
+func (s *Store) nextReport(ctx context.Context, revision uint64, last change) ([]byte, error) {
 	var r report
 	var row snipeplatform.Row
-	err := patient(ctx, func() (err error) {
+	err := retryUnavailable(ctx, func() (err error) {
 		row, err = s.Table.Get(ctx, revisionKey)
 		return err
 	})
@@ -40,11 +41,12 @@
 	case err != nil:
 		return nil, errors.Wrap(err, "read report")
 	case row.Version != revision || json.Unmarshal(row.Data, &r) != nil:
-		// The edit will meet a conflict, or the report begins anew.
+		// Either the edit will fail with a conflict, or the read was stale or the report
+		// cannot be decoded. In the last two cases the report starts anew with this edit.
 		r = report{}
 	}
 	r.Changes = append(r.Changes, last)
-	r.Changes = r.Changes[max(0, len(r.Changes)-window):]
+	r.Changes = r.Changes[max(0, len(r.Changes)-maxReportedEdits):]
 	data, err := json.Marshal(r)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode report")
@@ -52,9 +54,9 @@
 	return data, nil
 }
 
-// follows returns the head at the revision row's version, made from the head
-// that is here and the report; false when the report does not reach back.
-func (s *Store) follows(row snipeplatform.Row) (head, bool) {
+// headFromReport returns the head at the revision of the revision row, derived from the head
+// in effect and the row's report; false if the report does not cover all edits in between.
+func (s *Store) headFromReport(row snipeplatform.Row) (head, bool) {
 	var r report
 	if err := json.Unmarshal(row.Data, &r); err != nil {
 		return head{}, false
--- a/snipetree/feed_test.go
+++ b/snipetree/feed_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestFeed: an instance that is a little behind reads the report and the
-// changed documents; one that is further behind reads the head as well.
+// TestFeed verifies that an instance which is behind by no more than the reported edits reads only
+// the report and the changed documents, and that one further behind reads the head as well.
 func TestFeed(t *testing.T) {
 	tests := map[string]struct {
 		edits int
@@ -21,7 +21,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			table := prepared(t)
+			table := tableWithPlatform(t)
 			editor, reader := newStore(table), newStore(table)
 			must.NoError(t, reader.Refresh(t.Context()))
 			for n := range tc.edits {
--- a/snipetree/fleet_test.go
+++ b/snipetree/fleet_test.go
@@ -18,10 +18,10 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// inForce is within what time a change must be in force everywhere.
-const inForce = 19 * time.Second
+// maxPropagationTime is the time within which a change must be in effect everywhere.
+const maxPropagationTime = 19 * time.Second
 
-// fleet is some instances with one table and a network of peers.
+// fleet is a group of instances with one table and a network between peers.
 type fleet struct {
 	t       *testing.T
 	table   *snipestand.Table
@@ -30,10 +30,10 @@
 	cancels []context.CancelFunc
 	wait    sync.WaitGroup
 
-	lock      sync.Mutex // guards the fields below
-	cut       map[int]bool
-	announced uint64
-	muted     bool
+	lock                 sync.Mutex // guards the fields below
+	cut                  map[int]bool
+	announced            uint64
+	announcementsDropped bool
 }
 
 func peerAddress(n int) netip.AddrPort {
@@ -41,7 +41,7 @@
 }
 
 func newFleet(t *testing.T, size int) *fleet {
-	f := &fleet{t: t, table: prepared(t), network: snipestand.NewPeerNetwork(time.Millisecond), cut: map[int]bool{}}
+	f := &fleet{t: t, table: tableWithPlatform(t), network: snipestand.NewPeerNetwork(time.Millisecond), cut: map[int]bool{}}
 	for range size {
 		f.add()
 	}
@@ -51,7 +51,7 @@
 func (f *fleet) add() {
 	n := len(f.stores)
 	s := &snipetree.Store{
-		Table: f.reach(n), Poll: 5 * time.Second, Log: snipelog.Discard(), Operation: rand.Text,
+		Table: f.tableOf(n), Poll: 5 * time.Second, Log: snipelog.Discard(), Operation: rand.Text,
 		HTTP: f.network.From(peerAddress(n)),
 		Peers: func(count int) []netip.AddrPort {
 			var all []netip.AddrPort
@@ -60,33 +60,34 @@
 			}
 			return all
 		},
-		Noticed:  func() uint64 { return f.notice(0) },
-		Announce: func(revision uint64) { f.notice(revision) },
+		Noticed:  func() uint64 { return f.recordAnnouncement(0) },
+		Announce: func(revision uint64) { f.recordAnnouncement(revision) },
 	}
 	f.network.Listen(peerAddress(n), s.Handler())
 	f.stores = append(f.stores, s)
 	f.cancels = append(f.cancels, nil)
 }
 
-// mute loses all announcements from now on.
-func (f *fleet) mute() {
+// dropAnnouncements drops all further announcements.
+func (f *fleet) dropAnnouncements() {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.muted = true
+	f.announcementsDropped = true
 }
 
-// notice notes an announcement and returns the highest one.
-func (f *fleet) notice(revision uint64) uint64 {
+// recordAnnouncement records an announced revision, unless announcements are dropped, and returns
+// the highest one recorded.
+func (f *fleet) recordAnnouncement(revision uint64) uint64 {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	if !f.muted {
+	if !f.announcementsDropped {
 		f.announced = max(f.announced, revision)
 	}
 	return f.announced
 }
 
-// reach returns the table as instance n reaches it.
-func (f *fleet) reach(n int) snipeplatform.Table {
+// tableOf returns the table of instance n, whose reads fail while the instance is cut off.
+func (f *fleet) tableOf(n int) snipeplatform.Table {
 	c := f.table.Client()
 	get := c.Get
 	c.Get = func(ctx context.Context, key snipeplatform.Key) (snipeplatform.Row, error) {
@@ -125,10 +126,10 @@
 	for n := range f.stores {
 		f.run(n)
 	}
-	time.Sleep(inForce)
+	time.Sleep(maxPropagationTime)
 }
 
-func (f *fleet) end() {
+func (f *fleet) stop() {
 	for _, c := range f.cancels {
 		if c != nil {
 			c()
@@ -137,15 +138,15 @@
 	f.wait.Wait()
 }
 
-// edit makes an edit through the first instance.
+// edit applies an edit through the first instance.
 func (f *fleet) edit() {
 	s := f.stores[0]
 	_, err := s.Apply(f.t.Context(), "t", s.BranchVersion("t"), []byte(teamBranch))
 	must.NoError(f.t, err)
 }
 
-// behind returns the instances that admit calls under a revision below want.
-func (f *fleet) behind(want uint64) []int {
+// outdated returns the instances that admit calls at a revision below want.
+func (f *fleet) outdated(want uint64) []int {
 	var all []int
 	for n, s := range f.stores {
 		if a := s.Admitting(); a != nil && a.Revision < want {
@@ -155,17 +156,18 @@
 	return all
 }
 
-// TestInForceEverywhere: within 19 s of its acceptance a change is in force on
-// every instance that admits calls, and no revision goes back.
+// TestInForceEverywhere guards against an instance that still admits calls at the previous
+// revision 19 s after a change was accepted, because a fault of the table or of the network keeps
+// the change from it.
 func TestInForceEverywhere(t *testing.T) {
 	const size = 9
 	tests := map[string]struct {
 		fault func(f *fleet)
-		// admitting is how many instances admit calls then.
+		// admitting is the number of instances that admit calls in the end.
 		admitting int
 	}{
 		"no fault":             {func(*fleet) {}, size},
-		"nothing is announced": {func(f *fleet) { f.mute() }, size},
+		"nothing is announced": {func(f *fleet) { f.dropAnnouncements() }, size},
 		"one cut from the table": {func(f *fleet) {
 			f.cutTable(3, true)
 		}, size},
@@ -193,14 +195,14 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, size)
-				defer f.end()
+				defer f.stop()
 				f.runAll()
-				must.SliceEmpty(t, f.behind(1))
+				must.SliceEmpty(t, f.outdated(1))
 				must.NotNil(t, f.stores[3].Admitting())
 				tc.fault(f)
-				f.editTries()
-				time.Sleep(inForce)
-				must.SliceEmpty(t, f.behind(2))
+				f.editUntilAccepted()
+				time.Sleep(maxPropagationTime)
+				must.SliceEmpty(t, f.outdated(2))
 				admitting := 0
 				for _, s := range f.stores {
 					if s.Admitting() != nil {
@@ -213,8 +215,8 @@
 	}
 }
 
-// editTries repeats an edit as an operator does while the table is troubled.
-func (f *fleet) editTries() {
+// editUntilAccepted repeats an edit as an operator does while the table has faults.
+func (f *fleet) editUntilAccepted() {
 	for range 100 {
 		e := snipetree.Edit{ID: "edit", Team: "t", Document: []byte(teamBranch)}
 		if _, err := f.stores[0].ApplyEdit(f.t.Context(), e); err == nil {
@@ -225,13 +227,13 @@
 	f.t.Fatal("the edit was never accepted")
 }
 
-// TestNeverReverts: no instance that admits calls does so under a revision
-// that was replaced longer ago than FreshFor.
+// TestNeverReverts guards against an instance that admits calls at a revision that was replaced
+// more than FreshFor ago, after it was frozen, cut off or started during an outage.
 func TestNeverReverts(t *testing.T) {
 	const size = 5
 	tests := map[string]struct {
-		do func(f *fleet)
-		// admits tells whether the instance that do ended with admits calls.
+		disturb func(f *fleet)
+		// admits reports whether the fleet's last instance admits calls after disturb.
 		admits bool
 	}{
 		"frozen and resumed": {func(f *fleet) {
@@ -253,7 +255,7 @@
 		}, true},
 		"new while the table is down": {func(f *fleet) {
 			f.edit()
-			time.Sleep(inForce)
+			time.Sleep(maxPropagationTime)
 			f.table.SetFault(snipestand.TableFault{Down: true})
 			f.add()
 			f.run(size)
@@ -262,7 +264,7 @@
 		"new while the table is stale": {func(f *fleet) {
 			time.Sleep(time.Hour)
 			f.edit()
-			time.Sleep(inForce)
+			time.Sleep(maxPropagationTime)
 			f.table.SetFault(snipestand.TableFault{Stale: time.Minute})
 			f.add()
 			f.run(size)
@@ -288,7 +290,7 @@
 		}, true},
 		"long outage": {func(f *fleet) {
 			f.edit()
-			time.Sleep(inForce)
+			time.Sleep(maxPropagationTime)
 			f.table.SetFault(snipestand.TableFault{Down: true})
 			time.Sleep(time.Hour)
 		}, true},
@@ -297,34 +299,34 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, size)
-				defer f.end()
+				defer f.stop()
 				f.runAll()
-				tc.do(f)
+				tc.disturb(f)
 				last := f.stores[len(f.stores)-1].Admitting()
 				must.Eq(t, tc.admits, last != nil)
-				must.SliceEmpty(t, f.behind(2))
+				must.SliceEmpty(t, f.outdated(2))
 			})
 		})
 	}
 }
 
-// TestWrongBranch: a stored branch that an instance cannot decode keeps what
-// was in force, and blocks no other branch.
+// TestWrongBranch guards against a stored document that an instance cannot decode, such as one of a
+// later version, replacing the settings of its branch or blocking other branches.
 func TestWrongBranch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		table := prepared(t)
+		table := tableWithPlatform(t)
 		s, fresh := newStore(table), newStore(table)
 		_, err := s.Apply(t.Context(), "t", 0, []byte(teamBranch))
 		must.NoError(t, err)
 		must.NoError(t, s.Refresh(t.Context()))
-		// A later program accepts a field that this one does not know.
+		// A later version accepts a field that this one does not know.
 		must.NoError(t, newStore(table).WriteUnchecked(t.Context(), "t", 1, []byte(`{"Later": 1}`)))
 		_, err = s.Apply(t.Context(), "u", 0, []byte(teamBranch))
 		must.NoError(t, err)
 		for _, store := range []*snipetree.Store{s, fresh} {
 			must.NoError(t, store.Refresh(t.Context()))
 			must.Eq(t, 4, store.Current().Revision)
-			must.Eq(t, []string{"Team/t"}, store.Current().Wrong)
+			must.Eq(t, []string{"Team/t"}, store.Current().Undecodable)
 			must.NotNil(t, store.Current().Teams["u"])
 		}
 		must.NotNil(t, s.Current().Teams["t"])
@@ -332,8 +334,8 @@
 	})
 }
 
-// TestLowerRevision: a lower revision is not put in force, wherever it comes
-// from.
+// TestLowerRevision guards against a lower revision that is put into effect because a stale table
+// or a peer returned it.
 func TestLowerRevision(t *testing.T) {
 	tests := map[string]snipestand.TableFault{
 		"stale table":              {Stale: time.Minute},
@@ -343,7 +345,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 4)
-				f.mute()
+				f.dropAnnouncements()
 				for _, s := range f.stores {
 					must.NoError(t, s.Refresh(t.Context()))
 				}
--- a/snipetree/main_test.go
+++ b/snipetree/main_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// TestMain runs the tests on one processor. Under the race detector, timers of
-// one paused clock that run at the same time on two threads share a context of
-// the detector, and the runtime crashes now and then (Go 1.26). The detector
-// finds races by the order of events, which one processor does not hide.
+// TestMain runs the tests on one processor. Under the race detector, timers of one synctest
+// bubble that run concurrently on two threads share a detector context, and the runtime
+// sometimes crashes (Go 1.26). The detector finds races by the order of events, which a single
+// processor does not hide.
 func TestMain(m *testing.M) {
 	runtime.GOMAXPROCS(1)
 	os.Exit(m.Run())
--- a/snipetree/memory_bench_test.go
+++ b/snipetree/memory_bench_test.go
@@ -9,8 +9,8 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// BenchmarkTreeMemory reports the heap bytes that one declared adapter takes
-// in a snapshot of the settings, for the capacity page.
+// BenchmarkTreeMemory reports the heap bytes that one declared adapter takes in a snapshot of
+// the settings, for the capacity page.
 func BenchmarkTreeMemory(b *testing.B) {
 	for _, adapters := range []int{6600, 66000} {
 		b.Run(fmt.Sprintf("adapters=%d", adapters), func(b *testing.B) {
@@ -24,13 +24,13 @@
 			document = append(document, "}}"...)
 			var total uint64
 			for b.Loop() {
-				before := heap()
+				before := heapBytes()
 				branch := &snipetree.Branch{}
 				if err := snipejson.Decode(document, branch); err != nil {
 					b.Fatal(err)
 				}
 				t := snipetree.NewTree(1, &snipetree.Platform{}, map[string]*snipetree.Branch{"team": branch})
-				total += heap() - before
+				total += heapBytes() - before
 				runtime.KeepAlive(t)
 			}
 			b.ReportMetric(float64(total)/float64(b.N)/float64(adapters), "heap-bytes/adapter")
@@ -39,7 +39,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
--- a/snipetree/peers.go
+++ b/snipetree/peers.go
@@ -13,19 +13,20 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// Bounds of an answer to a peer.
+// Limits of a request from a peer and of its answer: maxAnswer in bytes, maxHashes in documents.
 const (
 	maxAnswer = 2 << 20
 	maxHashes = 256
 )
 
-// PathPrefix is where the peers' handler is mounted.
+// PathPrefix is the path prefix under which Handler is mounted.
 const PathPrefix = snipeproto.SettingsPathPrefix
 
-// Handler returns the handler of peers' requests; the caller checks the secret.
+// Handler returns the handler of requests from peers. The caller of the handler must have
+// checked the peer secret.
 func (s *Store) Handler() http.Handler { return snipeproto.NewSettingsServer(&server{store: s}) }
 
-// server serves peers.
+// server implements snipeproto.Settings for peers.
 type server struct{ store *Store }
 
 // GetHead implements snipeproto.Settings.
@@ -58,32 +59,32 @@
 	size := 0
 	for _, h := range in.GetHashes() {
 		d, ok := s.docs[h]
-		if !ok || size > 0 && size+len(d.packed) > maxAnswer {
+		if !ok || size > 0 && size+len(d.compressed) > maxAnswer {
 			continue
 		}
-		size += len(d.packed)
-		out.Documents = append(out.Documents, &snipeproto.SettingsDocument{Hash: h, Data: d.packed})
+		size += len(d.compressed)
+		out.Documents = append(out.Documents, &snipeproto.SettingsDocument{Hash: h, Data: d.compressed})
 	}
 	return out, nil
 }
 
-// refreshFromPeers takes the highest revision of some peers and reports
-// whether at least one answered and what it has is in force here.
+// refreshFromPeers puts the highest revision of some peers into effect. It reports whether
+// at least one peer answered whose revision, or a higher one, is now in effect here.
 func (s *Store) refreshFromPeers(ctx context.Context) bool {
 	if s.Peers == nil {
 		return false
 	}
-	bounded, cancel := context.WithTimeout(ctx, 2*requestTime)
+	bounded, cancel := context.WithTimeout(ctx, 2*requestTimeout)
 	defer cancel()
 	answered := false
-	for _, address := range s.Peers(askedPeers) {
+	for _, address := range s.Peers(peersPerRefresh) {
 		client := snipeproto.NewSettingsProtobufClient("http://"+address.String(), s.HTTP)
 		out, err := client.GetHead(bounded, &snipeproto.GetHeadRequest{Revision: s.revision()})
 		if err != nil {
 			continue
 		}
 		if s.Current() == nil || out.GetRevision() > s.revision() {
-			if err := s.takeFromPeer(bounded, client, address, out.GetHead()); err != nil {
+			if err := s.applyHeadFromPeer(bounded, client, address, out.GetHead()); err != nil {
 				continue
 			}
 		}
@@ -92,15 +93,15 @@
 	return answered && s.Current() != nil
 }
 
-// takeFromPeer puts a peer's head in force. It asks for all documents that
-// are missing at once, and for each one that did not fit by itself.
-func (s *Store) takeFromPeer(ctx context.Context, client snipeproto.Settings, address netip.AddrPort, data []byte) error {
+// applyHeadFromPeer puts a peer's head into effect. It requests the missing documents in
+// batches, and then each document that did not fit into an answer on its own.
+func (s *Store) applyHeadFromPeer(ctx context.Context, client snipeproto.Settings, address netip.AddrPort, data []byte) error {
 	h, err := decodeHead(data)
 	if err != nil {
 		return errors.Wrapf(err, "peer %s", address)
 	}
-	_, missing := s.known(h)
-	got := map[string][]byte{}
+	_, missing := s.cachedDocuments(h)
+	fetched := map[string][]byte{}
 	var hashes []string
 	for _, ref := range missing {
 		hashes = append(hashes, ref.Hash)
@@ -108,27 +109,27 @@
 	for len(hashes) > 0 {
 		batch := hashes[:min(len(hashes), maxHashes)]
 		hashes = hashes[len(batch):]
-		if err := fetch(ctx, client, batch, got); err != nil {
+		if err := fetchDocuments(ctx, client, batch, fetched); err != nil {
 			return errors.Wrapf(err, "peer %s", address)
 		}
 	}
-	return s.take(ctx, h, func(ctx context.Context, name string, ref branchRef) (*document, error) {
-		packed, ok := got[ref.Hash]
+	return s.applyHead(ctx, h, func(ctx context.Context, name string, ref branchRef) (*document, error) {
+		compressed, ok := fetched[ref.Hash]
 		if !ok {
 			one := map[string][]byte{}
-			if err := fetch(ctx, client, []string{ref.Hash}, one); err != nil {
+			if err := fetchDocuments(ctx, client, []string{ref.Hash}, one); err != nil {
 				return nil, err
 			}
-			packed = one[ref.Hash]
+			compressed = one[ref.Hash]
 		}
-		if hashOf(packed) != ref.Hash {
-			return nil, errors.Wrapf(snipeplatform.ErrUnavailable, "peer %s: branch %s", address, name)
+		if hashOf(compressed) != ref.Hash {
+			return nil, errors.Wrapf(snipeplatform.ErrUnavailable, "peer %s: document of branch %s does not match its hash", address, name)
 		}
-		return newDocument(name, packed), nil
+		return newDocument(name, compressed), nil
 	})
 }
 
-func fetch(ctx context.Context, client snipeproto.Settings, hashes []string, into map[string][]byte) error {
+func fetchDocuments(ctx context.Context, client snipeproto.Settings, hashes []string, into map[string][]byte) error {
 	out, err := client.GetDocuments(ctx, &snipeproto.GetDocumentsRequest{Hashes: hashes})
 	if err != nil {
 		return errors.Wrap(err, "get documents")
@@ -139,9 +140,9 @@
 	return nil
 }
 
-func branchSort(team string) string {
+func branchName(team string) string {
 	if team == "" {
-		return platformSort
+		return platformBranchName
 	}
 	return teamPrefix + team
 }
--- a/snipetree/snipetree.go
+++ b/snipetree/snipetree.go
@@ -1,16 +1,14 @@
-// Package snipetree is the settings tree: one platform branch that operators
-// of the platform edit, and one branch for each team.
+// Package snipetree implements the settings tree: one platform branch, which the platform's
+// operators edit, and one branch for each team.
 //
-// Design. A Tree is an immutable snapshot of one revision; it is built once,
-// checked as a whole, handed down and never changed. Revisions only grow: a
-// Store never replaces its snapshot by one of a lower revision, wherever that
-// one came from. A branch is accepted whole or not at all: its document is
-// stored under its hash first (document.go), then one transaction writes the
-// head row, the revision row and the history (edit.go). Documents never
-// change, so a stale read can only show an old head, which is not put in
-// force. Instances that cannot read the table take head and documents from
-// each other (peers.go). An instance admits calls only while its revision was
-// confirmed within FreshFor (store.go).
+// A Tree is an immutable snapshot of one revision; it is built once, checked as a whole,
+// passed on and never changed. Revisions only increase: a Store never replaces its snapshot
+// by one of a lower revision, whatever the source. A branch is accepted whole or not at all:
+// its document is first stored under its hash (document.go), then one transaction writes the
+// head row, the revision row and the history (edit.go). Documents never change, so a stale
+// read can only return an old head, which is not put into effect. Instances that cannot read
+// the table fetch the head and the documents from each other (peers.go). An instance admits
+// calls only while its revision was confirmed within FreshFor (store.go).
 package snipetree
 
 import (
@@ -26,20 +24,20 @@
 	"snipepitch.example/snipepitch/snipejson"
 )
 
-// Bounds of settings.
+// Upper limits of settings.
 const (
 	maxSlots      = 1024
 	maxConcurrent = 100000
 	maxRate       = 1e6
 )
 
-// Errors of the checks.
+// Errors of the checks of settings and keys.
 var (
 	ErrInvalid = errors.New("invalid settings")
 	ErrBadKey  = errors.New("key hash is not 64 hexadecimal digits")
 )
 
-// KeyHash is the SHA-256 sum of a key. Keys themselves are never stored.
+// KeyHash is the SHA-256 hash of a key. Keys themselves are never stored.
 type KeyHash [sha256.Size]byte
 
 // HashKey returns the hash of a key.
@@ -61,15 +59,15 @@
 	return nil
 }
 
-// Platform is the branch of the platform's operators.
+// Platform is the document of the platform's branch, which the platform's operators edit.
 type Platform struct {
 	// Engines are the model engines by name.
 	Engines map[string]Engine
 	// Services are the plain services by name.
 	Services map[string]Service
-	// WeightStore is the budget for loading adapters.
+	// WeightStore limits the loads of adapters from the weight store.
 	WeightStore WeightStore
-	// Operators are those who may edit settings, by name.
+	// Operators are the operators who may edit settings, by name.
 	Operators map[string]Operator
 	// Limits are the limits of each team, by the team's name.
 	Limits map[string]Limit `json:",omitempty"`
@@ -77,20 +75,20 @@
 
 // Engine is one model engine.
 type Engine struct {
-	// Address is where the engine serves.
+	// Address is the address at which the engine accepts requests.
 	Address netip.AddrPort
 	// Domain is the engine's failure domain.
 	Domain string
 	// Base is the base model that the engine has loaded.
 	Base string
-	// Slots is how many adapters the engine holds at once.
+	// Slots is the number of adapters that the engine can hold at once.
 	Slots int
-	// Batch is how many calls the engine executes at once.
+	// Batch is the number of calls that the engine executes at once.
 	Batch int
-	// ChecksFence tells that the engine refuses an order with an old
-	// fencing number.
+	// ChecksFence reports whether the engine refuses an order with an outdated fencing
+	// number.
 	ChecksFence bool `json:",omitempty"`
-	// Leaving tells that the engine is to get no new work.
+	// Leaving means that the engine gets no new work.
 	Leaving bool `json:",omitempty"`
 }
 
@@ -104,40 +102,40 @@
 type ServiceUpstream struct {
 	Address netip.AddrPort
 	Domain  string
-	// Leaving tells that the upstream is to get no new work.
+	// Leaving means that the upstream gets no new work.
 	Leaving bool `json:",omitempty"`
 }
 
-// WeightStore is the budget that all instances share.
+// WeightStore is the budget of loads from the weight store, which all instances share.
 type WeightStore struct {
-	// LoadsPerSecond is how many loads may start in a second.
+	// LoadsPerSecond is the number of loads that may start in a second.
 	LoadsPerSecond float64
-	// Concurrent is how many loads go at full speed at once.
+	// Concurrent is the number of loads that can run at full speed at once.
 	Concurrent int
 }
 
-// Operator is somebody who may edit settings.
+// Operator is an operator's key and the branches that the operator may edit.
 type Operator struct {
 	KeyHash KeyHash
-	// Platform allows the platform branch and every team's branch.
+	// Platform permits edits of the platform's branch and of every team's branch.
 	Platform bool `json:",omitempty"`
 	// Teams are the teams whose branches the operator may edit.
 	Teams []string `json:",omitempty"`
 }
 
-// Limit bounds what a team may use in the whole deployment.
+// Limit bounds the calls of a team in the whole deployment.
 type Limit struct {
-	// Concurrent is how many calls may be in flight; zero is no limit.
+	// Concurrent is the number of calls that may be in flight; zero means no limit.
 	Concurrent int `json:",omitempty"`
-	// PerSecond is how many calls may start in a second; zero is no limit.
+	// PerSecond is the number of calls that may start in a second; zero means no limit.
 	PerSecond float64 `json:",omitempty"`
-	// Classes bounds the calls of single classes further.
+	// Classes holds additional limits for single classes.
 	Classes map[snipecall.Class]ClassLimit `json:",omitempty"`
 }
 
 // ClassLimit bounds the calls of one class of a team.
 type ClassLimit struct {
-	// Concurrent and PerSecond are as in Limit.
+	// Concurrent and PerSecond have the same meaning as in Limit.
 	Concurrent int     `json:",omitempty"`
 	PerSecond  float64 `json:",omitempty"`
 }
@@ -159,15 +157,15 @@
 	return nil
 }
 
-// Branch is the branch of one team.
+// Branch is the document of one team's branch.
 type Branch struct {
-	// Keys are the hashes of the callers' keys, by a name for each.
+	// Keys are the hashes of the callers' keys, by the key's name.
 	Keys map[string]KeyHash
 	// Adapters are the team's adapters by name.
 	Adapters map[string]Adapter
 	// Services are the plain services that the team may call.
 	Services []string `json:",omitempty"`
-	// Classes are the team's own settings for each class.
+	// Classes are the team's settings for each class.
 	Classes map[snipecall.Class]ClassSettings `json:",omitempty"`
 }
 
@@ -181,47 +179,48 @@
 
 // Version is one version of an adapter.
 type Version struct {
-	// Path is where the weight store keeps it.
+	// Path is the location of the version's weights in the weight store.
 	Path string
 }
 
 // ClassSettings are a team's settings for one class.
 type ClassSettings struct {
-	// Deadline is used for a call that states none.
+	// Deadline is the deadline of calls that state none.
 	Deadline snipejson.Duration
 }
 
 // Tree is an immutable snapshot of all settings at one revision.
 type Tree struct {
-	// Revision is the tree's revision; it grows by one with each accepted edit.
+	// Revision is the tree's revision; each accepted edit increases it by one.
 	Revision uint64
 	Platform *Platform
 	// Teams are the branches by the team's name.
 	Teams map[string]*Branch
-	// Wrong are the branches whose stored document this instance cannot
-	// decode; they keep what was in force before.
-	Wrong []string
-	keys  map[KeyHash]string
+	// Undecodable holds the names of the branches whose stored document this instance
+	// cannot decode; their previous settings stay in effect.
+	Undecodable []string
+	teamByKey   map[KeyHash]string
 }
 
 // NewTree returns the snapshot of the given branches.
 func NewTree(revision uint64, platform *Platform, teams map[string]*Branch) *Tree {
-	t := &Tree{Revision: revision, Platform: platform, Teams: teams, keys: map[KeyHash]string{}}
+	t := &Tree{Revision: revision, Platform: platform, Teams: teams, teamByKey: map[KeyHash]string{}}
 	for name, b := range teams {
 		for _, k := range b.Keys {
-			t.keys[k] = name
+			t.teamByKey[k] = name
 		}
 	}
 	return t
 }
 
-// TeamOf returns the team that a caller's key belongs to.
+// TeamOf returns the team that a caller's key belongs to, and whether there is one.
 func (t *Tree) TeamOf(key string) (string, bool) {
-	team, ok := t.keys[HashKey(key)]
+	team, ok := t.teamByKey[HashKey(key)]
 	return team, ok
 }
 
-// Find returns the settings of an adapter's version.
+// Find returns the base model and the weight store path of an adapter's version, and whether
+// the version is declared.
 func (t *Tree) Find(a snipecall.Adapter) (base, path string, ok bool) {
 	b, ok := t.Teams[a.Team]
 	if !ok {
@@ -235,7 +234,8 @@
 	return s.Base, v.Path, ok
 }
 
-// Deadline returns the team's deadline for calls of a class that state none.
+// Deadline returns the team's deadline for calls of a class that state none, or fallback if the
+// team has not set one.
 func (t *Tree) Deadline(team string, c snipecall.Class, fallback time.Duration) time.Duration {
 	b, ok := t.Teams[team]
 	if !ok {
--- a/snipetree/store.go
+++ b/snipetree/store.go
@@ -17,72 +17,75 @@
 
 // Errors of the store.
 var (
-	// ErrConflict: somebody else's edit came first; nothing was written.
+	// ErrConflict means that the edit was not accepted, because another edit came first: the
+	// branch is not at the expected version, or every attempt met a conflict.
 	ErrConflict = errors.New("settings were edited by somebody else")
-	// ErrUnknownBranch: there is no such branch.
+	// ErrUnknownBranch means that the branch does not exist.
 	ErrUnknownBranch = errors.New("unknown branch")
-	// ErrUnknownVersion: the history has no such version of the branch.
+	// ErrUnknownVersion means that the history does not contain the version of the branch.
 	ErrUnknownVersion = errors.New("unknown version of a branch")
 )
 
-// FreshFor is how long an instance may admit calls after it last heard, from
-// the table or from a peer, that its settings are in force. An instance that
-// is cut off from both, or was frozen, admits none after that time until it
-// has heard again. It is below the 19 s in which a change must be in force
-// everywhere.
+// FreshFor is how long an instance may admit calls after the table or a peer last confirmed
+// that its settings are in effect. An instance that is cut off from both, or was frozen,
+// admits no calls after that time until its settings are confirmed again. FreshFor is less
+// than the 19 s within which a change must be in effect everywhere.
 const FreshFor = 15 * time.Second
 
 const (
-	tick        = 250 * time.Millisecond
-	requestTime = 3 * time.Second
-	askedPeers  = 3
-	// reading is how many documents are read from the table at once.
-	reading = 8
+	tickInterval    = 250 * time.Millisecond
+	requestTimeout  = 3 * time.Second
+	peersPerRefresh = 3
+	// maxConcurrentReads limits the documents that are read concurrently.
+	maxConcurrentReads = 8
 )
 
-// Store follows the settings in the table and accepts edits. Its exported
-// fields are set before Run.
+// Store follows the settings in the table and accepts edits. Its exported fields are set
+// before its first use.
 type Store struct {
 	// Table is the platform's table.
 	Table snipeplatform.Table
-	// Poll is the time between two reads of the revision row.
+	// Poll is the average time between two reads of the revision row.
 	Poll time.Duration
-	// Log takes the store's events.
+	// Log receives the store's events.
 	Log *snipelog.Logger
 	// Operation returns a new identifier for a write.
 	Operation func() string
-	// Peers returns up to n random live peers; nil when there are none ever.
+	// Peers returns the addresses of up to n random live peers; nil if the instance never has
+	// peers.
 	Peers func(n int) []netip.AddrPort
 	// HTTP sends requests to peers.
 	HTTP snipeproto.HTTPClient
-	// Noticed returns the highest revision that was announced; nil for none.
+	// Noticed returns the highest revision that any instance has announced; nil if revisions
+	// are not announced.
 	Noticed func() uint64
-	// Announce announces a revision that was accepted here; nil for none.
+	// Announce announces a revision that was accepted here; nil if revisions are not announced.
 	Announce func(revision uint64)
-	// Jitter returns a random time up to the given one, so that instances do
-	// not all read at once when a revision is announced; nil for none.
-	Jitter func(most time.Duration) time.Duration
+	// Jitter returns a random duration up to the given limit, so that instances do not all
+	// read at once when a revision is announced. If it is nil, half the limit is used.
+	Jitter func(limit time.Duration) time.Duration
 
 	current atomic.Pointer[Tree]
-	// confirmed is when the revision in force was last confirmed, and behind
-	// since when a higher one is known; in nanoseconds since start.
-	start     time.Time
-	once      sync.Once
-	confirmed atomic.Int64
-	behind    atomic.Int64
+	// confirmedAt is the time at which the revision in effect was last confirmed, and
+	// behindSince the time since which a higher one is known, in nanoseconds since start; 0
+	// if there is no such time.
+	start       time.Time
+	once        sync.Once
+	confirmedAt atomic.Int64
+	behindSince atomic.Int64
 
-	refreshing sync.Mutex // held during a refresh, which makes requests
+	refreshing sync.Mutex // serializes refreshes; held during requests
 
 	lock sync.Mutex // guards the fields below; never held during a request
 	head head
 	docs map[string]*document
 }
 
-// Current returns the snapshot in force; nil before the first read.
+// Current returns the snapshot in effect; nil before the first read.
 func (s *Store) Current() *Tree { return s.current.Load() }
 
-// Admitting returns the snapshot in force for new calls; nil before the first
-// read, and while the instance is cut off or has just been frozen.
+// Admitting returns the snapshot in effect for new calls; nil if the instance may not admit
+// calls: before the first read, while it is cut off, and after it was frozen.
 func (s *Store) Admitting() *Tree {
 	if !s.Fresh() {
 		return nil
@@ -90,15 +93,15 @@
 	return s.Current()
 }
 
-// Fresh reports whether the revision in force was confirmed within FreshFor,
-// and no higher one has been known for longer than that.
+// Fresh reports whether the revision in effect was confirmed within FreshFor and no higher
+// revision has been known for that long.
 func (s *Store) Fresh() bool {
 	now := s.now()
-	confirmed, behind := s.confirmed.Load(), s.behind.Load()
-	if confirmed == 0 || now-confirmed > int64(FreshFor) {
+	confirmedAt, behindSince := s.confirmedAt.Load(), s.behindSince.Load()
+	if confirmedAt == 0 || now-confirmedAt > int64(FreshFor) {
 		return false
 	}
-	return behind == 0 || now-behind < int64(FreshFor)
+	return behindSince == 0 || now-behindSince < int64(FreshFor)
 }
 
 // now returns the nanoseconds since the store's start, at least 1.
@@ -109,19 +112,19 @@
 
 // Run follows the settings until ctx ends.
 func (s *Store) Run(ctx context.Context) error {
-	t := time.NewTicker(tick)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	due := time.Now()
-	var seen uint64
+	var lastAnnounced uint64
 	for {
 		now := time.Now()
-		if n := s.noticed(); n > s.revision() && n != seen {
-			// Announced: read soon, but not all instances at once.
-			seen = n
+		if n := s.announcedRevision(); n > s.revision() && n != lastAnnounced {
+			// A new revision was announced. Read it soon, but not on all instances at once.
+			lastAnnounced = n
 			due = earlier(due, now.Add(s.jitter(s.Poll/2)))
 		}
 		if !now.Before(due) || !s.Fresh() {
-			s.refreshLogged(ctx)
+			s.refreshAndLog(ctx)
 			due = time.Now().Add(s.Poll/2 + s.jitter(s.Poll))
 		}
 		select {
@@ -139,14 +142,14 @@
 	return b
 }
 
-func (s *Store) jitter(most time.Duration) time.Duration {
+func (s *Store) jitter(limit time.Duration) time.Duration {
 	if s.Jitter == nil {
-		return most / 2
+		return limit / 2
 	}
-	return s.Jitter(most)
+	return s.Jitter(limit)
 }
 
-func (s *Store) noticed() uint64 {
+func (s *Store) announcedRevision() uint64 {
 	if s.Noticed == nil {
 		return 0
 	}
@@ -160,69 +163,68 @@
 	return 0
 }
 
-func (s *Store) refreshLogged(ctx context.Context) {
-	bounded, cancel := context.WithTimeout(ctx, 3*requestTime)
+func (s *Store) refreshAndLog(ctx context.Context) {
+	bounded, cancel := context.WithTimeout(ctx, 3*requestTimeout)
 	defer cancel()
 	if err := s.Refresh(bounded); err != nil && ctx.Err() == nil {
 		s.Log.Error(snipelog.SettingsReadFailed, err, nil)
 	}
 }
 
-// Refresh takes the highest revision of the table. It asks some peers, too,
-// when the table cannot be read, when a higher revision is known than the
-// table shows, and when this instance admits no calls: it has just started, or
-// was cut off or frozen. It returns ErrNotFound of snipeplatform while there
-// are no settings.
+// Refresh puts the highest revision in the table into effect. It also asks some peers if
+// the table cannot be read, if a higher revision was announced than the table returned, and
+// if this instance admits no calls because it has just started, or was cut off or frozen.
+// It returns snipeplatform.ErrNotFound while there are no settings.
 func (s *Store) Refresh(ctx context.Context) error {
 	s.refreshing.Lock()
 	defer s.refreshing.Unlock()
-	began, admitting := s.now(), s.Fresh()
+	startedAt, admitting := s.now(), s.Fresh()
 	err := s.refreshFromTable(ctx)
 	reached := err == nil || errors.Is(err, snipeplatform.ErrNotFound)
-	if !reached || !admitting || s.noticed() > s.revision() {
+	if !reached || !admitting || s.announcedRevision() > s.revision() {
 		if s.refreshFromPeers(ctx) {
 			reached, err = true, nil
 		}
 	}
 	if reached {
-		s.confirm(began, admitting)
+		s.confirm(startedAt, admitting)
 	}
 	return err
 }
 
-// confirm notes that the revision in force was confirmed by somebody asked
-// at a time, and whether a higher one is known. An instance that admits no
-// calls begins to do so only with the highest revision that it knows of.
-func (s *Store) confirm(began int64, admitting bool) {
-	if s.noticed() <= s.revision() {
-		s.behind.Store(0)
-		s.confirmed.Store(began)
+// confirm records that a refresh which began at startedAt has confirmed the revision in
+// effect, and whether a higher revision is known. An instance that admits no calls starts to
+// admit them only at the highest revision that it knows of.
+func (s *Store) confirm(startedAt int64, admitting bool) {
+	if s.announcedRevision() <= s.revision() {
+		s.behindSince.Store(0)
+		s.confirmedAt.Store(startedAt)
 		return
 	}
 	if admitting {
-		s.behind.CompareAndSwap(0, began)
-		s.confirmed.Store(began)
+		s.behindSince.CompareAndSwap(0, startedAt)
+		s.confirmedAt.Store(startedAt)
 	}
 }
 
 func (s *Store) refreshFromTable(ctx context.Context) error {
-	bounded, cancel := context.WithTimeout(ctx, requestTime)
+	bounded, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	row, err := s.Table.Get(bounded, revisionKey)
 	if err != nil {
 		return errors.Wrap(err, "read revision")
 	}
-	// Each edit writes the revision row once: its version is the revision.
+	// Each edit writes the revision row once, so its version equals the revision.
 	if s.Current() != nil && row.Version <= s.revision() {
 		return nil
 	}
-	h, ok := s.follows(row)
+	h, ok := s.headFromReport(row)
 	if !ok {
 		if h, err = s.readHead(bounded); err != nil {
 			return err
 		}
 	}
-	return s.take(ctx, h, s.readDocument)
+	return s.applyHead(ctx, h, s.readDocument)
 }
 
 func (s *Store) readHead(ctx context.Context) (head, error) {
@@ -236,43 +238,43 @@
 	return decodeHead(row.Data)
 }
 
-// reader reads one document.
-type reader func(ctx context.Context, name string, ref branchRef) (*document, error)
+// documentReader reads the document of one branch.
+type documentReader func(ctx context.Context, name string, ref branchRef) (*document, error)
 
-// take puts a head in force, once all its documents are here.
-func (s *Store) take(ctx context.Context, h head, read reader) error {
+// applyHead reads the missing documents of a head and then puts it into effect.
+func (s *Store) applyHead(ctx context.Context, h head, read documentReader) error {
 	if s.Current() != nil && h.Revision <= s.revision() {
 		return nil
 	}
-	docs, missing := s.known(h)
-	var lock sync.Mutex // guards docs and failed
-	var failed error
+	docs, missing := s.cachedDocuments(h)
+	var lock sync.Mutex // guards docs and readErr
+	var readErr error
 	var wait sync.WaitGroup
-	slots := make(chan struct{}, reading)
+	semaphore := make(chan struct{}, maxConcurrentReads)
 	for name, ref := range missing {
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		wait.Go(func() {
-			defer func() { <-slots }()
+			defer func() { <-semaphore }()
 			d, err := read(ctx, name, ref)
 			lock.Lock()
 			defer lock.Unlock()
 			if err != nil {
-				failed = err
+				readErr = err
 				return
 			}
 			docs[ref.Hash] = d
 		})
 	}
 	wait.Wait()
-	if failed != nil {
-		return failed
+	if readErr != nil {
+		return readErr
 	}
-	return s.adopt(h, docs)
+	return s.activate(h, docs)
 }
 
-// known returns the documents of h that are here, and the branches of h whose
-// documents are not.
-func (s *Store) known(h head) (docs map[string]*document, missing map[string]branchRef) {
+// cachedDocuments returns the documents of h that this store holds, by hash, and the
+// branches of h whose documents it does not hold.
+func (s *Store) cachedDocuments(h head) (docs map[string]*document, missing map[string]branchRef) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	docs, missing = map[string]*document{}, map[string]branchRef{}
@@ -286,44 +288,44 @@
 	return docs, missing
 }
 
-// adopt puts a head in force unless a higher revision already is. A branch
-// whose document is wrong keeps what it had; without a platform branch there
-// is nothing to put in force.
-func (s *Store) adopt(h head, docs map[string]*document) error {
+// activate puts a head into effect unless its revision or a higher one already is. A branch
+// whose document cannot be decoded keeps its previous settings. If this is the platform's
+// branch and there is no previous snapshot, activate fails.
+func (s *Store) activate(h head, docs map[string]*document) error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	old := s.current.Load()
 	if old != nil && h.Revision <= old.Revision {
 		return nil
 	}
-	platform, teams, wrong := &Platform{}, map[string]*Branch{}, []string(nil)
+	platform, teams, undecodable := &Platform{}, map[string]*Branch{}, []string(nil)
 	for name, ref := range h.Branches {
 		d := docs[ref.Hash]
 		switch {
-		case d.wrong != nil:
-			s.Log.Error(snipelog.SettingsBranchWrong, d.wrong, snipelog.Fields{"Branch": name})
-			wrong = append(wrong, name)
-			if !keep(old, name, &platform, teams) {
-				return errors.Wrapf(d.wrong, "branch %s", name)
+		case d.decodeErr != nil:
+			s.Log.Error(snipelog.SettingsBranchWrong, d.decodeErr, snipelog.Fields{"Branch": name})
+			undecodable = append(undecodable, name)
+			if !keepPrevious(old, name, &platform, teams) {
+				return errors.Wrapf(d.decodeErr, "branch %s", name)
 			}
-		case name == platformSort:
+		case name == platformBranchName:
 			platform = d.platform
 		default:
 			teams[teamOf(name)] = d.branch
 		}
 	}
 	t := NewTree(h.Revision, platform, teams)
-	t.Wrong = wrong
+	t.Undecodable = undecodable
 	s.head, s.docs = h, docs
 	s.current.Store(t)
 	s.Log.Log(snipelog.SettingsInForce, snipelog.Fields{"Revision": h.Revision})
 	return nil
 }
 
-// keep takes a branch from the old snapshot; false when it is the platform's
-// and there is no old one.
-func keep(old *Tree, name string, platform **Platform, teams map[string]*Branch) bool {
-	if name == platformSort {
+// keepPrevious copies a branch from the old snapshot, if the branch is in it. It returns false
+// if the branch is the platform's and there is no old snapshot.
+func keepPrevious(old *Tree, name string, platform **Platform, teams map[string]*Branch) bool {
+	if name == platformBranchName {
 		if old == nil {
 			return false
 		}
@@ -336,12 +338,12 @@
 	return true
 }
 
-// BranchVersion returns the version of a branch as last read; 0 when there is
-// none. The branch is a team's name, or empty for the platform.
+// BranchVersion returns the version of a team's branch in the head in effect; 0 if there is
+// no such branch. An empty team stands for the platform's branch.
 func (s *Store) BranchVersion(team string) uint64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.head.Branches[branchSort(team)].Version
+	return s.head.Branches[branchName(team)].Version
 }
 
 func (s *Store) encodedHead() (uint64, []byte, error) {
--- a/snipetree/store_test.go
+++ b/snipetree/store_test.go
@@ -33,15 +33,15 @@
 	}
 }
 
-// prepared returns a table with the platform's branch, at revision 1.
-func prepared(t *testing.T) *snipestand.Table {
+// tableWithPlatform returns a table that holds the platform's branch, at revision 1.
+func tableWithPlatform(t *testing.T) *snipestand.Table {
 	table := snipestand.NewTable()
 	_, err := newStore(table).Apply(t.Context(), "", 0, []byte(platformBranch))
 	must.NoError(t, err)
 	return table
 }
 
-// revisionOf reads the revision as a new instance does.
+// revisionOf returns the revision that a new instance reads from the table.
 func revisionOf(t *testing.T, table *snipestand.Table) uint64 {
 	s := newStore(table)
 	must.NoError(t, s.Refresh(t.Context()))
@@ -88,7 +88,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			table := prepared(t)
+			table := tableWithPlatform(t)
 			branch := strings.TrimSuffix(teamBranch, "}") + `, "Services": ["s"], "Keys": {"k": "` + key + `"}}`
 			_, err := newStore(table).Apply(t.Context(), "t", 0, []byte(branch))
 			must.NoError(t, err)
@@ -101,7 +101,7 @@
 }
 
 func TestApplyConflict(t *testing.T) {
-	table := prepared(t)
+	table := tableWithPlatform(t)
 	one, two := newStore(table), newStore(table)
 	first, err := one.Apply(t.Context(), "t", 0, []byte(teamBranch))
 	must.NoError(t, err)
@@ -119,61 +119,61 @@
 	must.Eq(t, 3, one.Current().Revision)
 }
 
-// TestApplyUnderFaults: an edit is accepted once or not at all, and its
-// operator finds out.
+// TestApplyUnderFaults guards against an edit that is accepted twice, or whose outcome the operator
+// cannot find out by sending it again, when the table loses, delays or refuses requests.
 func TestApplyUnderFaults(t *testing.T) {
 	type fault = snipestand.TableFault
 	tests := map[string]struct {
 		fault fault
-		// patience is how long the operator waits.
-		patience time.Duration
-		err      error
-		// revision is there in the end, after the same edit was sent again
-		// through another instance without faults.
+		// timeout is how long the operator waits.
+		timeout time.Duration
+		err     error
+		// revision is the final one, after the same edit was sent again through
+		// another instance without faults.
 		revision uint64
-		// before happens ahead of the fault.
+		// before runs before the fault starts.
 		before func(t *testing.T, table *snipestand.Table)
-		// between happens before the edit is sent again.
-		between func(t *testing.T, table *snipestand.Table)
-		again   error
+		// between runs before the edit is sent again.
+		between   func(t *testing.T, table *snipestand.Table)
+		resendErr error
 	}{
-		"no fault":         {patience: time.Minute, revision: 3},
-		"reply lost":       {fault: fault{LoseReplies: 1}, patience: time.Minute, revision: 3},
-		"all replies lost": {fault: fault{LoseReplies: 1000}, patience: time.Minute, err: snipeplatform.ErrUnknown, revision: 3},
-		"write lost":       {fault: fault{LoseWrites: 1}, patience: time.Minute, revision: 3},
-		"all writes lost":  {fault: fault{LoseWrites: 1000}, patience: time.Minute, err: snipeplatform.ErrUnknown, revision: 3},
-		"write late":       {fault: fault{LateWrites: 2, Late: time.Second}, patience: time.Minute, revision: 3},
-		"down":             {fault: fault{Down: true}, patience: time.Minute, err: snipeplatform.ErrUnavailable, revision: 3},
-		"slow":             {fault: fault{Delay: time.Second}, patience: time.Minute, revision: 3},
+		"no fault":         {timeout: time.Minute, revision: 3},
+		"reply lost":       {fault: fault{LoseReplies: 1}, timeout: time.Minute, revision: 3},
+		"all replies lost": {fault: fault{LoseReplies: 1000}, timeout: time.Minute, err: snipeplatform.ErrUnknown, revision: 3},
+		"write lost":       {fault: fault{LoseWrites: 1}, timeout: time.Minute, revision: 3},
+		"all writes lost":  {fault: fault{LoseWrites: 1000}, timeout: time.Minute, err: snipeplatform.ErrUnknown, revision: 3},
+		"write late":       {fault: fault{LateWrites: 2, Late: time.Second}, timeout: time.Minute, revision: 3},
+		"down":             {fault: fault{Down: true}, timeout: time.Minute, err: snipeplatform.ErrUnavailable, revision: 3},
+		"slow":             {fault: fault{Delay: time.Second}, timeout: time.Minute, revision: 3},
 		"stale reads": {
-			fault: fault{Stale: time.Minute}, before: editAgain(0), patience: time.Minute,
-			err: snipetree.ErrConflict, again: snipetree.ErrConflict, revision: 3,
+			fault: fault{Stale: time.Minute}, before: editAgain(0), timeout: time.Minute,
+			err: snipetree.ErrConflict, resendErr: snipetree.ErrConflict, revision: 3,
 		},
 		"reply lost, then edited again": {
-			fault: fault{LoseReplies: 1000}, patience: time.Minute, err: snipeplatform.ErrUnknown,
+			fault: fault{LoseReplies: 1000}, timeout: time.Minute, err: snipeplatform.ErrUnknown,
 			between: editAgain(1), revision: 4,
 		},
 		"write late, and somebody else's edit first": {
-			fault: fault{LateWrites: 1000, Late: time.Hour}, patience: time.Second, err: snipeplatform.ErrUnknown,
-			between: editAgain(0), again: snipetree.ErrConflict, revision: 3,
+			fault: fault{LateWrites: 1000, Late: time.Hour}, timeout: time.Second, err: snipeplatform.ErrUnknown,
+			between: editAgain(0), resendErr: snipetree.ErrConflict, revision: 3,
 		},
 		"write late, then sent again": {
-			fault: fault{LateWrites: 1000, Late: time.Hour}, patience: time.Second, err: snipeplatform.ErrUnknown, revision: 3,
+			fault: fault{LateWrites: 1000, Late: time.Hour}, timeout: time.Second, err: snipeplatform.ErrUnknown, revision: 3,
 		},
 		"write late, and another team's edit first": {
-			fault: fault{LateWrites: 1000, Late: time.Hour}, patience: time.Second, err: snipeplatform.ErrUnknown,
+			fault: fault{LateWrites: 1000, Late: time.Hour}, timeout: time.Second, err: snipeplatform.ErrUnknown,
 			between: editOther, revision: 4,
 		},
-		"throttled": {fault: fault{RefuseEvery: 2}, patience: time.Minute, revision: 3},
+		"throttled": {fault: fault{RefuseEvery: 2}, timeout: time.Minute, revision: 3},
 		"documents down": {
-			fault: fault{DownPartition: "SettingsDocuments"}, patience: time.Minute, err: snipeplatform.ErrUnavailable, revision: 3,
+			fault: fault{DownPartition: "SettingsDocuments"}, timeout: time.Minute, err: snipeplatform.ErrUnavailable, revision: 3,
 		},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				table := prepared(t)
-				// The document is stored, so that faults meet the commit.
+				table := tableWithPlatform(t)
+				// Store the document first, so that the fault affects the commit.
 				_, err := newStore(table).Apply(t.Context(), "x", 0, []byte(teamBranch))
 				must.NoError(t, err)
 				time.Sleep(time.Hour)
@@ -182,7 +182,7 @@
 				}
 				table.SetFault(tc.fault)
 				edit := snipetree.Edit{ID: "edit", Team: "t", Document: []byte(teamBranch)}
-				ctx, cancel := context.WithTimeout(t.Context(), tc.patience)
+				ctx, cancel := context.WithTimeout(t.Context(), tc.timeout)
 				defer cancel()
 				_, err = newStore(table).ApplyEdit(ctx, edit)
 				must.ErrorIs(t, err, tc.err)
@@ -191,8 +191,8 @@
 					tc.between(t, table)
 				}
 				_, err = newStore(table).ApplyEdit(t.Context(), edit)
-				must.ErrorIs(t, err, tc.again)
-				// Whatever is late takes effect now, if it still can.
+				must.ErrorIs(t, err, tc.resendErr)
+				// Late writes take effect now, if they still can.
 				time.Sleep(2 * time.Hour)
 				must.Eq(t, tc.revision, revisionOf(t, table))
 			})
@@ -224,7 +224,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				table := prepared(t)
+				table := tableWithPlatform(t)
 				table.SetFault(snipestand.TableFault{Delay: time.Millisecond})
 				errs := make([]error, operators)
 				var wait sync.WaitGroup
@@ -251,7 +251,7 @@
 }
 
 func TestRollback(t *testing.T) {
-	table := prepared(t)
+	table := tableWithPlatform(t)
 	s := newStore(table)
 	for n, data := range []string{teamBranch, otherBranch} {
 		_, err := s.Apply(t.Context(), "t", uint64(n), []byte(data))
@@ -272,8 +272,8 @@
 	must.Eq(t, 4, history[0].Revision)
 }
 
-// TestLargeBranch: a branch above the bound of a row is kept whole, on several
-// rows, and read back by another instance.
+// TestLargeBranch guards against a branch larger than a row that is cut off, or stored in a row
+// that the table service would refuse.
 func TestLargeBranch(t *testing.T) {
 	const adapters = 66000
 	var b strings.Builder
@@ -285,7 +285,7 @@
 		fmt.Fprintf(&b, `"adapter-%d": {"Base": "b", "Versions": {"%s": {"Path": "%s"}}}`, n, rand.Text(), rand.Text())
 	}
 	b.WriteString(`}}`)
-	table := prepared(t)
+	table := tableWithPlatform(t)
 	_, err := newStore(table).Apply(t.Context(), "t", 0, []byte(b.String()))
 	must.NoError(t, err)
 	s := newStore(table)
