--- a/snipeconfig/reference_test.go
+++ b/snipeconfig/reference_test.go
@@ -18,14 +18,14 @@
 
 var textType = reflect.TypeFor[encoding.TextMarshaler]()
 
-// field is one field of a settings document.
+// field is one field of a settings document, with its default value.
 type field struct {
 	path  string
 	value reflect.Value
 }
 
-// fields returns the fields that a document may have; a name or team that the
-// operator chooses is the path's element NAME.
+// fields returns the fields of a settings document. An element of a path that the operator
+// chooses, such as the name of a team, is NAME.
 func fields(path string, v reflect.Value) []field {
 	t := v.Type()
 	if t.Kind() == reflect.Pointer {
@@ -45,7 +45,7 @@
 	return []field{{path, v}}
 }
 
-// rows returns the rows of one section of the reference, by the field's path.
+// rows returns the rows of one section of the settings reference, by the path of the field.
 func rows(t *testing.T, section string) map[string]string {
 	t.Helper()
 	page, err := os.ReadFile("../docs/operators/settings.md")
@@ -61,8 +61,8 @@
 	return all
 }
 
-// TestReference holds the settings' page against the structures: each field
-// has a row, each row a field, and defaults are those of the code.
+// TestReference guards against a settings reference that deviates from the code: each field must
+// have a row, each row a field, and the defaults must be the same.
 func TestReference(t *testing.T) {
 	tests := map[string]any{
 		"The instance's file":   snipeconfig.Default(),
@@ -71,24 +71,24 @@
 	}
 	for section, document := range tests {
 		t.Run(section, func(t *testing.T) {
-			page := rows(t, section)
+			rowByPath := rows(t, section)
 			var paths []string
 			for _, f := range fields("", reflect.ValueOf(document)) {
 				paths = append(paths, f.path)
-				row, ok := page[f.path]
+				row, ok := rowByPath[f.path]
 				must.True(t, ok, must.Sprintf("no row for %s", f.path))
 				if !f.value.IsZero() {
-					must.StrContains(t, row, "`"+text(t, f.value)+"`", must.Sprintf("default of %s", f.path))
+					must.StrContains(t, row, "`"+encodedText(t, f.value)+"`", must.Sprintf("default of %s", f.path))
 				}
 			}
-			for path := range page {
+			for path := range rowByPath {
 				must.True(t, slices.Contains(paths, path), must.Sprintf("no field for the row of %s", path))
 			}
 		})
 	}
 }
 
-func text(t *testing.T, v reflect.Value) string {
+func encodedText(t *testing.T, v reflect.Value) string {
 	t.Helper()
 	if m, ok := v.Interface().(encoding.TextMarshaler); ok {
 		data, err := m.MarshalText()
--- a/snipeconfig/snipeconfig.go
+++ b/snipeconfig/snipeconfig.go
@@ -1,6 +1,6 @@
-// Package snipeconfig is the settings file of one instance: its own addresses,
-// failure domain, platform and keys. Everything else lives in the settings
-// tree (package snipetree).
+// Package snipeconfig reads and checks the settings file of one instance: its addresses,
+// failure domain, platform and keys. All other settings are in the settings tree (package
+// snipetree).
 package snipeconfig
 
 import (
@@ -17,77 +17,76 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// ErrInvalid is wrapped by every error of the checks.
+// ErrInvalid is wrapped by every error of Decode and of the checks.
 var ErrInvalid = errors.New("invalid settings file")
 
-// maxFile bounds the size of a settings file in bytes.
-const maxFile = 1 << 20
+// maxFileSize limits the size of a settings file in bytes.
+const maxFileSize = 1 << 20
 
-// Config is the settings file of one instance.
+// Config holds the settings file of one instance.
 type Config struct {
 	// Name is the instance's name, unique among all instances.
 	Name string
 	// Domain is the instance's failure domain.
 	Domain string
-	// Callers is where callers connect, Operators where operators and
-	// scrapers do, and Peers where other instances do.
+	// Callers is the address of the callers' listener, Operators that of the listener for
+	// operators and metrics scrapers, and Peers that of the listener for other instances.
 	Callers   netip.AddrPort
 	Operators netip.AddrPort
 	Peers     netip.AddrPort
-	// PeersAnnounced is where other instances reach Peers, when an address
-	// translation stands between them; Peers itself when it is left out.
+	// PeersAnnounced is the address at which other instances reach Peers, if addresses are
+	// translated between them. If it is left out, Peers is announced.
 	PeersAnnounced netip.AddrPort `json:",omitzero"`
-	// PeerSecret proves that a peer is an instance.
+	// PeerSecret is the shared secret by which an instance authenticates to its peers.
 	PeerSecret string
-	// BootstrapKeyHash is the SHA-256 sum of the key that may write the
-	// platform branch while there are no operators in it.
+	// BootstrapKeyHash is the SHA-256 hash of the key that may write the platform branch
+	// while the branch declares no operators.
 	BootstrapKeyHash snipetree.KeyHash
-	// Platform is how to reach the platform.
+	// Platform holds the addresses and credentials of the platform's services.
 	Platform Platform
-	// Lease and Renew are the duration of the instance's lease and the time
-	// between renewals.
+	// Lease is the duration of the instance's lease, Renew the time between its renewals.
 	Lease snipejson.Duration
 	Renew snipejson.Duration
-	// Poll is the time between two reads of the settings' head.
+	// Poll is the time between two reads of the revision of the settings tree.
 	Poll snipejson.Duration
-	// Progress is the longest time between two chunks of an answer before its
-	// connection is given up.
+	// Progress is the longest time between two chunks of an answer before its connection is
+	// aborted.
 	Progress snipejson.Duration
-	// FirstChunk is the longest time that an engine may queue a call: from the
-	// header of its answer to the first chunk.
+	// FirstChunk is the longest time that an engine may queue a call: the time from the header
+	// of its answer to the first chunk.
 	FirstChunk snipejson.Duration
 	// LoadTimeout bounds the load of an adapter.
 	LoadTimeout snipejson.Duration
-	// CallersTLS, OperatorsTLS and PeersTLS are the certificates of the
-	// listeners; a listener without is plain HTTP. That of peers needs an
-	// authority, and all instances must have it or none.
+	// CallersTLS, OperatorsTLS and PeersTLS name the certificate files of the listeners. A
+	// listener without certificate files serves plain HTTP. PeersTLS needs an authority, and
+	// must be set on all instances or on none.
 	CallersTLS   *snipecert.Files `json:",omitempty"`
 	OperatorsTLS *snipecert.Files `json:",omitempty"`
 	PeersTLS     *snipecert.Files `json:",omitempty"`
-	// StopNotice is how long a stopping instance, no longer ready, still takes
-	// calls, for the balancer to notice.
+	// StopNotice is how long a stopping instance still accepts calls while it reports that it
+	// is not ready, so that the load balancer can notice.
 	StopNotice snipejson.Duration
 	// StopTimeout bounds a graceful stop.
 	StopTimeout snipejson.Duration
 	// MaxBody bounds a call's body in bytes.
 	MaxBody int64
-	// MaxCalls bounds the calls in flight on this instance.
+	// MaxCalls limits the calls in flight on this instance.
 	MaxCalls int
-	// MaxConnections bounds the open connections of the callers' listener, and
+	// MaxConnections limits the open connections of the callers' listener, and separately
 	// those of the peers' listener.
 	MaxConnections int
-	// LogLevel is a level of logrus.
+	// LogLevel is the name of a logrus level.
 	LogLevel string
 }
 
-// Platform is how to reach the platform's services.
+// Platform holds the addresses and credentials of the platform's services.
 type Platform struct {
 	Table     netip.AddrPort
 	TableName string
 	AccessKey string
 	SecretKey string
-	// InstanceList is where the platform lists the instances; without it they
-	// find each other by their lease rows.
+	// InstanceList is the address of the platform's list of instances. If it is left out,
+	// instances discover each other by their lease rows.
 	InstanceList netip.AddrPort `json:",omitzero"`
 	// Timeout bounds each request to the platform.
 	Timeout snipejson.Duration
@@ -104,7 +103,7 @@
 	}
 }
 
-// Announced returns the address that other instances are told.
+// Announced returns the address that is announced to other instances.
 func (c Config) Announced() netip.AddrPort {
 	if c.PeersAnnounced.IsValid() {
 		return c.PeersAnnounced
@@ -119,8 +118,8 @@
 	if err != nil {
 		return Config{}, errors.Wrap(err, "settings file")
 	}
-	if info.Size() > maxFile {
-		return Config{}, errors.Wrapf(ErrInvalid, "%s: above %d bytes", path, maxFile)
+	if info.Size() > maxFileSize {
+		return Config{}, errors.Wrapf(ErrInvalid, "%s: above %d bytes", path, maxFileSize)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -197,20 +196,20 @@
 		{"Peers", c.Peers},
 		{"Platform.Table", c.Platform.Table},
 	}
-	seen := map[netip.AddrPort]string{}
+	fieldByAddress := map[netip.AddrPort]string{}
 	for _, a := range addresses {
 		if !a.value.IsValid() || a.value.Port() == 0 {
 			return invalid(a.field, "must be an IP number and a port")
 		}
-		if other, ok := seen[a.value]; ok {
+		if other, ok := fieldByAddress[a.value]; ok {
 			return invalid(a.field, "same address as "+other)
 		}
-		seen[a.value] = a.field
+		fieldByAddress[a.value] = a.field
 	}
 	return nil
 }
 
-// checkTLS checks the certificate settings without their files.
+// checkTLS checks the certificate settings without reading the files.
 func (c Config) checkTLS() error {
 	if c.CallersTLS != nil && c.CallersTLS.Authority != "" {
 		return invalid("CallersTLS.Authority", "callers are known by their keys; leave it out")
@@ -224,7 +223,7 @@
 	return nil
 }
 
-// CheckFiles checks the files that the settings name.
+// CheckFiles checks the certificate files that the settings name.
 func (c Config) CheckFiles() error {
 	for _, l := range []struct {
 		field string
--- a/snipeconfig/snipeconfig_test.go
+++ b/snipeconfig/snipeconfig_test.go
@@ -10,11 +10,11 @@
 	"github.com/shoenig/test/must"
 )
 
-const goodFile = `{"Name":"entry-1","Domain":"d","Callers":"127.0.0.1:1","Operators":"127.0.0.1:2","Peers":"127.0.0.1:3",
+const validFile = `{"Name":"entry-1","Domain":"d","Callers":"127.0.0.1:1","Operators":"127.0.0.1:2","Peers":"127.0.0.1:3",
 "PeerSecret":"do-not-print","Platform":{"Table":"127.0.0.1:4","SecretKey":"nor-this"}}`
 
-// TestRefusals: a refusal names the file, the field and the reason, and never
-// what is secret.
+// TestRefusals guards against invalid settings that are accepted, against refusals that do not name
+// the file, the field and the reason, and against refusals that contain a secret.
 func TestRefusals(t *testing.T) {
 	cases := map[string]struct{ from, to, want string }{
 		"unknown field":         {`"Domain"`, `"Domane"`, "Domane"},
@@ -40,13 +40,13 @@
 		"trailing data":         {`"nor-this"}}`, `"nor-this"}} {}`, "after the document"},
 	}
 	path := filepath.Join(t.TempDir(), "entry.json")
-	must.NoError(t, os.WriteFile(path, []byte(goodFile), 0o600))
+	must.NoError(t, os.WriteFile(path, []byte(validFile), 0o600))
 	_, err := Load(path)
 	must.NoError(t, err)
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			must.StrContains(t, goodFile, c.from)
-			must.NoError(t, os.WriteFile(path, []byte(strings.Replace(goodFile, c.from, c.to, 1)), 0o600))
+			must.StrContains(t, validFile, c.from)
+			must.NoError(t, os.WriteFile(path, []byte(strings.Replace(validFile, c.from, c.to, 1)), 0o600))
 			_, err := Load(path)
 			must.ErrorIs(t, err, ErrInvalid)
 			must.StrContains(t, err.Error(), path)
@@ -57,9 +57,9 @@
 	}
 }
 
-// FuzzDecode: what is taken passes its own check again after being written.
+// FuzzDecode verifies that settings that are accepted are accepted again after they are encoded.
 func FuzzDecode(f *testing.F) {
-	for _, seed := range []string{goodFile, `{}`, `[]`, `{"Callers":7}`, `{"Lease":"-1s"}`, strings.Replace(goodFile, "127.0.0.1:1", "[::1%eth0]:1", 1)} {
+	for _, seed := range []string{validFile, `{}`, `[]`, `{"Callers":7}`, `{"Lease":"-1s"}`, strings.Replace(validFile, "127.0.0.1:1", "[::1%eth0]:1", 1)} {
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
