--- a/snipemirror/follow.go
+++ b/snipemirror/follow.go
@@ -12,73 +12,77 @@
 )
 
 const (
-	// failurePause is the time between two reads while the store does not answer.
-	failurePause = 300 * time.Millisecond
-	// lostTurns is how many reads there are to one of the store while it does not answer,
-	// rareTurns those of an instance of many, most of which learn that it is back from those
-	// that ask more often.
-	lostTurns, rareTurns = 2, 16
-	// firstWait is how long another instance is waited for that may have started just now as
-	// well, and has read nothing yet.
+	// retryInterval is the time between two reads while the store does not answer.
+	retryInterval = 300 * time.Millisecond
+	// While the store does not answer, one of lostCycle reads goes to the store and the others
+	// go to other instances. rareCycle replaces lostCycle on an instance for which Rare
+	// reports true: there are many of these, and most receive rows again from the instances
+	// that read the store more often.
+	lostCycle, rareCycle = 2, 16
+	// firstWait is the maximum wait for the first page from another instance, which may have
+	// started at the same time and may have read nothing yet.
 	firstWait = 500 * time.Millisecond
-	// HasteAfter is the time between two reads of the store while Hasten asks for it.
-	HasteAfter = 300 * time.Millisecond
-	// distrust is how long the next instance in rank is followed after one whose copy
-	// could not be had: longer than it takes until all know that an instance is gone.
-	distrust = 6 * time.Second
+	// HastenedInterval is the time between two reads of the store while Hasten returns true.
+	HastenedInterval = 300 * time.Millisecond
+	// failureExpiry is how long the next instance in rank is followed after a read of another
+	// instance's copy failed. It exceeds the time until every instance has detected that
+	// another instance is gone.
+	failureExpiry = 6 * time.Second
 )
 
-// Source reads a table: all of it, or what has changed after a position, waiting for
-// it for up to wait. An error that wraps snipeplatform.ErrHistory means that all of
-// it has to be read.
+// Source reads a table: Read returns all rows, and Watch returns the changes after a position
+// and waits for one up to the given time. An error that wraps snipeplatform.ErrHistory means
+// that all rows must be read.
 type Source struct {
 	Read  func(ctx context.Context) (Page, error)
 	Watch watchFunc
 }
 
-// Follower keeps a mirror. Exported fields are set before Run.
+// Follower keeps a mirror up to date. Exported fields are set before Run.
 type Follower struct {
 	Mirror *Mirror
 	// Store reads the store.
 	Store Source
-	// Near returns how to read the copy of another instance; false when this
-	// instance is to read the store itself. It is told how many others have failed in
-	// a row, and whether the store does not answer this instance.
+	// Near returns a function that reads the copy of another instance, or false if this
+	// instance must read the store itself. Its arguments are the number of consecutive
+	// failures of other instances, and whether the store does not answer this instance.
 	Near func(failures int, lost bool) (watchFunc, bool)
-	// Begin waits until it is known whose copy can be followed, before the first read; nil for
-	// at once.
+	// Begin waits, before the first read, until it is known whose copy can be followed. Nil
+	// means no wait.
 	Begin func(ctx context.Context)
-	// Hasten reports that the store is to be read again after HasteAfter, sooner than after
-	// Pace; nil for never.
+	// Hasten reports whether the next read of the store follows after HastenedInterval if that
+	// is shorter than Pace. Nil means never.
 	Hasten func() bool
-	// Rare reports that this instance is one of many that read no store for others: while
-	// the store does not answer it asks them, and the store itself seldom. Nil for never.
+	// Rare reports whether this instance is one of many that read no store for others. While
+	// the store does not answer, such an instance reads the copies of other instances, and the
+	// store itself seldom. Nil means never.
 	Rare func() bool
-	// Changed takes the rows of each reading that are new here; none when it only
-	// showed that nothing has changed.
+	// Changed receives the changed rows of each read. It is also called with no rows for a
+	// read without changes.
 	Changed func(rows []Row, position uint64)
-	// Lost and Back are told once of the loss and the return of the store.
+	// Lost is called once when the store stops answering, and Back once when a page is read
+	// again, from the store or from another instance.
 	Lost func(err error)
 	Back func()
-	// Pace is the least time between two reads of the store, Wait how long one waits
-	// for a change.
+	// Pace is the minimum time between two reads of the store, and Wait is the maximum time
+	// that a read waits for a change.
 	Pace time.Duration
 	Wait time.Duration
-	// MaxAge returns how old another instance's copy may become before the store is read
-	// itself: somewhat more than Pace and Wait together, since a read that waits in
-	// vain follows the pause after one that did not wait.
+	// MaxAge returns the maximum age of another instance's copy; above it this instance reads
+	// the store itself. It exceeds Pace plus Wait, since a read that waits in vain can follow
+	// the pause after a read that did not wait.
 	MaxAge func() time.Duration
 
 	lock   sync.Mutex         // guards cancel
 	cancel context.CancelFunc // ends a read of the store
 
 	// The fields below belong to Run's goroutine.
-	lost     bool
-	whole    bool // all rows have to be read
-	distrust time.Time
-	failures int  // reads of other instances that failed lately
-	ask      bool // the next read is the store's, whoever may be followed
-	turn     int  // reads since the store was last asked while it is lost
+	lost            bool // the store does not answer
+	needAll         bool // all rows must be read
+	failuresExpire  time.Time
+	failures        int  // recent failed reads of other instances
+	storeNext       bool // the next read goes to the store, even if a copy can be followed
+	readsSinceStore int  // reads since the last read of the store while lost is set
 }
 
 // Run follows the table until ctx ends.
@@ -87,89 +91,91 @@
 		f.Begin(ctx)
 	}
 	for ctx.Err() == nil {
-		begun := time.Now()
-		near, err := f.step(ctx)
+		start := time.Now()
+		fromPeer, err := f.step(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
-		pause := f.pace()
+		pause := f.interval()
 		switch {
-		case err != nil && near:
-			// The store is asked at once, and then the next instance in rank, which does
-			// the same: else all that followed one would read the store.
+		case err != nil && fromPeer:
+			// Read the store at once, then follow the next instance in rank, which also
+			// reads the store now. Otherwise all followers of the failed instance would go
+			// on to read the store.
 			f.failures++
-			f.ask = true
-			f.distrust = time.Now().Add(distrust)
+			f.storeNext = true
+			f.failuresExpire = time.Now().Add(failureExpiry)
 			pause = 0
 			if f.lost && f.rare() {
-				pause = failurePause
+				pause = retryInterval
 			}
 		case err != nil:
-			pause = failurePause
-			f.fail(err)
-		case near:
+			pause = retryInterval
+			f.storeFailed(err)
+		case fromPeer:
 			pause = 0
 		}
-		if !snipetime.Sleep(ctx, pause-time.Since(begun)) {
+		if !snipetime.Sleep(ctx, pause-time.Since(start)) {
 			return nil
 		}
 	}
 	return nil
 }
 
-// pace is the least time between two reads of the store.
-func (f *Follower) pace() time.Duration {
+// interval returns the minimum time between two reads of the store.
+func (f *Follower) interval() time.Duration {
 	if f.Hasten != nil && f.Hasten() {
-		return min(f.Pace, HasteAfter)
+		return min(f.Pace, HastenedInterval)
 	}
 	return f.Pace
 }
 
-// step reads once, and tells whether it read another instance's copy.
-func (f *Follower) step(ctx context.Context) (near bool, err error) {
-	page, near, err := f.next(ctx)
+// step reads and applies one page, and reports whether the read went to another instance.
+func (f *Follower) step(ctx context.Context) (fromPeer bool, err error) {
+	page, fromPeer, err := f.read(ctx)
 	if errors.Is(err, snipeplatform.ErrHistory) {
-		f.whole = true
-		return near, nil
+		f.needAll = true
+		return fromPeer, nil
 	}
 	if err != nil {
-		return near, err
+		return fromPeer, err
 	}
 	if f.Mirror.Lacks(page) {
-		f.whole = true
-		return near, nil
+		f.needAll = true
+		return fromPeer, nil
 	}
 	if page.Whole {
-		f.whole = false
+		f.needAll = false
 	}
 	if f.lost {
 		f.lost, f.failures = false, 0
 		f.Back()
 	}
 	f.Changed(f.Mirror.Apply(page), page.Position)
-	return near, nil
+	return fromPeer, nil
 }
 
-// next reads another instance's copy, or the store.
-func (f *Follower) next(ctx context.Context) (Page, bool, error) {
+// read returns a page from another instance's copy or from the store, and reports whether the
+// read went to another instance.
+func (f *Follower) read(ctx context.Context) (Page, bool, error) {
 	position, known := f.Mirror.Position()
-	if f.whole {
+	if f.needAll {
 		position = 0
 	}
-	if watch, ok := f.near(); ok {
-		page, err := f.copy(ctx, watch, position)
+	if watch, ok := f.peer(); ok {
+		page, err := f.watchPeer(ctx, watch, position)
 		return page, true, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	f.interruptible(cancel)
-	defer f.interruptible(nil)
+	f.setCancel(cancel)
+	defer f.setCancel(nil)
 	switch {
-	case !known || f.whole:
+	case !known || f.needAll:
 		page, err := f.Store.Read(ctx)
 		return page, false, err
 	case f.lost:
-		// Does not wait for a change, to find out soon that the store is back.
+		// The read does not wait for a change, so that the return of the store is noticed soon.
 		page, err := f.Store.Watch(ctx, position, 0)
 		return page, false, err
 	default:
@@ -178,9 +184,9 @@
 	}
 }
 
-// copy reads another instance's copy, no longer than until the rows here are too old:
-// what it has not told by then has to come from the store.
-func (f *Follower) copy(ctx context.Context, watch watchFunc, position uint64) (Page, error) {
+// watchPeer reads another instance's copy. It waits only until the rows here reach their
+// maximum age: changes that the copy has not returned by then must come from the store.
+func (f *Follower) watchPeer(ctx context.Context, watch watchFunc, position uint64) (Page, error) {
 	wait := f.MaxAge() - f.Mirror.Age()
 	_, known := f.Mirror.Position()
 	switch {
@@ -198,30 +204,32 @@
 	return page, err
 }
 
-// watchFunc reads what has changed after a position, waiting for it for up to wait.
+// watchFunc returns the changes after a position, and waits for one up to wait.
 type watchFunc = func(ctx context.Context, after uint64, wait time.Duration) (Page, error)
 
-func (f *Follower) near() (watchFunc, bool) {
+// peer returns how to read another instance's copy, or false if the next read goes to the
+// store.
+func (f *Follower) peer() (watchFunc, bool) {
 	if f.Near == nil {
 		return nil, false
 	}
 	if f.lost {
-		// By turns with the store: it may serve others.
-		turns := lostTurns
+		// Other instances are read in alternation with the store, which may answer them.
+		cycle := lostCycle
 		if f.rare() {
-			turns = rareTurns
+			cycle = rareCycle
 		}
-		if f.turn++; f.turn >= turns {
-			f.turn = 0
+		if f.readsSinceStore++; f.readsSinceStore >= cycle {
+			f.readsSinceStore = 0
 			return nil, false
 		}
 		return f.Near(f.failures, true)
 	}
-	if f.ask {
-		f.ask = false
+	if f.storeNext {
+		f.storeNext = false
 		return nil, false
 	}
-	if time.Now().After(f.distrust) {
+	if time.Now().After(f.failuresExpire) {
 		f.failures = 0
 	}
 	return f.Near(f.failures, false)
@@ -229,14 +237,16 @@
 
 func (f *Follower) rare() bool { return f.Rare != nil && f.Rare() }
 
-func (f *Follower) interruptible(cancel context.CancelFunc) {
+// setCancel sets the function that Interrupt calls; nil while no read of the store is in
+// progress.
+func (f *Follower) setCancel(cancel context.CancelFunc) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.cancel = cancel
 }
 
-// Interrupt ends a read of the store in progress: another duty has found that the store does
-// not answer, and a read that began before would wait for its whole time.
+// Interrupt ends a read of the store in progress. It is called when another component finds
+// that the store does not answer: a read that began earlier would wait for its full time.
 func (f *Follower) Interrupt() {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -245,8 +255,8 @@
 	}
 }
 
-// fail notes a failure of the store.
-func (f *Follower) fail(err error) {
+// storeFailed records a failed read of the store, and calls Lost for the first one.
+func (f *Follower) storeFailed(err error) {
 	if !f.lost {
 		f.Lost(err)
 	}
--- a/snipemirror/snipemirror.go
+++ b/snipemirror/snipemirror.go
@@ -1,22 +1,22 @@
 // Package snipemirror keeps copies of a few tables of the platform's store and
-// passes their changes on to other instances, so that the store is read by a few
-// and known to all.
+// passes their changes on to other instances, so that a few instances read the
+// store and all instances have its rows.
 //
 // Design. A Mirror holds the rows of one table with their versions, which one
-// counter of the store numbers. What is read, from the store itself or from another
-// instance's mirror, is merged row by row: the higher version wins, whatever the
-// order of arrival. A Follower reads on and on, from another instance that is known
-// to be near and fresh, or else from the store.
+// counter of the store numbers. Rows that are read, from the store itself or from
+// another instance's mirror, are merged one by one: the higher version wins, whatever
+// the order of arrival. A Follower reads continuously, from a fresh copy of another
+// instance, usually one in the same failure domain, or else from the store.
 //
-// A row that was written again without news, as a heartbeat is, costs those that follow
-// little: nothing where Same tells so, else its version without its value.
+// A row that is rewritten without a change, such as a heartbeat, costs followers little:
+// nothing is sent if Same reports true, and otherwise its version without its value.
 //
 // Invariants:
 //
 //   - A row never goes back to an older version.
-//   - A row without its value is taken only where the value is known.
-//   - A copy that another instance has not renewed from the store for MaxAge is not
-//     taken, nor waited for any longer; the store is asked instead.
+//   - A row without its value is applied only if its value is known.
+//   - A copy that another instance has not refreshed from the store for MaxAge is not
+//     applied, and the follower stops waiting for it; it reads the store instead.
 package snipemirror
 
 import (
@@ -32,120 +32,121 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// ErrStale says that a copy is too old to be taken.
+// ErrStale is returned when a copy exceeds its maximum age.
 var ErrStale = errors.New("copy is too old")
 
-// Row is one row of a table, or the mark that it was removed.
+// Row is one row of a table, or a tombstone for a removed row.
 type Row struct {
 	Key     string
 	Value   []byte
 	Version uint64
 	Removed bool
-	// Renewed tells that the row was written again with the value that it had, which is
-	// left out.
+	// Renewed reports that the row was rewritten with an unchanged value, which is left out.
 	Renewed bool
 }
 
-// kept is a row of a mirror.
-type kept struct {
+// entry is a row of a mirror.
+type entry struct {
 	Row
-	// news is the version since which the row says what it says, value the one that
-	// brought its value.
-	news  uint64
-	value uint64
-	// mark is the mirror's mark of the last news.
-	mark uint64
+	// changeVersion is the version of the last write that was a change: one that Same does
+	// not report as equal, or any write if Same is nil. valueVersion is the version of the
+	// last write that changed the bytes of the value.
+	changeVersion uint64
+	valueVersion  uint64
+	// cursor is the mirror's cursor at the last change.
+	cursor uint64
 }
 
-// Page is what was read of a table.
+// Page is the result of one read of a table.
 type Page struct {
 	Rows []Row
-	// Position is the store's version of the reading.
+	// Position is the store's version at the time of the read.
 	Position uint64
-	// Whole tells that all rows of the table are among Rows.
+	// Whole reports that Rows holds all rows of the table.
 	Whole bool
-	// Age is how long ago the store itself was read; zero for the store's answers.
+	// Age is the time since the store itself was read; zero for a page from the store.
 	Age time.Duration
 }
 
-// keptMarks is how long the marks of removed rows are kept: longer than another
-// instance may be behind before it reads all rows.
-const keptMarks = time.Minute
+// tombstoneAge is how long tombstones are kept: longer than another instance may be behind
+// before it reads all rows.
+const tombstoneAge = time.Minute
 
 // Mirror is the copy of one table. Exported fields are set before the first call. The zero
 // value is not usable: call New.
 type Mirror struct {
-	// Same reports whether a value says nothing that the one before it did not; nil for a
-	// table where each version is news.
+	// Same reports whether a new value has the same meaning as the old one, so that it need
+	// not be passed on. Nil means that each version is a change.
 	Same func(old, now []byte) bool
 
-	lock     sync.Mutex // guards the fields below
-	rows     map[string]kept
-	removed  map[string]time.Time
-	mark     uint64
-	read     uint64 // rows read
-	news     uint64 // rows that brought news
-	position uint64
-	oldest   uint64 // changes up to here are no longer known one by one
-	known    bool
-	readAt   time.Time
-	changed  chan struct{}
+	lock         sync.Mutex // guards the fields below
+	rows         map[string]entry
+	removed      map[string]time.Time // when each tombstone was made
+	cursor       uint64               // number of pages applied
+	readCount    uint64               // rows read
+	changeCount  uint64               // rows changed
+	position     uint64
+	historyStart uint64 // changes up to this version are no longer known one by one
+	known        bool   // a page was applied
+	readAt       time.Time
+	changed      chan struct{} // closed and replaced when a page is applied
 }
 
 // New returns an empty mirror.
 func New() *Mirror {
-	return &Mirror{rows: make(map[string]kept), removed: make(map[string]time.Time), changed: make(chan struct{})}
+	return &Mirror{rows: make(map[string]entry), removed: make(map[string]time.Time), changed: make(chan struct{})}
 }
 
-// Position returns the position up to which the table is known; false before it was
-// read.
+// Position returns the position up to which the table is known, or false if it has not been
+// read yet.
 func (m *Mirror) Position() (uint64, bool) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return m.position, m.known
 }
 
-// Age returns how long ago the store was read, here or by those that passed it on.
+// Age returns the time since the store was read, by this instance or by the one whose copy
+// was read.
 func (m *Mirror) Age() time.Duration {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return time.Since(m.readAt)
 }
 
-// Counts returns how many rows were read so far, and how many of them brought news.
-func (m *Mirror) Counts() (read, news uint64) {
+// Counts returns the numbers of rows read and of rows changed so far.
+func (m *Mirror) Counts() (read, changed uint64) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	return m.read, m.news
+	return m.readCount, m.changeCount
 }
 
-// Rows returns the rows that have come or changed since a mark, all of them for 0, in the
-// order of their keys, and the mark to go on from.
-func (m *Mirror) Rows(since uint64) (rows []Row, mark uint64, err error) {
+// Rows returns the rows that were added or changed after a cursor, in the order of their keys,
+// and the cursor for the next call. Cursor 0 selects all rows. Removed rows are left out.
+func (m *Mirror) Rows(since uint64) (rows []Row, cursor uint64, err error) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if !m.known {
 		return nil, 0, snipeplatform.ErrUnread
 	}
 	for _, r := range m.rows {
-		if r.mark > since && !r.Removed {
+		if r.cursor > since && !r.Removed {
 			rows = append(rows, r.Row)
 		}
 	}
 	sortRows(rows)
-	return rows, m.mark, nil
+	return rows, m.cursor, nil
 }
 
-// since returns the rows with news above a version. Those that follow know of the rows up
-// to it, so that values from before are left out. The lock is held.
-func (m *Mirror) since(after uint64) []Row {
+// rowsAfter returns the rows that changed after a version. Followers have the values up to that
+// version, so older values are left out. The caller holds the lock.
+func (m *Mirror) rowsAfter(after uint64) []Row {
 	var rows []Row
 	for _, r := range m.rows {
-		if r.news <= after || after == 0 && r.Removed {
+		if r.changeVersion <= after || after == 0 && r.Removed {
 			continue
 		}
 		row := r.Row
-		if after > 0 && !r.Removed && r.value <= after {
+		if after > 0 && !r.Removed && r.valueVersion <= after {
 			row.Value, row.Renewed = nil, true
 		}
 		rows = append(rows, row)
@@ -158,8 +159,8 @@
 	slices.SortFunc(rows, func(a, b Row) int { return cmp.Compare(a.Key, b.Key) })
 }
 
-// Lacks reports whether a page leaves out values that are not known here. It cannot be
-// applied then: all rows have to be read.
+// Lacks reports whether a page leaves out values that this mirror does not have. Such a page
+// cannot be applied: all rows must be read.
 func (m *Mirror) Lacks(p Page) bool {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -171,12 +172,12 @@
 	return false
 }
 
-// Apply merges what was read and returns the rows with news here.
+// Apply merges a page and returns the rows that changed in this mirror.
 func (m *Mirror) Apply(p Page) []Row {
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	m.mark++
-	m.read += uint64(len(p.Rows))
+	m.cursor++
+	m.readCount += uint64(len(p.Rows))
 	var changed []Row
 	present := make(map[string]bool, len(p.Rows))
 	for _, r := range p.Rows {
@@ -186,11 +187,11 @@
 		}
 	}
 	if p.Whole {
-		changed = append(changed, m.drop(present, p.Position)...)
+		changed = append(changed, m.removeMissing(present, p.Position)...)
 	}
-	m.news += uint64(len(changed))
+	m.changeCount += uint64(len(changed))
 	if !m.known {
-		m.oldest = p.Position
+		m.historyStart = p.Position
 	}
 	m.position, m.known = max(m.position, p.Position), true
 	if read := time.Now().Add(-p.Age); read.After(m.readAt) {
@@ -202,27 +203,27 @@
 	return changed
 }
 
-// put stores a row unless a newer one is known, and reports whether it brings news. The
-// lock is held.
+// put stores a row unless the known version is as new, and reports whether the row changed.
+// The caller holds the lock.
 func (m *Mirror) put(r Row) bool {
 	old, ok := m.rows[r.Key]
 	if ok && old.Version >= r.Version {
 		return false
 	}
 	if r.Removed {
-		m.rows[r.Key] = kept{Row: r, news: r.Version, value: r.Version, mark: m.mark}
+		m.rows[r.Key] = entry{Row: r, changeVersion: r.Version, valueVersion: r.Version, cursor: m.cursor}
 		m.removed[r.Key] = time.Now()
 		return true
 	}
 	delete(m.removed, r.Key)
-	now := kept{Row: r, news: r.Version, value: r.Version, mark: m.mark}
+	now := entry{Row: r, changeVersion: r.Version, valueVersion: r.Version, cursor: m.cursor}
 	now.Renewed = false
 	known := ok && !old.Removed
 	if known && (r.Renewed || bytes.Equal(old.Value, r.Value)) {
-		now.Value, now.value = old.Value, old.value
+		now.Value, now.valueVersion = old.Value, old.valueVersion
 	}
 	if known && m.Same != nil && m.Same(old.Value, now.Value) {
-		now.news, now.mark = old.news, old.mark
+		now.changeVersion, now.cursor = old.changeVersion, old.cursor
 		m.rows[r.Key] = now
 		return false
 	}
@@ -230,36 +231,36 @@
 	return true
 }
 
-// drop marks the rows as removed that a whole reading does not show. The lock is
-// held.
-func (m *Mirror) drop(present map[string]bool, position uint64) []Row {
-	var dropped []Row
+// removeMissing replaces the rows that are missing from a page of all rows by tombstones, and
+// returns these. Rows newer than the page stay. The caller holds the lock.
+func (m *Mirror) removeMissing(present map[string]bool, position uint64) []Row {
+	var missing []Row
 	for key, r := range m.rows {
 		if present[key] || r.Removed || r.Version > position {
 			continue
 		}
-		gone := Row{Key: key, Version: position, Removed: true}
-		m.rows[key] = kept{Row: gone, news: position, value: position, mark: m.mark}
+		tombstone := Row{Key: key, Version: position, Removed: true}
+		m.rows[key] = entry{Row: tombstone, changeVersion: position, valueVersion: position, cursor: m.cursor}
 		m.removed[key] = time.Now()
-		dropped = append(dropped, gone)
+		missing = append(missing, tombstone)
 	}
-	return dropped
+	return missing
 }
 
-// prune forgets old marks. The lock is held.
+// prune deletes tombstones older than tombstoneAge. The caller holds the lock.
 func (m *Mirror) prune() {
 	for key, at := range m.removed {
-		if time.Since(at) < keptMarks {
+		if time.Since(at) < tombstoneAge {
 			continue
 		}
-		m.oldest = max(m.oldest, m.rows[key].Version)
+		m.historyStart = max(m.historyStart, m.rows[key].Version)
 		delete(m.rows, key)
 		delete(m.removed, key)
 	}
 }
 
-// Watch returns what has changed after a position, waiting for it for up to wait, also for
-// the first reading. Where the changes are no longer known one by one it returns all rows.
+// Watch returns the changes after a position, and waits up to wait for a change or for the
+// first page. It returns all rows if the changes are no longer known one by one.
 func (m *Mirror) Watch(ctx context.Context, after uint64, wait time.Duration) (Page, error) {
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
@@ -279,6 +280,8 @@
 	}
 }
 
+// page returns the changes after a position without waiting, and a channel that is closed when
+// the next page is applied.
 func (m *Mirror) page(after uint64) (Page, <-chan struct{}, error) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -286,10 +289,10 @@
 		return Page{}, m.changed, snipeplatform.ErrUnread
 	}
 	p := Page{Position: m.position, Age: time.Since(m.readAt)}
-	if after < m.oldest {
+	if after < m.historyStart {
 		p.Whole = true
 		after = 0
 	}
-	p.Rows = m.since(after)
+	p.Rows = m.rowsAfter(after)
 	return p, m.changed, nil
 }
--- a/snipemirror/snipemirror_test.go
+++ b/snipemirror/snipemirror_test.go
@@ -21,8 +21,8 @@
 	return snipemirror.Row{Key: key, Version: version, Value: []byte(fmt.Sprint(key, version))}
 }
 
-// gone is the mark that row a was removed.
-func gone(version uint64) snipemirror.Row {
+// tombstone marks row a as removed.
+func tombstone(version uint64) snipemirror.Row {
 	return snipemirror.Row{Key: "a", Version: version, Removed: true}
 }
 
@@ -34,7 +34,7 @@
 	return snipemirror.Page{Position: position, Rows: rows}
 }
 
-// TestApply: whatever the order of arrival, the higher version wins.
+// TestApply checks that the higher version of a row wins, whatever the order of arrival.
 func TestApply(t *testing.T) {
 	tests := map[string]struct {
 		pages []snipemirror.Page
@@ -42,10 +42,10 @@
 	}{
 		"Newer":         {[]snipemirror.Page{whole(1, row("a", 1)), part(2, row("a", 2))}, []snipemirror.Row{row("a", 2)}},
 		"Older":         {[]snipemirror.Page{whole(2, row("a", 2)), part(1, row("a", 1))}, []snipemirror.Row{row("a", 2)}},
-		"Removed":       {[]snipemirror.Page{whole(1, row("a", 1)), part(2, gone(2))}, nil},
-		"RemovedLate":   {[]snipemirror.Page{whole(3, row("a", 3)), part(2, gone(2))}, []snipemirror.Row{row("a", 3)}},
-		"Back":          {[]snipemirror.Page{part(2, gone(2)), part(3, row("a", 3))}, []snipemirror.Row{row("a", 3)}},
-		"OlderAfterEnd": {[]snipemirror.Page{part(2, gone(2)), part(1, row("a", 1))}, nil},
+		"Removed":       {[]snipemirror.Page{whole(1, row("a", 1)), part(2, tombstone(2))}, nil},
+		"RemovedLate":   {[]snipemirror.Page{whole(3, row("a", 3)), part(2, tombstone(2))}, []snipemirror.Row{row("a", 3)}},
+		"Back":          {[]snipemirror.Page{part(2, tombstone(2)), part(3, row("a", 3))}, []snipemirror.Row{row("a", 3)}},
+		"OlderAfterEnd": {[]snipemirror.Page{part(2, tombstone(2)), part(1, row("a", 1))}, nil},
 		"Absent":        {[]snipemirror.Page{whole(1, row("a", 1)), whole(2, row("b", 2))}, []snipemirror.Row{row("b", 2)}},
 		"AbsentBefore":  {[]snipemirror.Page{whole(5, row("a", 5)), whole(3, row("b", 2))}, []snipemirror.Row{row("a", 5), row("b", 2)}},
 	}
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestWatch: another instance learns each change once, and all rows when it is too far
-// behind.
+// TestWatch checks that Watch returns each change once, and all rows to an instance that is too
+// far behind.
 func TestWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := snipemirror.New()
@@ -74,13 +74,13 @@
 		must.NoError(t, err)
 		must.True(t, p.Whole)
 		must.Len(t, 2, p.Rows)
-		time.AfterFunc(300*time.Millisecond, func() { m.Apply(part(8, gone(7), row("c", 8))) })
-		begun := time.Now()
+		time.AfterFunc(300*time.Millisecond, func() { m.Apply(part(8, tombstone(7), row("c", 8))) })
+		start := time.Now()
 		p, err = m.Watch(t.Context(), p.Position, time.Second)
 		must.NoError(t, err)
-		must.Eq(t, 300*time.Millisecond, time.Since(begun))
+		must.Eq(t, 300*time.Millisecond, time.Since(start))
 		must.False(t, p.Whole)
-		must.Eq(t, []snipemirror.Row{gone(7), row("c", 8)}, p.Rows)
+		must.Eq(t, []snipemirror.Row{tombstone(7), row("c", 8)}, p.Rows)
 		p, err = m.Watch(t.Context(), p.Position, time.Second)
 		must.NoError(t, err)
 		must.SliceEmpty(t, p.Rows)
@@ -93,27 +93,28 @@
 	})
 }
 
-// beat is a row whose value is what it says and the number of its heartbeat.
-func beat(key, says string, version uint64) snipemirror.Row {
-	return snipemirror.Row{Key: key, Version: version, Value: []byte(says + "#" + fmt.Sprint(version))}
+// heartbeat returns a row whose value consists of a state and the version of the heartbeat.
+func heartbeat(key, state string, version uint64) snipemirror.Row {
+	return snipemirror.Row{Key: key, Version: version, Value: []byte(state + "#" + fmt.Sprint(version))}
 }
 
-func sameBeat(old, now []byte) bool {
+// sameState reports whether two heartbeats carry the same state.
+func sameState(old, now []byte) bool {
 	a, _, _ := strings.Cut(string(old), "#")
 	b, _, _ := strings.Cut(string(now), "#")
 	return a == b
 }
 
-// TestHeartbeats answers the pattern of thousands of upstreams that each write their row
-// again each second: rows without news are passed on to nobody, and cost those that follow
-// nothing.
+// TestHeartbeats guards against heartbeats being passed on to followers. Thousands of upstreams
+// each rewrite their row every second; a rewrite that Same reports as equal must not be
+// returned by Watch or Rows.
 func TestHeartbeats(t *testing.T) {
 	m := snipemirror.New()
-	m.Same = sameBeat
-	m.Apply(whole(2, beat("a", "ready", 1), beat("b", "ready", 2)))
+	m.Same = sameState
+	m.Apply(whole(2, heartbeat("a", "ready", 1), heartbeat("b", "ready", 2)))
 	_, mark, err := m.Rows(0)
 	must.NoError(t, err)
-	must.SliceEmpty(t, m.Apply(part(4, beat("a", "ready", 3), beat("b", "ready", 4))))
+	must.SliceEmpty(t, m.Apply(part(4, heartbeat("a", "ready", 3), heartbeat("b", "ready", 4))))
 	p, err := m.Watch(t.Context(), 2, time.Second)
 	must.NoError(t, err)
 	must.Eq(t, 4, p.Position)
@@ -122,27 +123,27 @@
 	must.NoError(t, err)
 	must.SliceEmpty(t, rows)
 
-	must.Len(t, 1, m.Apply(part(6, beat("a", "leaving", 5), beat("b", "ready", 6))))
+	must.Len(t, 1, m.Apply(part(6, heartbeat("a", "leaving", 5), heartbeat("b", "ready", 6))))
 	p, err = m.Watch(t.Context(), 4, time.Second)
 	must.NoError(t, err)
-	must.Eq(t, []snipemirror.Row{beat("a", "leaving", 5)}, p.Rows)
+	must.Eq(t, []snipemirror.Row{heartbeat("a", "leaving", 5)}, p.Rows)
 	rows, _, err = m.Rows(mark)
 	must.NoError(t, err)
-	must.Eq(t, []snipemirror.Row{beat("a", "leaving", 5)}, rows)
+	must.Eq(t, []snipemirror.Row{heartbeat("a", "leaving", 5)}, rows)
 	p, err = m.Watch(t.Context(), 0, time.Second)
 	must.NoError(t, err)
 	must.Len(t, 2, p.Rows)
 
 	must.Len(t, 1, m.Apply(part(7, snipemirror.Row{Key: "b", Version: 7, Removed: true})))
-	must.Len(t, 1, m.Apply(part(8, beat("b", "ready", 8))), must.Sprint("a row that comes back is news"))
+	must.Len(t, 1, m.Apply(part(8, heartbeat("b", "ready", 8))), must.Sprint("a row that is written after its removal is a change"))
 	read, changed := m.Counts()
 	must.Eq(t, 8, read)
 	must.Eq(t, 5, changed)
 }
 
-// TestRenewals answers the pattern of some dozen instances that each renew their row each
-// second, which all others have to know of: a row with the value that it had is passed on
-// without it, to those that know the value alone.
+// TestRenewals guards against unchanged values being sent again. Some dozen instances each renew
+// their row every second, and all other instances need the new version: a row with an unchanged
+// value is passed on without it, but only to followers that have the value.
 func TestRenewals(t *testing.T) {
 	source := snipemirror.New()
 	renewed := func(key string, version uint64) snipemirror.Row {
@@ -161,16 +162,16 @@
 	must.Eq(t, []snipemirror.Row{
 		{Key: "a", Version: 3, Renewed: true}, {Key: "b", Version: 4, Renewed: true},
 	}, p.Rows)
-	stranger := snipemirror.New()
-	stranger.Apply(whole(2, renewed("a", 1)))
-	must.True(t, stranger.Lacks(p))
+	incomplete := snipemirror.New()
+	incomplete.Apply(whole(2, renewed("a", 1)))
+	must.True(t, incomplete.Lacks(p))
 	must.False(t, follower.Lacks(p))
 	must.Len(t, 2, follower.Apply(p))
 	rows, _, err := follower.Rows(0)
 	must.NoError(t, err)
 	must.Eq(t, []snipemirror.Row{renewed("a", 3), renewed("b", 4)}, rows)
 
-	// Whoever knew the row before its value changed gets the value.
+	// A follower at a position before the value changed receives the value.
 	source.Apply(part(6, row("a", 5), renewed("b", 6)))
 	source.Apply(part(7, snipemirror.Row{Key: "a", Version: 7, Value: row("a", 5).Value}))
 	p = follow(4)
@@ -179,8 +180,8 @@
 	must.True(t, follow(5).Rows[0].Renewed)
 }
 
-// TestLackingValues: a follower that does not know the value of a row which comes without it
-// reads all rows.
+// TestLackingValues checks that a follower reads all rows after it receives a row without its
+// value and does not have that value.
 func TestLackingValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var asked []uint64
@@ -214,7 +215,8 @@
 	})
 }
 
-// fakeStore is a store with a version that grows, which can be lost.
+// fakeStore is a store with one row, whose version the tests raise. If lost is set, reads fail;
+// if silent is set, Watch blocks until its context ends.
 type fakeStore struct {
 	lock    sync.Mutex
 	version uint64
@@ -260,7 +262,7 @@
 	f()
 }
 
-// follow runs a follower in a bubble.
+// follow runs a follower in a synctest bubble, and counts the calls of its Lost and Back.
 func follow(t *testing.T, f *snipemirror.Follower) (lost, back *atomic.Int32) {
 	lost, back = new(atomic.Int32), new(atomic.Int32)
 	f.Mirror = snipemirror.New()
@@ -277,8 +279,8 @@
 	return lost, back
 }
 
-// TestInterrupt: a read that waits for a change while the store has gone silent ends
-// when another duty finds that out; then the store's return is seen soon.
+// TestInterrupt checks that Interrupt ends a read that waits for a change after the store has
+// stopped answering, and that the follower notices soon when the store answers again.
 func TestInterrupt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{version: 1}
@@ -291,7 +293,7 @@
 		time.Sleep(100 * time.Millisecond)
 		must.Eq(t, 1, lost.Load())
 		s.set(func() { s.silent = false; s.version = 9 })
-		f.Interrupt() // the next renewal fails too, or its successor succeeds
+		f.Interrupt() // ends a read that began while the store was silent
 		time.Sleep(600 * time.Millisecond)
 		must.Eq(t, 1, back.Load())
 		position, _ := f.Mirror.Position()
@@ -299,8 +301,8 @@
 	})
 }
 
-// TestNear: another instance's copy is taken instead of the store while it is fresh;
-// when it cannot be had the store is read at once.
+// TestNear checks that another instance's copy is read instead of the store while the copy is
+// fresh, and that the store is read at once if the copy is too old or cannot be read.
 func TestNear(t *testing.T) {
 	tests := map[string]struct {
 		page  snipemirror.Page
@@ -340,8 +342,8 @@
 	}
 }
 
-// TestReaderLosesStore: when the instance whose copy is followed loses the store, what
-// has changed meanwhile is known within 1.5 s of its last reading.
+// TestReaderLosesStore checks that when the followed instance loses the store or stops answering,
+// a change reaches the follower within 1.5 s of that instance's last read of the store.
 func TestReaderLosesStore(t *testing.T) {
 	for name, frozen := range map[string]bool{"Silenced": false, "Frozen": true} {
 		t.Run(name, func(t *testing.T) {
@@ -368,10 +370,10 @@
 	}
 }
 
-// TestReaderDies answers the pattern of many instances that follow one: when it dies
-// each asks the store once, and then all follow the next one in rank.
+// TestReaderDies guards against a flood of reads of the store when an instance that many others
+// follow dies: each follower reads the store once, and then all follow the next instance in rank.
 func TestReaderDies(t *testing.T) {
-	const followers, quiet = 30, 5 * time.Second
+	const followers, settle = 30, 5 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{version: 1}
 		dead := &atomic.Bool{}
@@ -400,7 +402,7 @@
 		for _, f := range all {
 			follow(t, f)
 		}
-		time.Sleep(quiet)
+		time.Sleep(settle)
 		s.set(func() { must.LessEq(t, followers+8, s.reads); s.reads = 0 })
 		dead.Store(true)
 		for n := range 5 {
@@ -416,8 +418,8 @@
 	})
 }
 
-// TestStoreLeftToOthers: of many instances most ask the store seldom while it does not
-// answer, and learn from the others that it is back.
+// TestStoreLeftToOthers checks that an instance for which Rare reports true reads the store
+// seldom while it does not answer, and receives new rows from other instances.
 func TestStoreLeftToOthers(t *testing.T) {
 	tests := map[string]struct {
 		rare        bool
@@ -429,19 +431,19 @@
 				s := &fakeStore{version: 3, lost: true}
 				f := &snipemirror.Follower{Store: snipemirror.Source{Read: s.read, Watch: s.watch}}
 				f.Rare = func() bool { return tt.rare }
-				isBack := &atomic.Bool{}
+				peerAnswers := &atomic.Bool{}
 				f.Near = func(_ int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 					return func(context.Context, uint64, time.Duration) (snipemirror.Page, error) {
-						if isBack.Load() {
+						if peerAnswers.Load() {
 							return part(7, row("n", 7)), nil
 						}
-						return snipemirror.Page{}, errors.New("knows no more")
+						return snipemirror.Page{}, errors.New("no newer rows")
 					}, lost
 				}
 				follow(t, f)
 				time.Sleep(12 * time.Second)
 				s.set(func() { must.Between(t, tt.least, s.reads, tt.most) })
-				isBack.Store(true)
+				peerAnswers.Store(true)
 				time.Sleep(700 * time.Millisecond)
 				position, _ := f.Mirror.Position()
 				must.Eq(t, 7, position)
@@ -450,8 +452,8 @@
 	}
 }
 
-// TestStoreServesOthers: an instance that the store does not answer learns from
-// others, the next one after each that fails.
+// TestStoreServesOthers checks that an instance which the store does not answer reads the copies
+// of other instances, and after each failure that of the next instance in rank.
 func TestStoreServesOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{version: 3, lost: true}
