--- a/snipepeer/snipepeer.go
+++ b/snipepeer/snipepeer.go
@@ -214,8 +214,8 @@
 	if err != nil {
 		return snipeerror.New(snipeerror.ErrBadRequest, snipeerror.NotRun, err.Error())
 	}
-	x, err := snipeupstream.Begin(client, r, snipeupstream.Watch{Progress: h.client.Progress, Kept: h.client.HTTP})
-	h.left = h.left || x.Left
+	x, err := snipeupstream.Begin(client, r, snipeupstream.SilenceLimit{Progress: h.client.Progress, Pool: h.client.HTTP})
+	h.left = h.left || x.MaybeSent
 	if err != nil {
 		if ctx.Err() == nil {
 			h.client.Reach.Failed(h.address)
@@ -278,11 +278,11 @@
 		if err != nil {
 			return errors.Wrapf(errBroken, "after event %d: %v", h.sequence, err)
 		}
-		x.Hold()
+		x.StopTimer()
 		if err := h.event(e); err != nil || h.ended {
 			return err
 		}
-		x.Alive(h.client.Progress)
+		x.RestartTimer(h.client.Progress)
 	}
 }
 
--- a/snipeupstream/answer.go
+++ b/snipeupstream/answer.go
@@ -18,35 +18,39 @@
 	"snipepitch.example/snipepitch/snipestream"
 )
 
-// maxAhead bounds the chunks held back until an earlier one arrives.
+// maxAhead bounds how far the number of a chunk may exceed that of the last chunk
+// in order. Chunks within the bound are held back until the missing ones arrive.
 const maxAhead = 16
 
-// maxDepth bounds how deeply a chunk may be nested.
+// maxDepth bounds the nesting of a chunk's JSON.
 const maxDepth = 128
 
-// answer is the state of one answer across connections. It belongs to the
-// goroutine of its call.
+// answer is the state of one answer across connections. Only the goroutine of
+// its call uses it.
 type answer struct {
 	engine    *Engine
 	call      *snipecall.Call
 	alias     string
-	model     string // the caller's name of the adapter
+	model     string // the adapter's name in the caller's answer
 	sink      snipecall.Sink
 	assembled *assembly // nil when the caller wants a stream
 
 	id       string            // the engine's identifier of the answer
-	sequence uint64            // of the last chunk that was taken in order
-	ahead    map[uint64][]byte // chunks that arrived before their turn
+	sequence uint64            // number of the last chunk in order
+	ahead    map[uint64][]byte // chunks that arrived before an earlier one, by number
 	finished bool              // a finish reason arrived
 	done     bool              // the end mark arrived
 	buffer   []byte
 }
 
+// requestMaker returns the request that begins or resumes an answer.
 type requestMaker func(context.Context) (*http.Request, error)
 
 // errBroken marks a connection that failed in the middle of an answer.
 var errBroken = errors.New("stream broken")
 
+// run sends the first request and resumes the answer up to maxResumes times
+// after its connection breaks.
 func (a *answer) run(ctx context.Context, first requestMaker) error {
 	client := a.engine.Client
 	if !a.call.Idempotent {
@@ -66,26 +70,28 @@
 		return nil
 	}
 	if errors.Is(err, errBroken) || errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
-		return a.broken(ctx, err)
+		return a.incompleteError(ctx, err)
 	}
 	return err
 }
 
-// broken is the failure of an answer that cannot be resumed.
-func (a *answer) broken(ctx context.Context, err error) error {
+// incompleteError returns the error of an answer that cannot be resumed.
+func (a *answer) incompleteError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
-		return snipeerror.New(contextKind(ctx), snipeerror.MayHaveRun, "while the engine was answering")
+		return snipeerror.New(contextErrorKind(ctx), snipeerror.MayHaveRun, "while the engine was answering")
 	}
 	return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, err.Error())
 }
 
-func contextKind(ctx context.Context) error {
+// contextErrorKind returns the kind of error for a context that has ended.
+func contextErrorKind(ctx context.Context) error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return snipeerror.ErrDeadline
 	}
 	return snipeerror.ErrCanceled
 }
 
+// resume returns the request for the chunks after the last one in order.
 func (a *answer) resume(ctx context.Context) (*http.Request, error) {
 	path := "/v1/responses/" + a.id + "?stream=true&starting_after=" + strconv.FormatUint(a.sequence, 10)
 	return http.NewRequestWithContext(ctx, http.MethodGet, a.engine.url(path), http.NoBody)
@@ -97,9 +103,9 @@
 	if err != nil {
 		return errors.Wrap(err, "make request")
 	}
-	x, err := Begin(client, r, Watch{Progress: a.engine.Progress, Kept: a.engine.Client})
+	x, err := Begin(client, r, SilenceLimit{Progress: a.engine.Progress, Pool: a.engine.Client})
 	if err != nil {
-		return a.sendError(ctx, x.Left, err)
+		return a.sendError(ctx, x.MaybeSent, err)
 	}
 	if x.Response.StatusCode != http.StatusOK {
 		defer x.Finish()
@@ -113,37 +119,41 @@
 	return nil
 }
 
+// read receives the events of one connection up to the end mark. If FirstChunk is
+// set, it bounds the silence before the first chunk; Progress bounds all others.
 func (a *answer) read(x *Exchange) error {
 	reader := snipestream.NewReader(x.Response.Body)
 	if a.sequence == 0 && a.engine.FirstChunk > 0 {
-		x.Alive(a.engine.FirstChunk)
+		x.RestartTimer(a.engine.FirstChunk)
 	}
 	for !a.done {
 		event, err := reader.Read()
 		if err != nil {
 			return errors.Wrapf(errBroken, "after chunk %d: %v", a.sequence, err)
 		}
-		x.Hold()
-		if err := a.take(event); err != nil {
+		x.StopTimer()
+		if err := a.receive(event); err != nil {
 			return err
 		}
-		x.Alive(a.engine.Progress)
+		x.RestartTimer(a.engine.Progress)
 	}
 	return nil
 }
 
-// sendError tells a request that never reached the engine from one that may
-// have been taken.
-func (a *answer) sendError(ctx context.Context, left bool, err error) error {
-	if left || a.id != "" {
+// sendError returns the error of a request without a response. It distinguishes
+// a request that was not sent from one that the engine may have received.
+func (a *answer) sendError(ctx context.Context, maybeSent bool, err error) error {
+	if maybeSent || a.id != "" {
 		return errors.Wrapf(errBroken, "send: %v", err)
 	}
 	if ctx.Err() != nil {
-		return snipeerror.New(contextKind(ctx), snipeerror.NotRun, "before engine "+a.engine.Name+" was reached")
+		return snipeerror.New(contextErrorKind(ctx), snipeerror.NotRun, "before engine "+a.engine.Name+" was reached")
 	}
 	return snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "engine "+a.engine.Name+" does not answer")
 }
 
+// statusError returns the error for a response whose status is not 200. After the
+// first chunk, any such response means that the answer cannot be resumed.
 func (a *answer) statusError(response *http.Response) error {
 	text := readError(response)
 	reason := "engine " + a.engine.Name + ": status " + strconv.Itoa(response.StatusCode) + ": " + text
@@ -161,10 +171,11 @@
 	return snipeerror.New(snipeerror.ErrUpstreamFailed, snipeerror.MayHaveRun, reason)
 }
 
-// maxRetryAfter bounds what an upstream may ask a caller to wait.
+// maxRetryAfter bounds the wait that an upstream can request of a caller.
 const maxRetryAfter = time.Minute
 
-// retryAfter reads the response's Retry-After in seconds; zero when there is none.
+// retryAfter returns the response's Retry-After, which is in seconds; zero if it
+// is missing or invalid.
 func retryAfter(response *http.Response) time.Duration {
 	seconds, err := strconv.ParseUint(response.Header.Get("Retry-After"), 10, 16)
 	if err != nil {
@@ -173,11 +184,12 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// take puts one event in its place and passes on what is in order.
-func (a *answer) take(event snipestream.Event) error {
+// receive delivers an event that is next in order, and the chunks held back
+// after it. It holds back a chunk that arrived before an earlier one.
+func (a *answer) receive(event snipestream.Event) error {
 	switch {
 	case event.ID <= a.sequence:
-		// A chunk that has arrived before, or a comment.
+		// The event repeats a chunk, or is a comment.
 		return nil
 	case event.ID > a.sequence+maxAhead:
 		return errors.Wrapf(errBroken, "chunk %d after %d", event.ID, a.sequence)
@@ -190,7 +202,7 @@
 	}
 	data, ok := event.Data, true
 	for ok && !a.done {
-		if err := a.next(data); err != nil {
+		if err := a.deliver(data); err != nil {
 			return err
 		}
 		data, ok = a.ahead[a.sequence+1]
@@ -201,8 +213,10 @@
 
 var endMark = []byte("[DONE]")
 
-// next checks the next chunk in order and passes it on.
-func (a *answer) next(data []byte) error {
+// deliver checks the next chunk in order and passes it to the sink or to the
+// whole answer. In the chunk for the sink, the caller's name of the adapter
+// replaces the alias.
+func (a *answer) deliver(data []byte) error {
 	if bytes.Equal(data, endMark) {
 		return a.end()
 	}
@@ -228,10 +242,10 @@
 	return a.sink(snipecall.Chunk{Sequence: a.sequence, Data: a.buffer})
 }
 
-// chunkFields are the fields of a chunk that matter here.
+// chunkFields are the fields of a chunk that deliver checks.
 type chunkFields struct {
 	model    gjson.Result
-	models   int // names that some decoder takes for "model"
+	models   int // number of names that equal "model" ignoring case, as some decoders match
 	id       string
 	finished bool
 }
@@ -254,7 +268,8 @@
 	return f
 }
 
-// checkID holds all chunks to one answer of the engine.
+// checkID returns ErrMismatch for a chunk whose identifier differs from that of
+// the first chunk.
 func (a *answer) checkID(id string) error {
 	if a.id == "" {
 		a.id = id
@@ -266,6 +281,8 @@
 		"chunk of answer "+strconv.Quote(id)+" in answer "+strconv.Quote(a.id))
 }
 
+// end handles the end mark: it passes on the end of a stream, or the whole answer.
+// An answer without a finish reason is incomplete.
 func (a *answer) end() error {
 	if !a.finished {
 		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, "end mark without a finish reason")
--- a/snipeupstream/assembly.go
+++ b/snipeupstream/assembly.go
@@ -11,25 +11,26 @@
 	"snipepitch.example/snipepitch/snipeerror"
 )
 
-// MaxAnswer bounds the bytes of the chunks that one whole answer is made from.
+// MaxAnswer bounds the total bytes of the chunks of one whole answer.
 const MaxAnswer = 16 << 20
 
-// document is a JSON object whose fields this package does not all know.
+// document is a decoded JSON object that may have fields unknown to this package.
 type document = map[string]any
 
-// assembly collects the chunks of a stream into one whole answer. It knows the
-// shape of chunks (a delta grows a message, lists grow, entries with an index
-// meet their kind), not the single fields, so that tool calls, log
-// probabilities and fields of later engines are kept. Text, which is all that
-// most chunks bring, is collected without decoding the rest.
+// assembly merges the chunks of a stream into one whole answer. It relies on the
+// shape of chunks rather than on single fields: deltas are merged into a message,
+// lists are appended to, and list entries with an index are merged with the entry
+// of the same index. Tool calls, log probabilities and fields of later engine
+// versions are thereby kept. Most chunks contain only text, which is collected
+// without decoding the rest.
 type assembly struct {
 	chat bool
 	size int
-	// top are the latest fields beside the choices, as they came.
-	top    map[string]json.RawMessage
-	choice document
-	text   strings.Builder
-	texts  int // chunks that brought text
+	// topFields holds the latest top-level fields other than the choices, undecoded.
+	topFields map[string]json.RawMessage
+	choice    document
+	text      strings.Builder
+	textCount int // number of text strings collected, including empty ones
 }
 
 // add merges one chunk, which is valid JSON.
@@ -37,8 +38,8 @@
 	if s.size += len(chunk); s.size > MaxAnswer {
 		return snipeerror.New(snipeerror.ErrTooLarge, snipeerror.MayHaveRun, "answer of the engine")
 	}
-	if s.top == nil {
-		s.top = map[string]json.RawMessage{}
+	if s.topFields == nil {
+		s.topFields = map[string]json.RawMessage{}
 		s.choice = document{}
 	}
 	var err error
@@ -47,14 +48,15 @@
 		switch {
 		case name == "choices":
 			err = s.addChoices(value)
-		case value.Type != gjson.Null && string(s.top[name]) != value.Raw:
-			s.top[strings.Clone(name)] = json.RawMessage(value.Raw)
+		case value.Type != gjson.Null && string(s.topFields[name]) != value.Raw:
+			s.topFields[strings.Clone(name)] = json.RawMessage(value.Raw)
 		}
 		return err == nil
 	})
 	return err
 }
 
+// addChoices merges the choices of a chunk. A chunk may have no choice or one.
 func (s *assembly) addChoices(choices gjson.Result) error {
 	if !choices.IsArray() {
 		return nil
@@ -79,19 +81,19 @@
 	return nil
 }
 
-// addText takes the text of a choice and reports whether it has more to it.
+// addText collects the text of a choice and reports whether other fields must be merged.
 func (s *assembly) addText(choice gjson.Result) (more bool) {
 	choice.ForEach(func(key, value gjson.Result) bool {
 		switch name := key.String(); {
 		case name == "index" || value.Type == gjson.Null:
 		case name == "text" && value.Type == gjson.String:
-			s.grow(value)
+			s.appendText(value)
 		case name == "delta" && value.IsObject():
 			value.ForEach(func(key, value gjson.Result) bool {
 				switch {
 				case value.Type == gjson.Null:
 				case key.String() == "content" && value.Type == gjson.String:
-					s.grow(value)
+					s.appendText(value)
 				default:
 					more = true
 				}
@@ -105,12 +107,12 @@
 	return more
 }
 
-func (s *assembly) grow(text gjson.Result) {
-	s.texts++
+func (s *assembly) appendText(text gjson.Result) {
+	s.textCount++
 	s.text.WriteString(text.String())
 }
 
-// addChoice merges what a choice has beside its text.
+// addChoice merges the fields of a choice other than its text.
 func (s *assembly) addChoice(choice document) {
 	delta, chat := choice["delta"].(document)
 	delete(choice, "delta")
@@ -131,13 +133,14 @@
 	s.choice["message"] = merge(message, delta)
 }
 
-// kept are the strings that a later chunk repeats or replaces; all others grow.
-var kept = map[string]bool{
+// replacedFields are the string fields that a later chunk repeats or replaces. The
+// strings of all other fields are concatenated.
+var replacedFields = map[string]bool{
 	"role": true, "id": true, "type": true, "name": true,
 	"finish_reason": true, "stop_reason": true, "index": true,
 }
 
-// merge adds the fields of from to into and returns into.
+// merge merges the fields of from into into, which it returns.
 func merge(into, from document) document {
 	for name, v := range from {
 		into[name] = mergeValue(name, into[name], v)
@@ -145,6 +148,7 @@
 	return into
 }
 
+// mergeValue returns the merged value of a field. Null keeps the old value.
 func mergeValue(name string, old, v any) any {
 	if v == nil {
 		return old
@@ -155,7 +159,7 @@
 		switch {
 		case !ok:
 			return v
-		case !kept[name]:
+		case !replacedFields[name]:
 			return before + v
 		case v == "":
 			return before
@@ -173,8 +177,8 @@
 	return v
 }
 
-// mergeList appends, but merges an entry that has an index with the entry of
-// the same index.
+// mergeList appends entries to a list, but merges an entry that has an index with
+// the entry of the same index.
 func mergeList(before, more []any) []any {
 	for _, v := range more {
 		entry, ok := v.(document)
@@ -191,6 +195,7 @@
 	return before
 }
 
+// findIndex returns the entry of a list with the given index, or nil.
 func findIndex(list []any, index json.Number) document {
 	for _, v := range list {
 		if entry, ok := v.(document); ok && entry["index"] == any(index) {
@@ -200,7 +205,7 @@
 	return nil
 }
 
-// whole returns the answer as the engine would have sent it without streaming.
+// whole returns the answer in the form that the engine would send without streaming.
 func (s *assembly) whole(model string) ([]byte, error) {
 	object := "text_completion"
 	if s.chat {
@@ -209,7 +214,7 @@
 		if !ok {
 			message = document{}
 		}
-		if s.texts > 0 {
+		if s.textCount > 0 {
 			message["content"] = s.text.String()
 		}
 		finishMessage(message)
@@ -219,7 +224,7 @@
 	}
 	s.choice["index"] = 0
 	body := map[string]any{}
-	for name, v := range s.top {
+	for name, v := range s.topFields {
 		body[name] = v
 	}
 	body["object"], body["model"], body["choices"] = object, model, []any{s.choice}
@@ -230,7 +235,8 @@
 	return data, nil
 }
 
-// finishMessage drops what only chunks have, and sets what every message has.
+// finishMessage removes the fields that only chunks have, and adds the fields that every
+// message has.
 func finishMessage(message document) {
 	if _, ok := message["role"]; !ok {
 		message["role"] = "assistant"
--- a/snipeupstream/clients.go
+++ b/snipeupstream/clients.go
@@ -14,20 +14,20 @@
 	idleTimeout     = time.Minute
 )
 
-// Dial opens a connection, as net.Dialer.DialContext does.
+// Dial opens a connection; see net.Dialer.DialContext.
 type Dial = snipemeter.Dial
 
-// DialTCP returns the Dial of the operating system, with a bound on its time.
+// DialTCP returns a Dial that opens TCP connections and fails after dialTimeout.
 func DialTCP() Dial { return (&net.Dialer{Timeout: dialTimeout}).DialContext }
 
-// NewPooled returns a client that keeps connections for later calls. Neither
-// it nor the client of NewFresh follows redirects or uses a proxy: whatever is
-// sent a second time is sent by a decision of this project.
+// NewPooled returns a client that reuses connections. Neither this client nor
+// that of NewFresh follows redirects or uses a proxy: no answer makes them send
+// a request a second time without a decision of this project.
 func NewPooled(dial Dial) *http.Client { return newClient(transport(dial)) }
 
 // NewFresh returns a client that opens a connection for each request and
-// closes it afterwards. net/http repeats a request on its own only after a
-// reused connection failed, which this client never has.
+// closes it afterwards. net/http repeats a request by itself only after a
+// reused connection failed, and this client reuses none.
 func NewFresh(dial Dial) *http.Client {
 	t := transport(dial)
 	t.DisableKeepAlives = true
--- a/snipeupstream/engine_test.go
+++ b/snipeupstream/engine_test.go
@@ -29,8 +29,8 @@
 
 var engineAddress = netip.MustParseAddrPort("10.0.0.2:1")
 
-// script is an engine that answers each request with the next of its steps.
-type script struct {
+// scriptedEngine is an engine that answers each request with the next of its steps.
+type scriptedEngine struct {
 	network *snipestand.Network
 	engine  *Engine
 	steps   []func(w http.ResponseWriter, r *http.Request)
@@ -39,8 +39,8 @@
 	requests []string
 }
 
-func newScript(t *testing.T, steps ...func(http.ResponseWriter, *http.Request)) *script {
-	s := &script{network: &snipestand.Network{}, steps: steps}
+func newScriptedEngine(t *testing.T, steps ...func(http.ResponseWriter, *http.Request)) *scriptedEngine {
+	s := &scriptedEngine{network: &snipestand.Network{}, steps: steps}
 	server := &http.Server{Handler: http.HandlerFunc(s.serve), ReadHeaderTimeout: time.Minute}
 	l := s.network.Listen(engineAddress)
 	go func() { _ = server.Serve(l) }()
@@ -57,7 +57,7 @@
 	return s
 }
 
-func (s *script) serve(w http.ResponseWriter, r *http.Request) {
+func (s *scriptedEngine) serve(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	s.lock.Lock()
 	s.requests = append(s.requests, r.Method+" "+r.URL.RequestURI()+" "+string(body))
@@ -68,13 +68,14 @@
 	}
 }
 
-func (s *script) seen() []string {
+// received returns the requests received so far.
+func (s *scriptedEngine) received() []string {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return append([]string(nil), s.requests...)
 }
 
-// chunk is the n-th of four chunks of an answer.
+// chunk returns the n-th of the four chunks of an answer.
 func chunk(n int, alias string) string {
 	reason := "null"
 	if n == 4 {
@@ -83,7 +84,7 @@
 	return fmt.Sprintf(`{"id":"a-1","model":%q,"choices":[{"index":0,"text":"t%d","finish_reason":%s}]}`, alias, n, reason)
 }
 
-// stream sends events by their numbers; 5 is the end mark.
+// stream sends the events with the given numbers; number 5 is the end mark.
 func stream(numbers ...int) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for _, n := range numbers {
@@ -101,8 +102,8 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-// thenSilent sends the events and then nothing for an hour.
-func thenSilent(numbers ...int) func(http.ResponseWriter, *http.Request) {
+// streamThenSilent sends the events and then nothing for an hour.
+func streamThenSilent(numbers ...int) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.WriteHeader(http.StatusOK)
 		_ = http.NewResponseController(w).Flush()
@@ -130,6 +131,7 @@
 	}
 }
 
+// collect returns a sink and the chunks it receives, as number and text.
 func collect() (snipecall.Sink, *[]string) {
 	var got []string
 	return func(c snipecall.Chunk) error {
@@ -155,19 +157,19 @@
 		"resume repeats":        {stream(1, 2), stream(1, 2, 3, 4, 5)},
 		"gap":                   {stream(1, 2, 4), stream(3, 5)},
 		"number far ahead":      {stream(1, 2, 400), stream(3, 4, 5)},
-		"silent":                {thenSilent(1, 2), stream(3, 4, 5)},
-		"silent before the end": {thenSilent(1, 2, 3, 4), stream(5)},
+		"silent":                {streamThenSilent(1, 2), stream(3, 4, 5)},
+		"silent before the end": {streamThenSilent(1, 2, 3, 4), stream(5)},
 		"garbage":               {raw("id: 1\ndata: " + chunk(1, testAlias) + "\n\nid: 2\ndata: {{{\n\n"), stream(2, 3, 4, 5)},
 		"bad identifier":        {raw("id: 1\ndata: " + chunk(1, testAlias) + "\n\nid: x\ndata: 1\n\n"), stream(2, 3, 4, 5)},
 	}
 	for name, steps := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newScript(t, steps...)
+				s := newScriptedEngine(t, steps...)
 				sink, got := collect()
 				must.NoError(t, s.engine.Call(t.Context(), modelCall(), testAlias, sink))
 				must.Eq(t, complete, *got)
-				must.Len(t, len(steps), s.seen())
+				must.Len(t, len(steps), s.received())
 			})
 		})
 	}
@@ -215,7 +217,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newScript(t, c.steps...)
+				s := newScriptedEngine(t, c.steps...)
 				sink, got := collect()
 				err := s.engine.Call(t.Context(), modelCall(), testAlias, sink)
 				must.ErrorIs(t, err, c.kind)
@@ -225,7 +227,7 @@
 				must.Len(t, c.chunks, *got)
 				synctest.Wait()
 				started := 0
-				for _, r := range s.seen() {
+				for _, r := range s.received() {
 					if strings.HasPrefix(r, "POST "+CompletionsPath) {
 						started++
 					}
@@ -236,25 +238,26 @@
 	}
 }
 
-// TestOtherAdapterIsNotAsked: an alias of another version is refused before
-// anything is sent.
+// TestOtherAdapterIsNotAsked checks that a call under an alias of another adapter
+// version is refused before anything is sent.
 func TestOtherAdapterIsNotAsked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScript(t)
+		s := newScriptedEngine(t)
 		sink, _ := collect()
 		err := s.engine.Call(t.Context(), modelCall(), otherAlias, sink)
 		must.ErrorIs(t, err, snipeerror.ErrMismatch)
 		must.Eq(t, snipeerror.NotRun, snipeerror.From(err).Outcome)
-		must.SliceEmpty(t, s.seen())
+		must.SliceEmpty(t, s.received())
 	})
 }
 
-// TestCallerGoneCancels: the engine is told, on a connection that works.
+// TestCallerGoneCancels checks that the engine receives a request to cancel the answer when
+// the caller leaves, even if the connection of the answer has gone silent.
 func TestCallerGoneCancels(t *testing.T) {
 	for name, silent := range map[string]bool{"connection works": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newScript(t, thenSilent(1, 2))
+				s := newScriptedEngine(t, streamThenSilent(1, 2))
 				ctx, cancel := context.WithCancel(t.Context())
 				go func() {
 					time.Sleep(time.Second)
@@ -266,30 +269,30 @@
 				sink, _ := collect()
 				must.ErrorIs(t, s.engine.Call(ctx, modelCall(), testAlias, sink), snipeerror.ErrCanceled)
 				synctest.Wait()
-				must.SliceLen(t, 2, s.seen())
-				must.Eq(t, "POST /v1/responses/a-1/cancel ", s.seen()[1])
+				must.SliceLen(t, 2, s.received())
+				must.Eq(t, "POST /v1/responses/a-1/cancel ", s.received()[1])
 			})
 		})
 	}
 }
 
-// TestSilentConnectionIsNotPooled: after a silence the next call opens a new
-// connection, also when others were kept idle at that time.
+// TestSilentConnectionIsNotPooled checks that the call after a silence opens a new
+// connection, even if other connections were idle in the pool at that time.
 func TestSilentConnectionIsNotPooled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		slowly := func(w http.ResponseWriter, r *http.Request) {
+		delayedStream := func(w http.ResponseWriter, r *http.Request) {
 			time.Sleep(time.Second)
 			stream(1, 2, 3, 4, 5)(w, r)
 		}
-		s := newScript(t, slowly, slowly, stream(1, 2, 3, 4, 5))
-		var both sync.WaitGroup
+		s := newScriptedEngine(t, delayedStream, delayedStream, stream(1, 2, 3, 4, 5))
+		var calls sync.WaitGroup
 		for range 2 {
-			both.Go(func() {
+			calls.Go(func() {
 				sink, _ := collect()
 				_ = s.engine.Call(t.Context(), modelCall(), testAlias, sink)
 			})
 		}
-		both.Wait()
+		calls.Wait()
 		synctest.Wait()
 		s.network.Silence()
 		again, _ := collect()
@@ -303,11 +306,11 @@
 	})
 }
 
-// TestQueuedCallIsNotSilent: an engine that has answered with its header may
-// queue the call for longer than a stream may be silent.
+// TestQueuedCallIsNotSilent checks that an engine may queue a call, after the
+// response's header, for longer than the silence allowed within a stream.
 func TestQueuedCallIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScript(t, func(w http.ResponseWriter, r *http.Request) {
+		s := newScriptedEngine(t, func(w http.ResponseWriter, r *http.Request) {
 			_ = http.NewResponseController(w).Flush()
 			time.Sleep(20 * time.Second)
 			stream(1, 2, 3, 4, 5)(w, r)
@@ -318,11 +321,11 @@
 	})
 }
 
-// TestSlowCallerIsNotSilence: the time that a caller takes to read is not the
-// engine's silence, and costs no connection.
+// TestSlowCallerIsNotSilence checks that the time in which a caller reads a chunk
+// does not count as a silence of the engine, and closes no connection.
 func TestSlowCallerIsNotSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScript(t, stream(1, 2, 3, 4, 5))
+		s := newScriptedEngine(t, stream(1, 2, 3, 4, 5))
 		sink, got := collect()
 		must.NoError(t, s.engine.Call(t.Context(), modelCall(), testAlias, func(c snipecall.Chunk) error {
 			time.Sleep(20 * time.Second)
@@ -333,11 +336,11 @@
 	})
 }
 
-// TestNonIdempotentOnFreshConnection: calls that may not be repeated, and
-// orders, never meet a kept connection.
+// TestNonIdempotentOnFreshConnection checks that calls that may not be repeated,
+// and orders, are never sent on a reused connection, which may have gone silent.
 func TestNonIdempotentOnFreshConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScript(t, stream(1, 2, 3, 4, 5), stream(1, 2, 3, 4, 5))
+		s := newScriptedEngine(t, stream(1, 2, 3, 4, 5), stream(1, 2, 3, 4, 5))
 		sink, _ := collect()
 		must.NoError(t, s.engine.Call(t.Context(), modelCall(), testAlias, sink))
 		synctest.Wait()
@@ -384,7 +387,7 @@
 	}
 }
 
-// TestWholeAnswer: whatever a stream brings is in the whole answer.
+// TestWholeAnswer checks that the whole answer contains everything that the stream contains.
 func TestWholeAnswer(t *testing.T) {
 	cases := map[string]struct {
 		chat   bool
@@ -434,7 +437,8 @@
 	}
 }
 
-// TestWholeAnswerIsBounded: an engine that never stops ends in ErrTooLarge.
+// TestWholeAnswerIsBounded checks that an answer that does not end fails with
+// ErrTooLarge.
 func TestWholeAnswerIsBounded(t *testing.T) {
 	s := &assembly{}
 	big := []byte(`{"choices":[{"index":0,"text":"` + string(bytes.Repeat([]byte("x"), 1<<20)) + `"}]}`)
@@ -447,8 +451,7 @@
 	must.ErrorIs(t, err, snipeerror.ErrTooLarge)
 }
 
-// BenchmarkAssembly measures one chunk of text of an answer that is not
-// streamed to its caller.
+// BenchmarkAssembly measures the merging of one chunk of text into a whole answer.
 func BenchmarkAssembly(b *testing.B) {
 	k := []byte(`{"id":"a-1","object":"chat.completion.chunk","created":1700000000,"model":"ash/plume@2#7.1","choices":[{"index":0,"delta":{"content":" token"},"logprobs":null,"finish_reason":null}]}`)
 	s := &assembly{chat: true}
--- a/snipeupstream/exchange.go
+++ b/snipeupstream/exchange.go
@@ -10,68 +10,70 @@
 )
 
 const (
-	// drainTimeout bounds the wait for the end of an answer whose last event
-	// has arrived; drainBytes bounds what may still come.
+	// drainTimeout bounds the wait for the end of a body whose last event has
+	// arrived, and drainBytes the bytes that are read of it.
 	drainTimeout = time.Second
 	drainBytes   = 4096
 )
 
-// Exchange is one request and the stream that answers it, watched for
-// silence. A connection that was silent for too long is closed, never kept.
+// Exchange is one request and its streamed response, with a bound on the time
+// in which nothing arrives (a silence). A connection that was silent for too
+// long is closed and never reused.
 type Exchange struct {
-	// Response is the answer; its body is read by the exchange's owner.
+	// Response is the response; the caller of Begin reads its body.
 	Response *http.Response
-	// Left tells that the request may have left this process. Its absence is
-	// the only ground on which a failed request counts as not run.
-	Left bool
-	// Reused tells that the connection had been used before.
+	// MaybeSent reports that the request may have left this process. A failed
+	// request counts as not run only if MaybeSent is false.
+	MaybeSent bool
+	// Reused reports that the connection had been used before.
 	Reused bool
 
-	cancel context.CancelFunc
-	untie  func() bool
-	watch  *time.Timer
-	silent atomic.Bool
+	cancel        context.CancelFunc
+	detachContext func() bool // stops the request's context from ending the exchange
+	silenceTimer  *time.Timer
+	silent        atomic.Bool
 }
 
-// Watch says how the silence of an exchange is bounded.
-type Watch struct {
-	// Progress is the longest silence before the answer's header; zero is no
-	// bound.
+// SilenceLimit bounds the silence of an exchange.
+type SilenceLimit struct {
+	// Progress is the longest silence before the response's header; zero means
+	// no bound, and less than one second counts as one second.
 	Progress time.Duration
-	// KeptOnly bounds it only on a connection that had been used before.
-	KeptOnly bool
-	// Kept is the client whose idle connections are closed on a silence, since
-	// whatever has silenced one connection may have silenced them.
-	Kept *http.Client
+	// ReusedOnly applies the bound only to a connection that had been used before.
+	ReusedOnly bool
+	// Pool is the client whose idle connections are closed after a silence,
+	// since the fault that silenced one connection may affect them too.
+	Pool *http.Client
 }
 
-// Begin sends r with client. The exchange ends with r's context, or on a
-// silence. On an error the exchange needs no Close.
-func Begin(client *http.Client, r *http.Request, w Watch) (*Exchange, error) {
+// Begin sends r with client and waits for the response's header. The exchange
+// ends with r's context, or when a silence exceeds its limit. After an error
+// the exchange need not be closed.
+func Begin(client *http.Client, r *http.Request, l SilenceLimit) (*Exchange, error) {
 	x := &Exchange{}
-	// The connection outlives the call, for the end of its answer to be read.
+	// The connection outlives the call, so that the end of the body can be read.
 	ctx, cancel := context.WithCancel(context.WithoutCancel(r.Context()))
 	x.cancel = cancel
-	x.untie = context.AfterFunc(r.Context(), cancel)
-	x.watch = time.AfterFunc(max(w.Progress, time.Second), func() {
+	x.detachContext = context.AfterFunc(r.Context(), cancel)
+	x.silenceTimer = time.AfterFunc(max(l.Progress, time.Second), func() {
 		x.silent.Store(true)
 		cancel()
-		w.Kept.CloseIdleConnections()
+		l.Pool.CloseIdleConnections()
 	})
-	if w.Progress == 0 {
-		x.watch.Stop()
+	if l.Progress == 0 {
+		x.silenceTimer.Stop()
 	}
-	var left, reused atomic.Bool
+	var maybeSent, reused atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(i httptrace.GotConnInfo) {
-		left.Store(true)
+		maybeSent.Store(true)
 		reused.Store(i.Reused)
-		if w.KeptOnly && !i.Reused {
-			x.watch.Stop()
+		if l.ReusedOnly && !i.Reused {
+			x.silenceTimer.Stop()
 		}
 	}})
 	var err error
 	x.Response, err = client.Do(r.WithContext(ctx)) //nolint:gosec,bodyclose // addresses come from the settings; Close and Finish close the body
-	x.Left, x.Reused = left.Load(), reused.Load()
+	x.MaybeSent, x.Reused = maybeSent.Load(), reused.Load()
 	if err != nil {
 		x.release()
 		cancel()
@@ -79,43 +81,44 @@
 	return x, err
 }
 
-// Alive tells the watch that something has arrived; the next must follow
-// within progress.
-func (x *Exchange) Alive(progress time.Duration) {
+// RestartTimer bounds the silence from now on to progress; zero or less leaves
+// the timer as it is.
+func (x *Exchange) RestartTimer(progress time.Duration) {
 	if progress > 0 {
-		x.watch.Reset(progress)
+		x.silenceTimer.Reset(progress)
 	}
 }
 
-// Hold stops the watch until the next Alive: while what has arrived is being
-// passed on, a slow reader is not a silent connection.
-func (x *Exchange) Hold() { x.watch.Stop() }
+// StopTimer stops the silence timer until the next RestartTimer. The timer does
+// not run while data is passed on, since a slow reader is not a silent connection.
+func (x *Exchange) StopTimer() { x.silenceTimer.Stop() }
 
-// Silent reports that the exchange was ended for its silence.
+// Silent reports whether the exchange was ended because a silence exceeded its limit.
 func (x *Exchange) Silent() bool { return x.silent.Load() }
 
+// release stops the silence timer and the effect of the request's context.
 func (x *Exchange) release() {
-	x.untie()
-	x.watch.Stop()
+	x.detachContext()
+	x.silenceTimer.Stop()
 }
 
-// Close ends the exchange and its connection.
+// Close ends the exchange and closes its connection.
 func (x *Exchange) Close() {
 	x.release()
 	x.cancel()
-	// The connection is gone; there is nothing to learn from the error.
+	// The connection is closed, so the error does not matter.
 	_ = x.Response.Body.Close()
 }
 
-// Finish is called when the whole answer has arrived. It reads the end of the
-// body in the background, after which the connection can be kept.
+// Finish is called when the last event of the answer has arrived. It reads the
+// end of the body in the background, so that the connection can be reused.
 func (x *Exchange) Finish() {
 	x.release()
 	go func() {
-		limit := time.AfterFunc(drainTimeout, x.cancel)
-		defer limit.Stop()
+		timer := time.AfterFunc(drainTimeout, x.cancel)
+		defer timer.Stop()
 		defer x.cancel()
-		// A body that does not end closes its connection.
+		// If the body does not end, its connection is closed.
 		_, _ = io.CopyN(io.Discard, x.Response.Body, drainBytes)
 		_ = x.Response.Body.Close()
 	}()
--- a/snipeupstream/fuzz_test.go
+++ b/snipeupstream/fuzz_test.go
@@ -15,14 +15,15 @@
 	"snipepitch.example/snipepitch/snipecall"
 )
 
-// roundTrip answers requests without a network.
+// roundTrip is an http.RoundTripper that answers requests without a network.
 type roundTrip func(*http.Request) (*http.Response, error)
 
+// RoundTrip implements http.RoundTripper.
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// FuzzAnswer: whatever an engine sends, what is passed on is a prefix of one
-// answer in order, by the adapter asked for, and it is complete if no error is
-// returned.
+// FuzzAnswer checks that, whatever an engine sends, the chunks passed on are a
+// prefix of one answer, in order and of the requested adapter, and that the
+// answer is complete if and only if no error is returned.
 func FuzzAnswer(f *testing.F) {
 	whole := ""
 	for n := 1; n <= 4; n++ {
@@ -69,8 +70,8 @@
 	})
 }
 
-// decodedModel is the model as a decoder finds it that takes the last of
-// several names.
+// decodedModel returns the model that a decoder finds which uses the last of
+// several fields of the same name.
 func decodedModel(data []byte) string {
 	var v map[string]json.RawMessage
 	if json.Unmarshal(data, &v) != nil {
@@ -79,8 +80,9 @@
 	return string(v["model"])
 }
 
-// FuzzRequestBody: whatever a caller sends, the engine gets one JSON object
-// whose model is the alias by any reading of names.
+// FuzzRequestBody checks that, whatever a caller sends, the engine receives one
+// JSON object in which every field that a decoder may accept as "model" holds the
+// alias.
 func FuzzRequestBody(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"plume@2"}`, `{}`, `[]`, `{"MODEL":"x","mod\u0065l":"y"}`, `{"a":{"model":"x"}}`, `{"model":1,"priority":2,"stream":{}}`, `{"a":1}{"model":"x"}`,
--- a/snipeupstream/report.go
+++ b/snipeupstream/report.go
@@ -15,13 +15,13 @@
 	"github.com/prometheus/common/model"
 )
 
-// ErrReport is returned when an engine's list or report cannot be had.
+// ErrReport is returned when an engine's list of models or its metrics cannot be read.
 var ErrReport = errors.New("no report of the engine")
 
-// maxReport bounds a list of aliases or a report in bytes.
+// maxReport bounds the bytes read of a list of models or of metrics.
 const maxReport = 1 << 20
 
-// Names of an engine's metrics and labels, as vLLM publishes them.
+// Names of the metrics and labels that vLLM publishes.
 const (
 	metricAdapters = "vllm:lora_requests_info"
 	metricRunning  = "vllm:num_requests_running"
@@ -31,20 +31,21 @@
 	labelWaiting   = "waiting_lora_adapters"
 )
 
-// Report is what an engine says about itself in its metrics.
+// Report is the state of an engine according to its metrics.
 type Report struct {
-	// Started is when the engine's process started; zero when it is not said.
+	// Started is the start time of the engine's process; zero if it is not reported.
 	Started time.Time
-	// Running and Waiting are the numbers of calls in the batch and before it.
+	// Running and Waiting are the numbers of calls in the batch and in the queue.
 	Running, Waiting int
-	// BusyKnown tells that the engine says which aliases have calls.
+	// BusyKnown reports that the metrics list the aliases with calls.
 	BusyKnown bool
-	// Busy are the aliases with calls that run or wait.
+	// Busy holds the aliases with running or waiting calls.
 	Busy map[string]bool
 }
 
 // Aliases returns the names of the models that the engine holds: aliases of
-// adapters, and names that this project has not given.
+// adapters, and names that were not assigned by this project. Errors wrap
+// ErrReport.
 func (e *Engine) Aliases(ctx context.Context) ([]string, error) {
 	body, err := e.get(ctx, "/v1/models")
 	if err != nil {
@@ -65,7 +66,7 @@
 	return names, nil
 }
 
-// Report reads the engine's metrics.
+// Report reads the engine's metrics. Errors wrap ErrReport.
 func (e *Engine) Report(ctx context.Context) (Report, error) {
 	body, err := e.get(ctx, "/metrics")
 	if err != nil {
@@ -76,9 +77,10 @@
 	if err != nil {
 		return Report{}, errors.Wrapf(ErrReport, "metrics of engine %s: %v", e.Name, err)
 	}
-	return reportOf(families), nil
+	return reportFrom(families), nil
 }
 
+// get returns the body at a path of the engine, truncated to maxReport.
 func (e *Engine) get(ctx context.Context, path string) ([]byte, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, e.url(path), http.NoBody)
 	if err != nil {
@@ -99,16 +101,17 @@
 	return body, nil
 }
 
-func reportOf(families map[string]*dto.MetricFamily) Report {
+// reportFrom returns the report that a set of metrics contains.
+func reportFrom(families map[string]*dto.MetricFamily) Report {
 	r := Report{
-		Running: int(gauge(families[metricRunning])),
-		Waiting: int(gauge(families[metricWaiting])),
+		Running: int(gaugeSum(families[metricRunning])),
+		Waiting: int(gaugeSum(families[metricWaiting])),
 	}
-	if s := gauge(families[metricStarted]); s > 0 {
-		whole, part := math.Modf(s)
-		r.Started = time.Unix(int64(whole), int64(part*float64(time.Second)))
+	if s := gaugeSum(families[metricStarted]); s > 0 {
+		seconds, fraction := math.Modf(s)
+		r.Started = time.Unix(int64(seconds), int64(fraction*float64(time.Second)))
 	}
-	latest := newest(families[metricAdapters])
+	latest := newestSample(families[metricAdapters])
 	if latest == nil {
 		return r
 	}
@@ -127,8 +130,8 @@
 	return r
 }
 
-// gauge returns the sum of a family's values.
-func gauge(f *dto.MetricFamily) float64 {
+// gaugeSum returns the sum of a family's values.
+func gaugeSum(f *dto.MetricFamily) float64 {
 	sum := 0.0
 	for _, m := range f.GetMetric() {
 		sum += m.GetGauge().GetValue() + m.GetUntyped().GetValue()
@@ -136,14 +139,14 @@
 	return sum
 }
 
-// newest returns the sample with the highest value: the engine writes the time
-// as the value and keeps old samples under other labels.
-func newest(f *dto.MetricFamily) *dto.Metric {
-	var best *dto.Metric
+// newestSample returns the sample with the highest value, or nil. The engine uses
+// the time as the value and keeps old samples under other labels.
+func newestSample(f *dto.MetricFamily) *dto.Metric {
+	var sample *dto.Metric
 	for _, m := range f.GetMetric() {
-		if best == nil || m.GetGauge().GetValue() > best.GetGauge().GetValue() {
-			best = m
+		if sample == nil || m.GetGauge().GetValue() > sample.GetGauge().GetValue() {
+			sample = m
 		}
 	}
-	return best
+	return sample
 }
--- a/snipeupstream/report_test.go
+++ b/snipeupstream/report_test.go
@@ -27,7 +27,8 @@
 process_start_time_seconds 1.7e+09
 `
 
-func engineAt(t *testing.T, h http.Handler) *Engine {
+// newEngine returns the client of an engine that h serves.
+func newEngine(t *testing.T, h http.Handler) *Engine {
 	t.Helper()
 	server := httptest.NewServer(h)
 	t.Cleanup(server.Close)
@@ -54,7 +55,7 @@
 		"refused":          {status: http.StatusServiceUnavailable, err: ErrReport},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := engineAt(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			e := newEngine(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
 				_, _ = w.Write([]byte(c.body))
 			}))
@@ -65,9 +66,10 @@
 	}
 }
 
-// TestStandInTells holds the stand-in's list and report against the client.
+// TestStandInTells checks that the client can read the list of models and the metrics of the
+// engine that snipestand simulates.
 func TestStandInTells(t *testing.T) {
-	e := engineAt(t, (&snipestand.Engine{Slots: 1, Batch: 1, TokenTime: 10 * time.Millisecond}).Handler())
+	e := newEngine(t, (&snipestand.Engine{Slots: 1, Batch: 1, TokenTime: 10 * time.Millisecond}).Handler())
 	must.NoError(t, e.Load(t.Context(), "t/a@1#1.1.3", "p", 1))
 	must.ErrorIs(t, e.Load(t.Context(), "t/b@1#1.2.3", "p", 1), ErrOrderRefused)
 	names, err := e.Aliases(t.Context())
--- a/snipeupstream/request.go
+++ b/snipeupstream/request.go
@@ -13,13 +13,13 @@
 // ErrBody is returned for a call whose body is not one JSON object.
 var ErrBody = errors.New("body is not a JSON object")
 
-// priorities of the classes at the engine; the lowest is the most urgent.
+// priorities are the engine's priorities by class; the lowest is the most urgent.
 var priorities = [snipecall.Classes]int{0, 10, 20}
 
-// requestBody returns the call's body as the engine gets it. The fields that
-// this package sets are dropped from the caller's body by any spelling that
-// some decoder takes for them, so that a second "model" cannot name another
-// team's alias.
+// requestBody returns the call's body in the form sent to the engine. The fields
+// that this package sets are dropped from the caller's body, also in a spelling
+// that only some decoders accept, so that a second "model" cannot name another
+// team's alias. A body that is not one JSON object is ErrBody.
 func requestBody(c *snipecall.Call, alias string) ([]byte, error) {
 	parsed := gjson.ParseBytes(c.Body)
 	if !parsed.IsObject() || !gjson.ValidBytes(c.Body) {
@@ -31,11 +31,11 @@
 	body = append(body, `,"stream":true,"priority":`...)
 	body = strconv.AppendInt(body, int64(priorities[c.Class]), 10)
 	if !c.Stream {
-		// The usage of a whole answer comes as the stream's last chunk.
+		// The whole answer includes the usage, which arrives in the stream's last chunk.
 		body = append(body, `,"stream_options":{"include_usage":true}`...)
 	}
 	parsed.ForEach(func(key, value gjson.Result) bool {
-		if !replaced(key.String(), c.Stream) {
+		if !overridden(key.String(), c.Stream) {
 			body = append(body, ',')
 			body = append(body, key.Raw...)
 			body = append(body, ':')
@@ -46,7 +46,8 @@
 	return append(body, '}'), nil
 }
 
-func replaced(name string, stream bool) bool {
+// overridden reports whether requestBody sets a field itself.
+func overridden(name string, stream bool) bool {
 	for _, own := range []string{"model", "stream", "priority"} {
 		if strings.EqualFold(name, own) {
 			return true
--- a/snipeupstream/service.go
+++ b/snipeupstream/service.go
@@ -14,51 +14,53 @@
 	"snipepitch.example/snipepitch/snipeerror"
 )
 
-// MaxServiceAnswer bounds the answer of a plain service.
+// MaxServiceAnswer bounds the body of a plain service's answer in bytes.
 const MaxServiceAnswer = 8 << 20
 
 // Service is the client of one upstream of a plain service.
 type Service struct {
-	// Name and Address name the upstream.
+	// Name and Address identify the upstream.
 	Name    string
 	Address netip.AddrPort
-	// Client sends calls that may be repeated; Fresh opens a connection for
-	// each call and sends those that may not, so that none of them meets a
-	// kept connection that has gone silent.
+	// Client sends calls that may be repeated. Fresh opens a connection for
+	// each call and sends calls that may not be repeated, so that none of them
+	// is sent on a reused connection that has gone silent.
 	Client, Fresh *http.Client
-	// Progress is the longest silence of a kept connection before the call is
+	// Progress is the longest silence of a reused connection before the call is
 	// sent again on a new one, where it may take as long as its deadline
-	// allows; and the longest silence within an answer. Zero is no bound.
+	// allows. It is also the longest silence within an answer. Zero means no
+	// bound.
 	Progress time.Duration
 }
 
-// Call executes c and passes the whole answer to sink as one chunk.
+// Call executes c and passes the whole answer to sink as one chunk. Errors are
+// CallErrors, except an error of sink.
 func (s *Service) Call(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	if !c.Idempotent {
-		// net/http takes a request with an Idempotency-Key for repeatable, also
-		// without GetBody when the body is empty; on a connection that was not
-		// used before it never repeats.
-		return s.once(ctx, c, s.Fresh, 0, sink)
+		// net/http repeats a request with an Idempotency-Key by itself, also
+		// without GetBody if the body is empty, but never one that failed on a
+		// connection that had not been used before.
+		return s.send(ctx, c, s.Fresh, 0, sink)
 	}
-	sent := false
-	counted := func(k snipecall.Chunk) error {
-		sent = true
+	delivered := false
+	tracked := func(k snipecall.Chunk) error {
+		delivered = true
 		return sink(k)
 	}
-	err := s.once(ctx, c, s.Client, s.Progress, counted)
-	if !errors.Is(err, errSilent) || sent {
+	err := s.send(ctx, c, s.Client, s.Progress, tracked)
+	if !errors.Is(err, errSilent) || delivered {
 		return err
 	}
-	return s.once(ctx, c, s.Fresh, 0, sink)
+	return s.send(ctx, c, s.Fresh, 0, sink)
 }
 
-// errSilent marks an exchange that ended for its silence on a connection that
-// had been used before.
+// errSilent marks an exchange that was ended because a reused connection was
+// silent before the answer's header.
 var errSilent = errors.New("kept connection is silent")
 
-// once sends the call once. The header of the answer must arrive within the
-// time of progress where the connection had been used before.
-func (s *Service) once(ctx context.Context, c *snipecall.Call, client *http.Client, progress time.Duration, sink snipecall.Sink) error {
+// send sends the call once. On a reused connection the answer's header must
+// arrive within progress.
+func (s *Service) send(ctx context.Context, c *snipecall.Call, client *http.Client, progress time.Duration, sink snipecall.Sink) error {
 	r, err := http.NewRequestWithContext(ctx, c.Method, "http://"+s.Address.String()+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
 		return snipeerror.New(snipeerror.ErrBadRequest, snipeerror.NotRun, err.Error())
@@ -70,7 +72,7 @@
 	if c.Key != "" {
 		r.Header.Set("Idempotency-Key", c.Key)
 	}
-	x, err := Begin(client, r, Watch{Progress: progress, KeptOnly: true, Kept: s.Client})
+	x, err := Begin(client, r, SilenceLimit{Progress: progress, ReusedOnly: true, Pool: s.Client})
 	if err != nil {
 		return s.sendError(ctx, x, err)
 	}
@@ -78,7 +80,7 @@
 	if err != nil {
 		x.Close()
 		if ctx.Err() != nil {
-			return snipeerror.New(contextKind(ctx), snipeerror.MayHaveRun, "while upstream "+s.Name+" was answering")
+			return snipeerror.New(contextErrorKind(ctx), snipeerror.MayHaveRun, "while upstream "+s.Name+" was answering")
 		}
 		return err
 	}
@@ -89,25 +91,27 @@
 	})
 }
 
+// sendError returns the error of a request without a response. The call counts as
+// not run only if it cannot have been sent.
 func (s *Service) sendError(ctx context.Context, x *Exchange, err error) error {
 	outcome := snipeerror.MayHaveRun
-	if !x.Left {
+	if !x.MaybeSent {
 		outcome = snipeerror.NotRun
 	}
 	switch {
 	case ctx.Err() != nil:
-		return snipeerror.New(contextKind(ctx), outcome, "while upstream "+s.Name+" was answering")
+		return snipeerror.New(contextErrorKind(ctx), outcome, "while upstream "+s.Name+" was answering")
 	case x.Silent():
 		return errors.Wrap(errSilent, s.Name)
-	case !x.Left:
+	case !x.MaybeSent:
 		return snipeerror.New(snipeerror.ErrNoUpstream, outcome, "upstream "+s.Name+" does not answer")
 	}
 	return snipeerror.New(snipeerror.ErrUpstreamFailed, outcome, err.Error())
 }
 
-// read returns the answer's body.
+// read returns the answer's body. Progress bounds each silence within it.
 func (s *Service) read(x *Exchange) ([]byte, error) {
-	body := &watched{exchange: x, progress: s.Progress}
+	body := &timedBody{exchange: x, progress: s.Progress}
 	data, err := io.ReadAll(io.LimitReader(body, MaxServiceAnswer+1))
 	if err != nil {
 		return nil, snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, err.Error())
@@ -118,13 +122,14 @@
 	return data, nil
 }
 
-// watched reads a body and ends it when it is silent for too long.
-type watched struct {
+// timedBody reads the body of an exchange and bounds the silence during each Read.
+type timedBody struct {
 	exchange *Exchange
 	progress time.Duration
 }
 
-func (w *watched) Read(p []byte) (int, error) {
-	w.exchange.Alive(w.progress)
-	return w.exchange.Response.Body.Read(p)
+// Read implements io.Reader.
+func (b *timedBody) Read(p []byte) (int, error) {
+	b.exchange.RestartTimer(b.progress)
+	return b.exchange.Response.Body.Read(p)
 }
--- a/snipeupstream/service_test.go
+++ b/snipeupstream/service_test.go
@@ -15,7 +15,8 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-func (s *script) service() *Service {
+// service returns the client of a plain service at the address of the scripted engine.
+func (s *scriptedEngine) service() *Service {
 	return &Service{
 		Name: "orders-1", Address: engineAddress, Client: s.engine.Client, Fresh: s.engine.Fresh, Progress: 5 * time.Second,
 	}
@@ -25,7 +26,8 @@
 	return &snipecall.Call{ID: "call-1", Method: http.MethodPost, Path: "/order", Idempotent: idempotent, Key: "k-1"}
 }
 
-func slow(d time.Duration, text string) func(http.ResponseWriter, *http.Request) {
+// delayed answers with text after d.
+func delayed(d time.Duration, text string) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(d)
 		raw(text)(w, r)
@@ -39,7 +41,7 @@
 	type steps = []func(http.ResponseWriter, *http.Request)
 	cases := map[string]struct {
 		idempotent bool
-		silence    bool // of the kept connections, before the call
+		silence    bool // reused connections go silent before the call
 		steps      steps
 		want       string
 		kind       error
@@ -47,7 +49,7 @@
 		runs       int
 	}{
 		"answered":                    {false, false, steps{raw("done")}, "done", nil, "", 1},
-		"slow is not silent":          {true, false, steps{slow(20*time.Second, "done")}, "done", nil, "", 1},
+		"slow is not silent":          {true, false, steps{delayed(20*time.Second, "done")}, "done", nil, "", 1},
 		"silent kept, idempotent":     {true, true, steps{raw("done")}, "done", nil, "", 1},
 		"silent kept, not idempotent": {false, true, steps{raw("done")}, "done", nil, "", 1},
 		"no answer":                   {false, false, steps{abort, raw("twice")}, "", snipeerror.ErrUpstreamFailed, snipeerror.MayHaveRun, 1},
@@ -72,7 +74,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newScript(t, c.steps...)
+				s := newScriptedEngine(t, c.steps...)
 				if c.silence {
 					s.steps = append(steps{raw("first")}, c.steps...)
 					must.NoError(t, s.service().Call(t.Context(), serviceCall(true), func(snipecall.Chunk) error { return nil }))
@@ -91,17 +93,17 @@
 					must.Eq(t, c.outcome, snipeerror.From(err).Outcome)
 				}
 				must.Eq(t, c.want, got)
-				must.Len(t, c.runs, s.seen())
+				must.Len(t, c.runs, s.received())
 			})
 		})
 	}
 }
 
-// TestServiceNotReached: only where nothing can have been sent, the call is
-// not run.
+// TestServiceNotReached checks that a call which cannot have been sent is reported
+// as not run.
 func TestServiceNotReached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newScript(t)
+		s := newScriptedEngine(t)
 		s.engine.Fresh = NewFresh((&snipestand.Network{}).Dial)
 		err := s.service().Call(t.Context(), serviceCall(false), nil)
 		must.ErrorIs(t, err, snipeerror.ErrNoUpstream)
@@ -109,20 +111,20 @@
 	})
 }
 
-// TestNetHTTPRepeats shows the hazard that the fresh client is for: net/http
-// takes a POST with an Idempotency-Key and no body for repeatable, and sends it
-// again by itself when a kept connection fails, although GetBody is unset.
+// TestNetHTTPRepeats shows why calls that may not be repeated need the fresh client:
+// net/http sends a POST with an Idempotency-Key and no body again by itself when
+// a reused connection fails, although GetBody is unset.
 func TestNetHTTPRepeats(t *testing.T) {
-	send := func(t *testing.T, client func(*script) *http.Client) int {
+	send := func(t *testing.T, client func(*scriptedEngine) *http.Client) int {
 		runs := 0
 		synctest.Test(t, func(t *testing.T) {
-			s := newScript(t, raw("first"), abort, raw("again"))
+			s := newScriptedEngine(t, raw("first"), abort, raw("again"))
 			call := func() {
 				r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, s.engine.url("/order"), strings.NewReader(""))
 				must.NoError(t, err)
 				r.GetBody = nil
 				r.Header.Set("Idempotency-Key", "k-1")
-				x, err := Begin(client(s), r, Watch{Kept: s.engine.Client})
+				x, err := Begin(client(s), r, SilenceLimit{Pool: s.engine.Client})
 				if err == nil {
 					x.Finish()
 				}
@@ -130,19 +132,20 @@
 			}
 			call()
 			call()
-			runs = len(s.seen())
+			runs = len(s.received())
 		})
 		return runs
 	}
-	must.Eq(t, 3, send(t, func(s *script) *http.Client { return s.engine.Client }))
-	must.Eq(t, 2, send(t, func(s *script) *http.Client { return s.engine.Fresh }))
+	must.Eq(t, 3, send(t, func(s *scriptedEngine) *http.Client { return s.engine.Client }))
+	must.Eq(t, 2, send(t, func(s *scriptedEngine) *http.Client { return s.engine.Fresh }))
 }
 
-// TestServiceCallerGone: the upstream sees its request end.
+// TestServiceCallerGone checks that the request at the upstream ends when the
+// caller cancels its call.
 func TestServiceCallerGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := false
-		s := newScript(t, func(_ http.ResponseWriter, r *http.Request) {
+		s := newScriptedEngine(t, func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 			ended = true
 		})
--- a/snipeupstream/snipeupstream.go
+++ b/snipeupstream/snipeupstream.go
@@ -1,13 +1,13 @@
-// Package snipeupstream talks to upstreams: it is the only package that knows
-// the formats of model engines (the OpenAI-compatible API with dynamic adapter
-// loading) and of plain services (HTTP).
+// Package snipeupstream contains the clients of upstreams. It is the only package
+// that depends on the formats of model engines (the OpenAI-compatible API with
+// dynamic adapter loading) and of plain services (HTTP).
 //
-// A call at an engine is always streamed, also when the caller wants one whole
-// answer: the progress of the stream tells a slow engine from a connection
+// A call to an engine is always streamed, even if the caller requests one whole
+// answer: the progress of the stream distinguishes a slow engine from a connection
 // that has gone silent. A stream that breaks is resumed on a new connection
-// from the last chunk that arrived. An answer is complete only when the engine
-// has sent a finish reason and the end mark; a chunk of another model than the
-// one asked for ends the answer with ErrMismatch.
+// from the last chunk that arrived. An answer is complete only after the engine
+// has sent a finish reason and the end mark. A chunk of a model other than the
+// requested one ends the answer with ErrMismatch.
 package snipeupstream
 
 import (
@@ -29,51 +29,53 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// FenceHeader carries the fencing number of an order.
+// FenceHeader is the header that carries the fencing number of an order.
 const FenceHeader = "Fencing-Number"
 
-// maxErrorBody bounds what is read of an upstream's error.
+// maxErrorBody bounds the bytes read of an upstream's error text.
 const maxErrorBody = 4096
 
-// maxResumes bounds how often one answer is resumed.
+// maxResumes bounds the number of resumes of one answer.
 const maxResumes = 3
 
 // Errors of orders and calls.
 var (
-	// ErrFenced: the engine refused an order with an old fencing number.
+	// ErrFenced means that the engine refused an order with an old fencing number.
 	ErrFenced = errors.New("order refused: old fencing number")
-	// ErrOrder: the engine answered that it did not carry out an order.
+	// ErrOrder means that the engine did not carry out an order, or that the order
+	// was never sent.
 	ErrOrder = errors.New("order failed")
-	// ErrOrderRefused: an ErrOrder for a reason that lies in the order or in
-	// the engine's slots.
+	// ErrOrderRefused means that the engine refused an order because of the order
+	// itself or because of its slots.
 	ErrOrderRefused = errors.New("order refused")
-	// ErrOrderUnknown: the order may have been carried out, or may be later.
+	// ErrOrderUnknown means that the order may have been carried out, or may still be.
 	ErrOrderUnknown = errors.New("order outcome unknown")
-	// ErrNotResident: the engine does not have the alias; the call was not run.
+	// ErrNotResident means that the engine does not have the alias and did not run
+	// the call.
 	ErrNotResident = errors.New("adapter not resident")
 )
 
 // Engine is the client of one model engine. Exported fields are set before
 // the first call.
 type Engine struct {
-	// Name and Address name the engine.
+	// Name and Address identify the engine.
 	Name    string
 	Address netip.AddrPort
-	// Client sends idempotent calls over kept connections. Fresh opens a
-	// connection for each request and sends all else: orders, cancels,
+	// Client sends idempotent calls over reused connections. Fresh opens a
+	// connection for each request and sends all others: orders, cancels,
 	// resumes, and calls that may not be repeated.
 	Client, Fresh *http.Client
-	// Progress is the longest silence of a connection before it is given up:
-	// before the response's header and between two chunks.
+	// Progress is the longest silence of a connection before it is closed: before
+	// the response's header and between two chunks.
 	Progress time.Duration
 	// FirstChunk is the longest silence between the response's header and the
-	// first chunk, while the engine queues the call; zero is Progress.
+	// first chunk, while the engine queues the call; zero means Progress.
 	FirstChunk time.Duration
-	// Log takes events; nil is none.
+	// Log receives events; nil disables logging.
 	Log *snipelog.Logger
 }
 
-// order is the body of the load and unload orders.
+// order is the request body of the load and unload orders.
 type order struct {
 	Name string `json:"lora_name"`
 	Path string `json:"lora_path,omitempty"`
@@ -84,8 +86,8 @@
 	return e.order(ctx, "/v1/load_lora_adapter", order{Name: alias, Path: path}, fence)
 }
 
-// Unload orders the engine to drop an alias. An alias that is not there is no
-// error.
+// Unload orders the engine to unload an alias. An alias that the engine does not
+// have is no error.
 func (e *Engine) Unload(ctx context.Context, alias string, fence uint64) error {
 	err := e.order(ctx, "/v1/unload_lora_adapter", order{Name: alias}, fence)
 	if errors.Is(err, ErrNotResident) {
@@ -94,6 +96,8 @@
 	return err
 }
 
+// order sends an order with a fencing number, and returns one of the errors of
+// orders according to the engine's answer.
 func (e *Engine) order(ctx context.Context, path string, o order, fence uint64) error {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -123,23 +127,26 @@
 	return errors.Wrapf(ErrOrder, "%s %s: status %d: %s", path, o.Name, response.StatusCode, readError(response))
 }
 
-// orderError tells an order that was never sent from one that may have been.
-func orderError(err error, what string) error {
+// orderError returns the error of an order without a response: ErrOrder if no
+// connection was opened, and ErrOrderUnknown if the order may have been sent.
+func orderError(err error, operation string) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return errors.Wrapf(ErrOrder, "%s: %v", what, err)
+		return errors.Wrapf(ErrOrder, "%s: %v", operation, err)
 	}
-	return errors.Wrapf(ErrOrderUnknown, "%s: %v", what, err)
+	return errors.Wrapf(ErrOrderUnknown, "%s: %v", operation, err)
 }
 
 func (e *Engine) url(path string) string { return "http://" + e.Address.String() + path }
 
+// closeBody discards up to maxErrorBody bytes of what is left of a body, and closes it.
 func closeBody(r *http.Response) {
-	// What is left is short or the connection is closed; neither matters now.
+	// The errors do not matter: the rest is short, or its connection is closed.
 	_, _ = io.CopyN(io.Discard, r.Body, maxErrorBody)
 	_ = r.Body.Close()
 }
 
+// readError returns the start of a response's body as text.
 func readError(r *http.Response) string {
 	text, err := io.ReadAll(io.LimitReader(r.Body, maxErrorBody))
 	if err != nil {
@@ -148,8 +155,8 @@
 	return string(text)
 }
 
-// Call executes c under the alias, which must be one of the call's adapter, and
-// passes the answer to sink. Errors are CallErrors, or ErrNotResident.
+// Call executes c under the alias, which must belong to the call's adapter, and
+// passes the answer to sink. Errors are CallErrors or ErrNotResident.
 func (e *Engine) Call(ctx context.Context, c *snipecall.Call, alias string, sink snipecall.Sink) error {
 	if !strings.HasPrefix(alias, c.Adapter.String()+"#") {
 		return snipeerror.New(snipeerror.ErrMismatch, snipeerror.NotRun, "alias "+strconv.Quote(alias)+" for "+c.Adapter.String())
@@ -176,17 +183,17 @@
 	return err
 }
 
-// Paths of the calls that engines serve.
+// Paths of calls to engines.
 const (
 	CompletionsPath = "/v1/completions"
 	ChatPath        = "/v1/chat/completions"
 )
 
-// cancelTimeout bounds the order to cancel an answer.
+// cancelTimeout bounds the request that cancels an answer.
 const cancelTimeout = 2 * time.Second
 
-// cancel tells the engine that nobody waits for the answer any more. It has a
-// context of its own, since the caller's has ended.
+// cancel sends, in the background, a request to cancel an answer that is no
+// longer needed. It uses its own context, since the caller's may have ended.
 func (e *Engine) cancel(id string) {
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
