--- a/snipepeer/fuzz_test.go
+++ b/snipepeer/fuzz_test.go
@@ -13,7 +13,7 @@
 	"snipepitch.example/snipepitch/snipestream"
 )
 
-// FuzzDecodeCall: whatever a peer sends, a call that is taken is one that an
+// FuzzDecodeCall checks that, whatever a peer sends, an accepted call is one that an
 // instance could have sent.
 func FuzzDecodeCall(f *testing.F) {
 	good := `{"ID":"c","Team":"ash","Class":"Bulk","Adapter":"ash/plume@2","Upstream":"engine-1","Method":"POST","Path":"/v1/completions"}`
@@ -29,7 +29,7 @@
 		h := http.Header{}
 		h.Set(callHeader, fields)
 		h.Set(waitHeader, wait)
-		c, d, err := DecodeCall(h)
+		c, timeLeft, err := DecodeCall(h)
 		if err != nil {
 			must.ErrorIs(t, err, ErrBadCall)
 			return
@@ -37,13 +37,13 @@
 		must.True(t, c.Class < snipecall.Classes)
 		must.True(t, c.Upstream != "" && c.Method != "" && c.Path != "")
 		must.True(t, c.Adapter.IsZero() || c.Adapter.Team == c.Team)
-		must.True(t, d >= -maxWait && d <= maxWait)
-		must.True(t, time.Now().Add(d).After(time.Time{}))
+		must.True(t, timeLeft >= -maxTimeLeft && timeLeft <= maxTimeLeft)
+		must.True(t, time.Now().Add(timeLeft).After(time.Time{}))
 	})
 }
 
-// FuzzHop: whatever a peer answers, what is passed on is in order, and nothing
-// follows the last event.
+// FuzzHop checks that, whatever a peer answers, the chunks passed on are in order
+// and nothing follows the last one.
 func FuzzHop(f *testing.F) {
 	for _, seed := range []string{
 		"id: 1\nevent: Chunk\ndata: {}\n\nevent: Beat\ndata: {}\n\nid: 2\nevent: Last\ndata: [DONE]\n\nid: 3\nevent: Chunk\ndata: x\n\n",
@@ -72,8 +72,8 @@
 			if err != nil {
 				break
 			}
-			if err = h.event(e); err != nil {
-				// What has begun may have run, whatever a peer says.
+			if err = h.handleEvent(e); err != nil {
+				// A call with a part of its answer may have run, whatever the peer reports.
 				must.True(t, next == 0 || snipeerror.From(err).Outcome == snipeerror.MayHaveRun)
 				return
 			}
--- a/snipepeer/reach.go
+++ b/snipepeer/reach.go
@@ -6,44 +6,45 @@
 	"time"
 )
 
-// holdOff is how long calls go elsewhere after an instance was not reached.
+// holdOff is how long an instance is not used after it was not reached.
 const holdOff = time.Second
 
-// Reach remembers the instances that were not reached lately, so that not each
-// call has to find out for itself and pay with a retry. After the hold-off the
-// next call tries again. The zero value is usable, and safe for concurrent use.
+// Reach records the instances that were not reached recently, so that not every
+// call needs a retry to find an unreachable instance. After the hold-off the next
+// call tries again. The zero value is usable, and safe for concurrent use.
 type Reach struct {
-	lock  sync.Mutex // guards until
-	until map[netip.AddrPort]time.Time
+	lock      sync.Mutex // guards heldUntil
+	heldUntil map[netip.AddrPort]time.Time
 }
 
-// Failed notes that an instance was not reached.
+// Failed records that an instance was not reached.
 func (r *Reach) Failed(address netip.AddrPort) {
 	now := time.Now()
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if r.until == nil {
-		r.until = map[netip.AddrPort]time.Time{}
+	if r.heldUntil == nil {
+		r.heldUntil = map[netip.AddrPort]time.Time{}
 	}
-	for a, t := range r.until {
+	for a, t := range r.heldUntil {
 		if now.After(t) {
-			delete(r.until, a)
+			delete(r.heldUntil, a)
 		}
 	}
-	r.until[address] = now.Add(holdOff)
+	r.heldUntil[address] = now.Add(holdOff)
 }
 
-// Answered notes that an instance has answered.
+// Answered records that an instance answered, which ends its hold-off.
 func (r *Reach) Answered(address netip.AddrPort) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	delete(r.until, address)
+	delete(r.heldUntil, address)
 }
 
-// Usable reports whether calls may be sent to an instance.
+// Usable reports whether calls may be sent to an instance, which is not in its
+// hold-off.
 func (r *Reach) Usable(address netip.AddrPort) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	t, ok := r.until[address]
+	t, ok := r.heldUntil[address]
 	return !ok || time.Now().After(t)
 }
--- a/snipepeer/reach_test.go
+++ b/snipepeer/reach_test.go
@@ -13,8 +13,8 @@
 	"snipepitch.example/snipepitch/snipepeer"
 )
 
-// TestReachHoldsOff: a peer that was not reached is left alone for a while,
-// whatever call finds it out, and an answer ends that at once.
+// TestReachHoldsOff checks that a peer that a call did not reach is not used during
+// the hold-off, and that an answer ends the hold-off at once.
 func TestReachHoldsOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		address := netip.MustParseAddrPort("192.0.2.1:1")
@@ -35,6 +35,7 @@
 
 var errRefused = http.ErrServerClosed
 
+// roundTrip is an http.RoundTripper that answers requests without a network.
 type roundTrip func(*http.Request) (*http.Response, error)
 
 // RoundTrip implements http.RoundTripper.
--- a/snipepeer/secret.go
+++ b/snipepeer/secret.go
@@ -7,8 +7,8 @@
 	"snipepitch.example/snipepitch/snipeerror"
 )
 
-// Authorized serves h to requests that show the peer secret; others are
-// refused.
+// Authorized returns a handler that passes requests with the peer secret to h and
+// refuses all others.
 func Authorized(secret string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if subtle.ConstantTimeCompare([]byte(r.Header.Get(secretHeader)), []byte(secret)) != 1 {
@@ -19,7 +19,7 @@
 	})
 }
 
-// SecretClient sends requests that show the peer secret.
+// SecretClient sends requests with the peer secret.
 type SecretClient struct {
 	// Client sends the requests.
 	Client *http.Client
--- a/snipepeer/server.go
+++ b/snipepeer/server.go
@@ -17,31 +17,34 @@
 )
 
 const (
-	// maxWait bounds the time left that a hop may claim.
-	maxWait = 24 * time.Hour
-	// maxHop bounds the length of a hop's identifier.
-	maxHop = 64
-	// keptShare is how many hops may be known for each call in flight: ended
-	// ones are kept for a while, so that their end can be fetched again.
-	keptShare = 2
-	// busyRetry is what a peer is told to wait when there are too many calls.
-	busyRetry = time.Second
+	// maxTimeLeft bounds the time left that a hop may state.
+	maxTimeLeft = 24 * time.Hour
+	// maxHopID bounds the length of a hop's identifier in bytes.
+	maxHopID = 64
+	// sessionsPerCall bounds the sessions kept, as a multiple of MaxCalls. The
+	// sessions of ended hops are kept for a while, so that an entry can fetch
+	// their last events again.
+	sessionsPerCall = 2
+	// overloadRetryAfter is the wait that a peer is asked for when too many calls
+	// are in flight.
+	overloadRetryAfter = time.Second
 )
 
-// Handler serves hops. Exported fields are set before the first request.
+// Handler serves the hops of peers on the owner's side. Exported fields are set
+// before the first request.
 type Handler struct {
 	// Execute executes a call on this instance.
 	Execute func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
-	// Secret is what peers must show.
+	// Secret is the secret that peers must send.
 	Secret string
-	// Beat is the time between two beats of a silent hop.
+	// Beat is the time between two heartbeats of a hop.
 	Beat time.Duration
-	// Window is how long a hop without a connection goes on, and how long an
-	// ended one can be resumed.
+	// Window is how long a hop without a connection continues, and how long an
+	// ended hop can be resumed.
 	Window time.Duration
-	// WriteTimeout bounds one write to a connection that takes nothing.
+	// WriteTimeout bounds one write to a connection that is not read.
 	WriteTimeout time.Duration
-	// MaxBody bounds the body of a call in bytes, MaxCalls the calls in flight.
+	// MaxBody bounds the body of a call in bytes, and MaxCalls the calls in flight.
 	MaxBody  int64
 	MaxCalls int
 
@@ -50,7 +53,7 @@
 	inFlight int
 }
 
-// InFlight returns the number of peers' calls that are executed here.
+// InFlight returns the number of peers' calls that this instance is executing.
 func (h *Handler) InFlight() int {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -64,7 +67,7 @@
 		return
 	}
 	id := r.Header.Get(hopHeader)
-	if id == "" || len(id) > maxHop {
+	if id == "" || len(id) > maxHopID {
 		snipeerror.New(snipeerror.ErrBadRequest, snipeerror.NotRun, "hop identifier").Write(w, "")
 		return
 	}
@@ -80,13 +83,15 @@
 	}
 }
 
+// begin starts a hop, executes its call and writes the events to the request's
+// connection, or to a later connection that resumes the hop.
 func (h *Handler) begin(w http.ResponseWriter, r *http.Request, id string) {
 	c, err := h.readCall(w, r)
 	if err != nil {
 		snipeerror.From(err).Write(w, "")
 		return
 	}
-	// The call goes on without its connection, for the window.
+	// The call continues without a connection for up to Window.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), c.Deadline)
 	defer cancel()
 	s := &session{call: c, cancel: cancel, window: h.Window, done: make(chan struct{})}
@@ -99,25 +104,28 @@
 	s.attach(out, 0)
 	stopWatch := context.AfterFunc(r.Context(), func() { s.detach(out) })
 	defer stopWatch()
-	stopBeat := s.beat(h.Beat)
-	defer stopBeat()
-	if err := h.Execute(ctx, c, s.chunk); err != nil {
-		s.fail(snipeerror.From(err))
+	stopHeartbeats := s.sendHeartbeats(h.Beat)
+	defer stopHeartbeats()
+	if err := h.Execute(ctx, c, s.sendChunk); err != nil {
+		s.sendFailure(snipeerror.From(err))
 	}
 }
 
+// readCall reads a call from the request that begins a hop.
 func (h *Handler) readCall(w http.ResponseWriter, r *http.Request) (*snipecall.Call, error) {
-	c, wait, err := DecodeCall(r.Header)
+	c, timeLeft, err := DecodeCall(r.Header)
 	if err != nil {
 		return nil, snipeerror.New(snipeerror.ErrBadRequest, snipeerror.NotRun, err.Error())
 	}
 	if c.Body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, h.MaxBody)); err != nil {
 		return nil, snipeerror.New(snipeerror.ErrTooLarge, snipeerror.NotRun, err.Error())
 	}
-	c.Deadline = time.Now().Add(wait)
+	c.Deadline = time.Now().Add(timeLeft)
 	return c, nil
 }
 
+// add registers the session of a new hop. It refuses a known identifier, and a call
+// above MaxCalls.
 func (h *Handler) add(id string, s *session) error {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -128,38 +136,42 @@
 		return snipeerror.New(snipeerror.ErrDuplicate, snipeerror.MayHaveRun, "hop was begun before")
 	}
 	if h.inFlight >= h.MaxCalls {
-		return snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "too many calls of peers in flight").After(busyRetry)
+		return snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "too many calls of peers in flight").After(overloadRetryAfter)
 	}
 	h.sessions[id] = s
 	h.inFlight++
 	return nil
 }
 
-// end closes a session and forgets it after the window.
+// end closes a session and removes it after the window, or at once if too many
+// sessions are kept.
 func (h *Handler) end(id string, s *session) {
 	s.close()
-	forget := func() {
+	remove := func() {
 		h.lock.Lock()
 		defer h.lock.Unlock()
 		delete(h.sessions, id)
 	}
 	h.lock.Lock()
 	h.inFlight--
-	crowded := len(h.sessions) > keptShare*h.MaxCalls
+	overloaded := len(h.sessions) > sessionsPerCall*h.MaxCalls
 	h.lock.Unlock()
-	if crowded {
-		forget()
+	if overloaded {
+		remove()
 		return
 	}
-	time.AfterFunc(h.Window, forget)
+	time.AfterFunc(h.Window, remove)
 }
 
+// find returns the session of a hop, or nil if the hop is unknown.
 func (h *Handler) find(id string) *session {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return h.sessions[id]
 }
 
+// resume writes the events after the number in the request's header to a new
+// connection, until the hop or the connection ends.
 func (h *Handler) resume(w http.ResponseWriter, r *http.Request, id string) {
 	after, err := strconv.ParseUint(r.Header.Get(afterHeader), 10, 64)
 	if err != nil {
@@ -183,6 +195,7 @@
 	}
 }
 
+// cancel cancels the call of a hop.
 func (h *Handler) cancel(w http.ResponseWriter, id string) {
 	if s := h.find(id); s != nil {
 		s.cancel()
@@ -191,7 +204,8 @@
 	w.WriteHeader(http.StatusNotFound)
 }
 
-// DecodeCall reads a call's fields and the time left from the hop's headers.
+// DecodeCall returns a call's fields and the time left from a hop's headers. Errors
+// wrap ErrBadCall.
 func DecodeCall(header http.Header) (*snipecall.Call, time.Duration, error) {
 	c := &snipecall.Call{}
 	if err := json.Unmarshal([]byte(header.Get(callHeader)), c); err != nil {
@@ -204,7 +218,7 @@
 		return nil, 0, errors.Wrap(ErrBadCall, "adapter of another team")
 	}
 	milliseconds, err := strconv.ParseInt(header.Get(waitHeader), 10, 64)
-	if err != nil || milliseconds > maxWait.Milliseconds() || milliseconds < -maxWait.Milliseconds() {
+	if err != nil || milliseconds > maxTimeLeft.Milliseconds() || milliseconds < -maxTimeLeft.Milliseconds() {
 		return nil, 0, errors.Wrap(ErrBadCall, "time left")
 	}
 	return c, time.Duration(milliseconds) * time.Millisecond, nil
--- a/snipepeer/session.go
+++ b/snipepeer/session.go
@@ -15,14 +15,14 @@
 	"snipepitch.example/snipepitch/snipestream"
 )
 
-// maxKept bounds the bytes of events that a session keeps for a resume. An
-// answer of 30 chunks a second of 250 bytes fills it in about 9 s.
-const maxKept = 64 << 10
+// maxBuffered bounds the bytes of events that a session keeps for a resume. An
+// answer with 30 chunks per second of 250 bytes each fills it in about 9 s.
+const maxBuffered = 64 << 10
 
-// errBehind ends a call whose entry has not fetched what is kept for it.
+// errBehind ends a call if its unsent events exceed maxBuffered.
 var errBehind = errors.New("the entry instance has fallen behind")
 
-// connection is one connection of a hop, on the owner's side.
+// connection is one connection of a hop on the owner's side.
 type connection struct {
 	response   http.ResponseWriter
 	controller *http.ResponseController
@@ -33,8 +33,9 @@
 	return &connection{response: w, controller: http.NewResponseController(w), timeout: timeout}
 }
 
+// write writes data and flushes it, within the connection's timeout.
 func (c *connection) write(data []byte) error {
-	// A connection that knows no deadlines is one of a test.
+	// Only response writers in tests do not support deadlines.
 	_ = c.controller.SetWriteDeadline(time.Now().Add(c.timeout))
 	if _, err := c.response.Write(data); err != nil {
 		return errors.Wrap(err, "write hop")
@@ -45,49 +46,49 @@
 	return nil
 }
 
-// interrupt makes a write that is blocked in another goroutine fail.
+// interrupt ends a write that is blocked in another goroutine.
 func (c *connection) interrupt() { _ = c.controller.SetWriteDeadline(time.Unix(1, 0)) }
 
-// kept is one event in wire form.
-type kept struct {
+// bufferedEvent is one event in wire form.
+type bufferedEvent struct {
 	number uint64
 	data   []byte
 }
 
-// session is a hop on the owner's side. The call's goroutine appends events;
-// connections come and go.
+// session is a hop on the owner's side. The call's goroutine appends events, and
+// connections are attached and detached meanwhile.
 type session struct {
 	call   *snipecall.Call
 	cancel context.CancelFunc
 	window time.Duration
 	done   chan struct{} // closed when the call has ended
 
-	current atomic.Pointer[connection] // the attached one; changed under lock
+	current atomic.Pointer[connection] // the attached connection; changed under lock
 
-	lock  sync.Mutex // guards the fields below and is held during a write
-	kept  []kept
-	size  int
-	last  uint64      // number of the last event
-	sent  uint64      // last event that a connection has taken
-	ended bool        // the last event has been made
-	lost  *time.Timer // cancels the call; nil while a connection is attached
+	lock        sync.Mutex // guards the fields below and is held during a write
+	events      []bufferedEvent
+	size        int         // bytes of events
+	last        uint64      // number of the last event
+	sent        uint64      // number of the last event written to the entry
+	ended       bool        // the last event has been appended
+	windowTimer *time.Timer // cancels the call after the window; nil while a connection is attached
 }
 
-// attach makes out the hop's connection and sends it what it misses. It
-// reports false, with nothing written, when that is not kept any more.
+// attach makes out the hop's connection and writes the events after a number to
+// it. It reports false, with nothing written, if these are no longer kept.
 func (s *session) attach(out *connection, after uint64) bool {
 	if old := s.current.Load(); old != nil {
-		// It may hold the lock in a write that nobody reads.
+		// A blocked write to the old connection may hold the lock.
 		old.interrupt()
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if after > s.last || len(s.kept) > 0 && after+1 < s.kept[0].number || len(s.kept) == 0 && after < s.last {
+	if after > s.last || len(s.events) > 0 && after+1 < s.events[0].number || len(s.events) == 0 && after < s.last {
 		return false
 	}
-	if s.lost != nil {
-		s.lost.Stop()
-		s.lost = nil
+	if s.windowTimer != nil {
+		s.windowTimer.Stop()
+		s.windowTimer = nil
 	}
 	out.response.Header().Set("Content-Type", "text/event-stream")
 	out.response.Header().Set(adapterHeader, s.call.Adapter.String())
@@ -95,7 +96,7 @@
 	s.current.Store(out)
 	s.sent = after
 	var missed []byte
-	for _, k := range s.kept {
+	for _, k := range s.events {
 		if k.number > after {
 			missed = append(missed, k.data...)
 		}
@@ -104,15 +105,16 @@
 	return true
 }
 
-// write sends data to the attached connection, if there is one. The lock is
-// held.
+// write writes data to the attached connection if there is one. The data ends with
+// the event of the given number, which is 0 for a heartbeat. The caller holds the
+// lock.
 func (s *session) write(data []byte, number uint64) {
 	out := s.current.Load()
 	if out == nil {
 		return
 	}
 	if err := out.write(data); err != nil {
-		s.drop()
+		s.release()
 		return
 	}
 	s.sent = max(s.sent, number)
@@ -123,34 +125,36 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.current.Load() == out {
-		s.drop()
+		s.release()
 	}
 }
 
-// drop forgets the attached connection and starts the window. The lock is held.
-func (s *session) drop() {
+// release detaches the current connection and starts the window, after which the
+// call is cancelled. The caller holds the lock.
+func (s *session) release() {
 	s.current.Store(nil)
-	if !s.ended && s.lost == nil {
-		s.lost = time.AfterFunc(s.window, s.cancel)
+	if !s.ended && s.windowTimer == nil {
+		s.windowTimer = time.AfterFunc(s.window, s.cancel)
 	}
 }
 
-// close ends the session for its connections.
+// close marks the session as ended and detaches its connection.
 func (s *session) close() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.lost != nil {
-		s.lost.Stop()
+	if s.windowTimer != nil {
+		s.windowTimer.Stop()
 	}
 	s.ended = true
 	s.current.Store(nil)
 	close(s.done)
 }
 
-// beat keeps the connection alive while the call waits.
-func (s *session) beat(interval time.Duration) (stop func()) {
+// sendHeartbeats writes a heartbeat to the attached connection at each interval,
+// until stop is called. Heartbeats keep the connection alive while the call waits.
+func (s *session) sendHeartbeats(interval time.Duration) (stop func()) {
 	done := make(chan struct{})
-	data := snipestream.Append(nil, snipestream.Event{Name: eventBeat, Data: []byte("{}")})
+	data := snipestream.Append(nil, snipestream.Event{Name: eventHeartbeat, Data: []byte("{}")})
 	go func() {
 		t := time.NewTicker(interval)
 		defer t.Stop()
@@ -170,10 +174,10 @@
 	return func() { close(done) }
 }
 
-// chunk is the call's sink.
-func (s *session) chunk(c snipecall.Chunk) error {
+// sendChunk is the call's sink.
+func (s *session) sendChunk(c snipecall.Chunk) error {
 	if c.ContentType != "" || c.Status != 0 {
-		data, err := json.Marshal(whole{Status: c.Status, ContentType: c.ContentType, Data: c.Data})
+		data, err := json.Marshal(wholePayload{Status: c.Status, ContentType: c.ContentType, Data: c.Data})
 		if err != nil {
 			return errors.Wrap(err, "encode whole answer")
 		}
@@ -186,12 +190,13 @@
 	return s.send(name, c.Data, c.Last)
 }
 
-func (s *session) fail(f *snipeerror.CallError) {
-	// The other side may be gone; there is nobody to tell.
+// sendFailure ends the hop with a failure.
+func (s *session) sendFailure(f *snipeerror.CallError) {
+	// The error does not matter: the call has ended, and the entry may be gone.
 	_ = s.send(eventFailure, f.Encode(s.call.ID), true)
 }
 
-// send numbers an event, keeps it and writes it.
+// send numbers an event, buffers it for a resume and writes it.
 func (s *session) send(name string, data []byte, last bool) error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -200,23 +205,24 @@
 	}
 	s.ended = last
 	s.last++
-	k := kept{number: s.last}
-	k.data = snipestream.Append(s.spare(len(data)), snipestream.Event{ID: s.last, Name: name, Data: data})
-	s.kept = append(s.kept, k)
+	k := bufferedEvent{number: s.last}
+	k.data = snipestream.Append(s.eventBuffer(len(data)), snipestream.Event{ID: s.last, Name: name, Data: data})
+	s.events = append(s.events, k)
 	s.size += len(k.data)
 	s.write(k.data, s.last)
 	return s.trim()
 }
 
-// eventOverhead is about what the wire form adds to the data.
+// eventOverhead is the approximate number of bytes that the wire form adds to the data.
 const eventOverhead = 64
 
-// spare returns a buffer for an event, that of the oldest one if it is to go.
-func (s *session) spare(size int) []byte {
-	if s.size+size > maxKept && len(s.kept) > 1 && s.kept[0].number <= s.sent {
-		old := s.kept[0].data
+// eventBuffer returns a buffer for an event of the given size. If the events would
+// exceed the bound, it drops the oldest sent event and reuses its buffer.
+func (s *session) eventBuffer(size int) []byte {
+	if s.size+size > maxBuffered && len(s.events) > 1 && s.events[0].number <= s.sent {
+		old := s.events[0].data
 		s.size -= len(old)
-		s.kept = s.kept[1:]
+		s.events = s.events[1:]
 		if cap(old) >= size+eventOverhead {
 			return old[:0]
 		}
@@ -224,15 +230,15 @@
 	return make([]byte, 0, size+eventOverhead)
 }
 
-// trim drops the oldest events over the bound; one that was never sent is not
-// dropped.
+// trim drops the oldest events until the rest is within the bound. It returns
+// errBehind instead of dropping an event that was never sent.
 func (s *session) trim() error {
-	for s.size > maxKept && len(s.kept) > 1 {
-		if s.kept[0].number > s.sent {
+	for s.size > maxBuffered && len(s.events) > 1 {
+		if s.events[0].number > s.sent {
 			return errBehind
 		}
-		s.size -= len(s.kept[0].data)
-		s.kept = s.kept[1:]
+		s.size -= len(s.events[0].data)
+		s.events = s.events[1:]
 	}
 	return nil
 }
--- a/snipepeer/snipepeer.go
+++ b/snipepeer/snipepeer.go
@@ -1,18 +1,19 @@
-// Package snipepeer carries calls from the instance that a caller is connected
-// to, to the instance that owns the chosen engine.
+// Package snipepeer forwards calls from the instance that a caller is connected
+// to (the entry) to the instance that owns the chosen engine (the owner).
 //
-// A hop is one call at one owner. It begins with one HTTP request: the call's
-// fields in a header, its body as the body, and the answer as server-sent
-// events. Events are numbered from 1 without gaps; beats, which keep a silent
-// hop alive, have no number. Exactly one last event (Last, Whole or Failure)
-// ends the answer.
+// A hop is one call at one owner. It begins with one HTTP request with the call's
+// fields in a header and the call's body as the body. The answer consists of
+// server-sent events. Events are numbered from 1 without gaps; heartbeats, which
+// keep a silent hop alive, have no number. Exactly one last event (Last, Whole or
+// Failure) ends the answer.
 //
-// A hop outlives its connection. The owner keeps the latest events, and an
-// entry whose connection broke or went silent asks for those that it misses on
-// a new one. A call is never sent a second time by this package: what the
-// owner does not know any more ends in ErrIncomplete. An entry whose caller
-// has gone away says so with a cancel of its own, since a closed connection is
-// not news of that, and on a silent one no news arrives at all.
+// A hop outlives its connection. The owner keeps the latest events, and an entry
+// whose connection broke or went silent requests the missing events on a new
+// connection. This package never sends a call a second time: if the owner no longer
+// has the hop or the missing events, the call ends in ErrIncomplete. When its caller
+// leaves, the entry sends a separate cancel request: to the owner, a closed
+// connection does not mean that the caller has left, and on a silent connection the
+// close never arrives.
 package snipepeer
 
 import (
@@ -36,8 +37,8 @@
 	"snipepitch.example/snipepitch/snipeupstream"
 )
 
-// Path is where an instance takes calls of its peers: POST begins a hop, GET
-// resumes one, DELETE cancels one.
+// Path is the HTTP path of calls from peers: POST begins a hop, GET resumes one,
+// and DELETE cancels one.
 const Path = "/Peer/Call"
 
 const (
@@ -52,31 +53,31 @@
 	eventLast    = "Last"
 	eventWhole   = "Whole"
 	eventFailure = "Failure"
-	// eventBeat keeps a hop alive while the call waits for its next chunk.
-	eventBeat = "Beat"
+	// eventHeartbeat keeps a hop alive while the call waits for its next chunk.
+	eventHeartbeat = "Beat"
 )
 
 const (
-	// maxResumes bounds the connections in a row that bring nothing new.
+	// maxResumes bounds the consecutive resumes that receive no new event.
 	maxResumes    = 3
 	resumePause   = 50 * time.Millisecond
 	cancelTimeout = 2 * time.Second
 	maxStatus     = 599
-	// maxWhole bounds one event: the largest is an answer that is not
+	// maxHopEvent bounds one event in bytes: the largest is an answer that is not
 	// streamed, in base64.
-	maxWhole = 2 * snipeupstream.MaxAnswer
+	maxHopEvent = 2 * snipeupstream.MaxAnswer
 )
 
 // Errors of hops.
 var (
-	// ErrBadCall: the hop's headers are no call.
+	// ErrBadCall means that the hop's headers do not contain a valid call.
 	ErrBadCall = errors.New("not a call")
 	// errBroken marks a connection that failed before the last event.
 	errBroken = errors.New("hop to a peer broke")
 )
 
-// whole is the payload of an answer that is not streamed.
-type whole struct {
+// wholePayload is the payload of an answer that is not streamed.
+type wholePayload struct {
 	Status      int
 	ContentType string
 	Data        []byte
@@ -84,44 +85,46 @@
 
 // Client forwards calls. Exported fields are set before the first call.
 type Client struct {
-	// HTTP sends idempotent calls over kept connections. Fresh opens a
-	// connection for each request and sends all else: resumes, cancels, and
+	// HTTP sends idempotent calls over reused connections. Fresh opens a
+	// connection for each request and sends all others: resumes, cancels, and
 	// calls that may not be repeated.
 	HTTP, Fresh *http.Client
 	// Secret proves to the peer that the sender is an instance.
 	Secret string
-	// Progress is the longest silence of a connection before it is given up.
+	// Progress is the longest silence of a connection before it is closed.
 	Progress time.Duration
-	// Log takes events; nil is none.
+	// Log receives events; nil disables logging.
 	Log *snipelog.Logger
-	// Reach tells which instances were not reached lately.
+	// Reach records the instances that were not reached recently.
 	Reach Reach
 }
 
-// hop is the state of one call at one owner, across connections. It belongs to
-// the goroutine of its call.
+// hop is the state of one call at one owner, across connections. Only the goroutine
+// of its call uses it.
 type hop struct {
 	client  *Client
 	address netip.AddrPort
 	call    *snipecall.Call
 	sink    snipecall.Sink
 
-	id       string
-	sequence uint64 // of the last event that arrived
-	left     bool   // the call may have reached the owner
-	ended    bool   // the owner has ended the hop, or refused it
+	id        string
+	sequence  uint64 // number of the last event received
+	maybeSent bool   // the call may have reached the owner
+	ended     bool   // the owner has ended the hop, or refused it
 }
 
-// Forward executes c on the instance at address.
+// Forward executes c on the instance at address and passes the answer to sink. If it
+// fails before the owner has ended the hop, it cancels the hop.
 func (p *Client) Forward(ctx context.Context, address netip.AddrPort, c *snipecall.Call, sink snipecall.Sink) error {
 	h := &hop{client: p, address: address, call: c, sink: sink, id: rand.Text()}
 	err := h.run(ctx)
-	if err != nil && h.left && !h.ended {
+	if err != nil && h.maybeSent && !h.ended {
 		p.cancel(address, h.id)
 	}
 	return err
 }
 
+// run begins the hop and resumes it when its connection breaks.
 func (h *hop) run(ctx context.Context) error {
 	client := h.client.HTTP
 	if !h.call.Idempotent {
@@ -130,7 +133,7 @@
 	err := h.connect(ctx, client, h.begin)
 	for n := 0; errors.Is(err, errBroken); n++ {
 		if n == maxResumes || !snipetime.Sleep(ctx, resumePause<<n) {
-			return broken(ctx, err)
+			return incompleteError(ctx, err)
 		}
 		if h.client.Log != nil {
 			h.client.Log.Error(snipelog.HopResumed, err, snipelog.Fields{"Call": h.call.ID, "Peer": h.address.String()})
@@ -144,8 +147,8 @@
 	return err
 }
 
-// broken is the failure of a hop that cannot be resumed.
-func broken(ctx context.Context, err error) error {
+// incompleteError returns the error of a hop that cannot be resumed.
+func incompleteError(ctx context.Context, err error) error {
 	kind := snipeerror.ErrIncomplete
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -156,6 +159,7 @@
 	return snipeerror.New(kind, snipeerror.MayHaveRun, err.Error())
 }
 
+// request returns a request to the owner of a hop.
 func (p *Client) request(ctx context.Context, method string, address netip.AddrPort, id string, body io.Reader) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(ctx, method, "http://"+address.String()+Path, body)
 	if err != nil {
@@ -166,6 +170,7 @@
 	return r, nil
 }
 
+// begin returns the request that begins the hop.
 func (h *hop) begin(ctx context.Context) (*http.Request, error) {
 	fields, err := json.Marshal(h.call)
 	if err != nil {
@@ -175,14 +180,15 @@
 	if err != nil {
 		return nil, err
 	}
-	// net/http must not send a call twice on its own.
+	// net/http must not send a call a second time by itself.
 	r.GetBody = nil
 	r.Header.Set(callHeader, string(fields))
-	// The clocks of instances differ: the time left travels, not the deadline.
+	// The clocks of instances differ, so the time left is sent and not the deadline.
 	r.Header.Set(waitHeader, strconv.FormatInt(time.Until(h.call.Deadline).Milliseconds(), 10))
 	return r, nil
 }
 
+// resume returns the request for the events after the last one received.
 func (h *hop) resume(ctx context.Context) (*http.Request, error) {
 	r, err := h.client.request(ctx, http.MethodGet, h.address, h.id, http.NoBody)
 	if err == nil {
@@ -191,8 +197,8 @@
 	return r, err
 }
 
-// cancel tells the owner that nobody waits for the answer any more. It has a
-// context of its own, since the caller's has ended.
+// cancel sends, in the background, a request to cancel a hop whose answer is no
+// longer needed. It uses its own context, since the caller's may have ended.
 func (p *Client) cancel(address netip.AddrPort, id string) {
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), cancelTimeout)
@@ -201,21 +207,21 @@
 		if err != nil {
 			return
 		}
-		// Without this cancel the owner ends the call when its window is over.
+		// If the request fails, the owner cancels the call when the window ends.
 		if response, err := p.Fresh.Do(r); err == nil {
 			_ = response.Body.Close()
 		}
 	}()
 }
 
-// connect sends one request and reads its events to the last one.
+// connect sends one request and reads the events up to the last one.
 func (h *hop) connect(ctx context.Context, client *http.Client, request func(context.Context) (*http.Request, error)) error {
 	r, err := request(ctx)
 	if err != nil {
 		return snipeerror.New(snipeerror.ErrBadRequest, snipeerror.NotRun, err.Error())
 	}
 	x, err := snipeupstream.Begin(client, r, snipeupstream.SilenceLimit{Progress: h.client.Progress, Pool: h.client.HTTP})
-	h.left = h.left || x.MaybeSent
+	h.maybeSent = h.maybeSent || x.MaybeSent
 	if err != nil {
 		if ctx.Err() == nil {
 			h.client.Reach.Failed(h.address)
@@ -223,7 +229,7 @@
 		return h.sendError(ctx, err)
 	}
 	h.client.Reach.Answered(h.address)
-	err = h.take(x)
+	err = h.receive(x)
 	if h.ended {
 		x.Finish()
 	} else {
@@ -232,7 +238,8 @@
 	return err
 }
 
-func (h *hop) take(x *snipeupstream.Exchange) error {
+// receive checks the status and the adapter of a response and reads its events.
+func (h *hop) receive(x *snipeupstream.Exchange) error {
 	if x.Response.StatusCode != http.StatusOK {
 		return h.refusal(x.Response)
 	}
@@ -242,8 +249,10 @@
 	return h.read(x)
 }
 
+// sendError returns the error of a request without a response. The hop can be resumed
+// if the call may have reached the owner; otherwise the call was not run.
 func (h *hop) sendError(ctx context.Context, err error) error {
-	if h.left {
+	if h.maybeSent {
 		return errors.Wrapf(errBroken, "send: %v", err)
 	}
 	kind := snipeerror.ErrNoUpstream
@@ -256,8 +265,8 @@
 	return snipeerror.New(kind, snipeerror.NotRun, "instance "+h.address.String()+" was not reached")
 }
 
-// refusal reads the answer to a request that the peer did not take. A refused
-// resume is the end of a call that was taken before.
+// refusal returns the error in the response to a request that the owner refused. A
+// refused resume ends the call, which the owner accepted earlier.
 func (h *hop) refusal(response *http.Response) error {
 	h.ended = true
 	body, err := io.ReadAll(io.LimitReader(response.Body, snipestream.MaxEvent))
@@ -271,35 +280,37 @@
 		"peer answered with status "+strconv.Itoa(response.StatusCode))
 }
 
+// read handles the events of one connection up to the last event of the hop.
 func (h *hop) read(x *snipeupstream.Exchange) error {
-	reader := snipestream.NewLimitedReader(x.Response.Body, maxWhole)
+	reader := snipestream.NewLimitedReader(x.Response.Body, maxHopEvent)
 	for {
 		e, err := reader.Read()
 		if err != nil {
 			return errors.Wrapf(errBroken, "after event %d: %v", h.sequence, err)
 		}
 		x.StopTimer()
-		if err := h.event(e); err != nil || h.ended {
+		if err := h.handleEvent(e); err != nil || h.ended {
 			return err
 		}
 		x.RestartTimer(h.client.Progress)
 	}
 }
 
-// event puts one event in its place and hands it on.
-func (h *hop) event(e snipestream.Event) error {
+// handleEvent delivers the next event in order. It ignores heartbeats and repeated
+// events, and returns errBroken for a gap.
+func (h *hop) handleEvent(e snipestream.Event) error {
 	switch {
-	case e.ID > h.sequence+1, e.ID == 0 && e.Name != eventBeat:
+	case e.ID > h.sequence+1, e.ID == 0 && e.Name != eventHeartbeat:
 		return errors.Wrapf(errBroken, "event %d after %d", e.ID, h.sequence)
 	case e.ID == h.sequence+1:
 		h.sequence = e.ID
-		return h.pass(e)
+		return h.deliver(e)
 	}
 	return nil
 }
 
-// pass hands one event on.
-func (h *hop) pass(e snipestream.Event) error {
+// deliver passes the content of one event to the sink, or returns its failure.
+func (h *hop) deliver(e snipestream.Event) error {
 	switch e.Name {
 	case eventChunk:
 		return h.sink(snipecall.Chunk{Sequence: e.ID, Data: e.Data})
@@ -307,7 +318,7 @@
 		h.ended = true
 		return h.sink(snipecall.Chunk{Sequence: e.ID, Data: e.Data, Last: true})
 	case eventWhole:
-		var w whole
+		var w wholePayload
 		if err := json.Unmarshal(e.Data, &w); err != nil {
 			return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, "whole answer: "+err.Error())
 		}
@@ -325,7 +336,7 @@
 		}
 		h.ended = true
 		if e.ID > 1 {
-			// What has begun to answer has run.
+			// The call has run, since a part of its answer has arrived.
 			f.Outcome = snipeerror.MayHaveRun
 		}
 		return f
--- a/snipepeer/snipepeer_test.go
+++ b/snipepeer/snipepeer_test.go
@@ -23,15 +23,15 @@
 	adapter      = snipecall.Adapter{Team: "ash", Name: "plume", Version: "2"}
 )
 
-// bench is an entry and an owner on a network in memory.
-type bench struct {
+// fixture is an entry and an owner on an in-memory network.
+type fixture struct {
 	network *snipestand.Network
 	handler *Handler
 	server  *http.Server
 	client  *Client
 }
 
-// execute sends count chunks, one a second.
+// execute returns an Execute function that sends count chunks, one per second.
 func execute(count int) func(context.Context, *snipecall.Call, snipecall.Sink) error {
 	return func(ctx context.Context, _ *snipecall.Call, sink snipecall.Sink) error {
 		for n := 1; n <= count; n++ {
@@ -47,30 +47,30 @@
 	}
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{network: &snipestand.Network{}}
-	b.handler = &Handler{
+func newFixture(t *testing.T) *fixture {
+	f := &fixture{network: &snipestand.Network{}}
+	f.handler = &Handler{
 		Execute: execute(10), Secret: "s", Beat: time.Second, Window: 10 * time.Second,
 		WriteTimeout: 5 * time.Second, MaxBody: 100, MaxCalls: 2,
 	}
-	b.serve()
-	b.client = &Client{
-		HTTP: snipeupstream.NewPooled(b.network.Dial), Fresh: snipeupstream.NewFresh(b.network.Dial),
+	f.serve()
+	f.client = &Client{
+		HTTP: snipeupstream.NewPooled(f.network.Dial), Fresh: snipeupstream.NewFresh(f.network.Dial),
 		Secret: "s", Progress: 5 * time.Second,
 	}
 	t.Cleanup(func() {
-		_ = b.server.Close()
-		b.client.HTTP.CloseIdleConnections()
-		b.network.Cut()
+		_ = f.server.Close()
+		f.client.HTTP.CloseIdleConnections()
+		f.network.Cut()
 		time.Sleep(time.Minute)
 	})
-	return b
+	return f
 }
 
-func (b *bench) serve() {
-	b.server = &http.Server{Handler: b.handler, ReadHeaderTimeout: time.Minute}
-	l := b.network.Listen(ownerAddress)
-	go func() { _ = b.server.Serve(l) }()
+func (f *fixture) serve() {
+	f.server = &http.Server{Handler: f.handler, ReadHeaderTimeout: time.Minute}
+	l := f.network.Listen(ownerAddress)
+	go func() { _ = f.server.Serve(l) }()
 }
 
 func newCall() *snipecall.Call {
@@ -80,7 +80,7 @@
 	}
 }
 
-// collect returns a sink and what it got.
+// collect returns a sink and the chunks it receives, as number and data.
 func collect() (snipecall.Sink, *[]string) {
 	var got []string
 	return func(c snipecall.Chunk) error {
@@ -89,6 +89,7 @@
 	}, &got
 }
 
+// wholeAnswer returns the chunks of execute(count) in the form of collect.
 func wholeAnswer(count int) []string {
 	var want []string
 	for n := 1; n <= count; n++ {
@@ -98,138 +99,138 @@
 }
 
 func TestForwardResumes(t *testing.T) {
-	cases := map[string]func(b *bench){
-		"no fault":          func(*bench) {},
-		"cut":               func(b *bench) { b.network.Cut() },
-		"silent":            func(b *bench) { b.network.Silence() },
-		"cut at the end":    func(b *bench) { time.Sleep(6000 * time.Millisecond); b.network.Cut() },
-		"silent at the end": func(b *bench) { time.Sleep(6000 * time.Millisecond); b.network.Silence() },
-		"cut twice": func(b *bench) {
-			b.network.Cut()
+	cases := map[string]func(f *fixture){
+		"no fault":          func(*fixture) {},
+		"cut":               func(f *fixture) { f.network.Cut() },
+		"silent":            func(f *fixture) { f.network.Silence() },
+		"cut at the end":    func(f *fixture) { time.Sleep(6000 * time.Millisecond); f.network.Cut() },
+		"silent at the end": func(f *fixture) { time.Sleep(6000 * time.Millisecond); f.network.Silence() },
+		"cut twice": func(f *fixture) {
+			f.network.Cut()
 			time.Sleep(2 * time.Second)
-			b.network.Cut()
+			f.network.Cut()
 		},
-		"silent, then cut": func(b *bench) {
-			b.network.Silence()
+		"silent, then cut": func(f *fixture) {
+			f.network.Silence()
 			time.Sleep(7 * time.Second)
-			b.network.Cut()
+			f.network.Cut()
 		},
 	}
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
+				f := newFixture(t)
 				go func() {
 					time.Sleep(3500 * time.Millisecond)
-					fault(b)
+					fault(f)
 				}()
 				sink, got := collect()
-				must.NoError(t, b.client.Forward(t.Context(), ownerAddress, newCall(), sink))
+				must.NoError(t, f.client.Forward(t.Context(), ownerAddress, newCall(), sink))
 				must.Eq(t, wholeAnswer(10), *got)
-				must.Eq(t, name == "no fault", b.network.Opened() == 1)
+				must.Eq(t, name == "no fault", f.network.Opened() == 1)
 				synctest.Wait()
-				must.Zero(t, b.handler.InFlight())
+				must.Zero(t, f.handler.InFlight())
 			})
 		})
 	}
 }
 
-// TestCancelReachesOwner: the owner hears of a caller that has gone away at
-// once, not when the window of a lost connection is over.
+// TestCancelReachesOwner checks that the owner cancels a call at once when its caller
+// leaves, and not only when the window of a lost connection ends.
 func TestCancelReachesOwner(t *testing.T) {
-	for name, fault := range map[string]func(b *bench){
-		"connection works": func(*bench) {},
-		"silent":           func(b *bench) { b.network.Silence() },
+	for name, fault := range map[string]func(f *fixture){
+		"connection works": func(*fixture) {},
+		"silent":           func(f *fixture) { f.network.Silence() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
+				f := newFixture(t)
 				ctx, cancel := context.WithCancel(t.Context())
 				go func() {
 					time.Sleep(3500 * time.Millisecond)
-					fault(b)
+					fault(f)
 					cancel()
 				}()
 				sink, _ := collect()
-				err := b.client.Forward(ctx, ownerAddress, newCall(), sink)
+				err := f.client.Forward(ctx, ownerAddress, newCall(), sink)
 				must.ErrorIs(t, err, snipeerror.ErrCanceled)
 				must.Eq(t, snipeerror.MayHaveRun, snipeerror.From(err).Outcome)
 				synctest.Wait()
-				must.Zero(t, b.handler.InFlight())
+				must.Zero(t, f.handler.InFlight())
 			})
 		})
 	}
 }
 
-// TestWindowEnds: a hop that nobody resumes is cancelled after the window.
+// TestWindowEnds checks that a hop that is not resumed is cancelled after the window.
 func TestWindowEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		b.handler.Execute = execute(1000)
+		f := newFixture(t)
+		f.handler.Execute = execute(1000)
 		ctx, cancel := context.WithCancel(t.Context())
-		b.client.Fresh = snipeupstream.NewFresh((&snipestand.Network{}).Dial)
-		b.client.HTTP = snipeupstream.NewPooled(b.network.Dial)
+		f.client.Fresh = snipeupstream.NewFresh((&snipestand.Network{}).Dial)
+		f.client.HTTP = snipeupstream.NewPooled(f.network.Dial)
 		go func() {
 			time.Sleep(3500 * time.Millisecond)
 			cancel()
 		}()
 		sink, _ := collect()
-		must.ErrorIs(t, b.client.Forward(ctx, ownerAddress, newCall(), sink), snipeerror.ErrCanceled)
+		must.ErrorIs(t, f.client.Forward(ctx, ownerAddress, newCall(), sink), snipeerror.ErrCanceled)
 		time.Sleep(9 * time.Second)
-		must.Eq(t, 1, b.handler.InFlight())
+		must.Eq(t, 1, f.handler.InFlight())
 		time.Sleep(2 * time.Second)
-		must.Zero(t, b.handler.InFlight())
+		must.Zero(t, f.handler.InFlight())
 	})
 }
 
 func TestForwardFails(t *testing.T) {
 	cases := map[string]struct {
-		prepare func(b *bench, c *snipecall.Call)
+		prepare func(f *fixture, c *snipecall.Call)
 		kind    error
 		outcome snipeerror.Outcome
 		chunks  int
 	}{
 		"nobody listens": {
-			func(b *bench, _ *snipecall.Call) {
-				b.client.HTTP = snipeupstream.NewPooled((&snipestand.Network{}).Dial)
+			func(f *fixture, _ *snipecall.Call) {
+				f.client.HTTP = snipeupstream.NewPooled((&snipestand.Network{}).Dial)
 			},
 			snipeerror.ErrNoUpstream, snipeerror.NotRun, 0,
 		},
 		"wrong secret": {
-			func(b *bench, _ *snipecall.Call) { b.client.Secret = "other" },
+			func(f *fixture, _ *snipecall.Call) { f.client.Secret = "other" },
 			snipeerror.ErrUnauthenticated, snipeerror.NotRun, 0,
 		},
 		"body too large": {
-			func(_ *bench, c *snipecall.Call) { c.Body = make([]byte, 101) },
+			func(_ *fixture, c *snipecall.Call) { c.Body = make([]byte, 101) },
 			snipeerror.ErrTooLarge, snipeerror.NotRun, 0,
 		},
 		"too many calls": {
-			func(b *bench, _ *snipecall.Call) { b.handler.MaxCalls = 0 },
+			func(f *fixture, _ *snipecall.Call) { f.handler.MaxCalls = 0 },
 			snipeerror.ErrOverloaded, snipeerror.NotRun, 0,
 		},
 		"owner restarted": {
-			func(b *bench, _ *snipecall.Call) {
+			func(f *fixture, _ *snipecall.Call) {
 				go func() {
 					time.Sleep(3500 * time.Millisecond)
-					_ = b.server.Close()
-					b.handler = &Handler{Secret: "s"}
-					b.serve()
+					_ = f.server.Close()
+					f.handler = &Handler{Secret: "s"}
+					f.serve()
 				}()
 			},
 			snipeerror.ErrIncomplete, snipeerror.MayHaveRun, 3,
 		},
 		"owner gone": {
-			func(b *bench, _ *snipecall.Call) {
+			func(f *fixture, _ *snipecall.Call) {
 				go func() {
 					time.Sleep(3500 * time.Millisecond)
-					_ = b.server.Close()
+					_ = f.server.Close()
 				}()
 			},
 			snipeerror.ErrIncomplete, snipeerror.MayHaveRun, 3,
 		},
 		"typed failure in the middle": {
-			func(b *bench, _ *snipecall.Call) {
-				b.handler.Execute = func(_ context.Context, _ *snipecall.Call, sink snipecall.Sink) error {
+			func(f *fixture, _ *snipecall.Call) {
+				f.handler.Execute = func(_ context.Context, _ *snipecall.Call, sink snipecall.Sink) error {
 					_ = sink(snipecall.Chunk{Sequence: 1, Data: []byte("chunk 1")})
 					return snipeerror.New(snipeerror.ErrMismatch, snipeerror.MayHaveRun, "other adapter")
 				}
@@ -237,18 +238,18 @@
 			snipeerror.ErrMismatch, snipeerror.MayHaveRun, 1,
 		},
 		"deadline": {
-			func(_ *bench, c *snipecall.Call) { c.Deadline = time.Now().Add(2500 * time.Millisecond) },
+			func(_ *fixture, c *snipecall.Call) { c.Deadline = time.Now().Add(2500 * time.Millisecond) },
 			snipeerror.ErrUpstreamFailed, snipeerror.MayHaveRun, 2,
 		},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
+				f := newFixture(t)
 				call := newCall()
-				c.prepare(b, call)
+				c.prepare(f, call)
 				sink, got := collect()
-				err := b.client.Forward(t.Context(), ownerAddress, call, sink)
+				err := f.client.Forward(t.Context(), ownerAddress, call, sink)
 				must.ErrorIs(t, err, c.kind)
 				must.Eq(t, c.outcome, snipeerror.From(err).Outcome)
 				must.Len(t, c.chunks, *got)
@@ -257,42 +258,43 @@
 	}
 }
 
-// TestAnswerOfOtherAdapter: an owner that answers for another adapter is not
-// listened to.
+// TestAnswerOfOtherAdapter checks that nothing is passed on of an answer for another
+// adapter.
 func TestAnswerOfOtherAdapter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		b.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		f := newFixture(t)
+		f.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(adapterHeader, "ash/plume@1")
 			_, _ = w.Write([]byte("id: 1\nevent: Last\ndata: x\n\n"))
 		})
 		sink, got := collect()
-		must.ErrorIs(t, b.client.Forward(t.Context(), ownerAddress, newCall(), sink), snipeerror.ErrMismatch)
+		must.ErrorIs(t, f.client.Forward(t.Context(), ownerAddress, newCall(), sink), snipeerror.ErrMismatch)
 		must.SliceEmpty(t, *got)
 	})
 }
 
-// TestNonIdempotentOnFreshConnection: a kept connection that has gone silent
-// never gets a call that may not be repeated.
+// TestNonIdempotentOnFreshConnection checks that a call that may not be repeated is
+// never sent on a reused connection, which may have gone silent.
 func TestNonIdempotentOnFreshConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		f := newFixture(t)
 		sink, _ := collect()
-		must.NoError(t, b.client.Forward(t.Context(), ownerAddress, newCall(), sink))
+		must.NoError(t, f.client.Forward(t.Context(), ownerAddress, newCall(), sink))
 		synctest.Wait()
-		b.network.Silence()
+		f.network.Silence()
 		call := newCall()
 		call.Idempotent = false
 		start := time.Now()
 		again, got := collect()
-		must.NoError(t, b.client.Forward(t.Context(), ownerAddress, call, again))
+		must.NoError(t, f.client.Forward(t.Context(), ownerAddress, call, again))
 		must.Eq(t, wholeAnswer(10), *got)
 		must.Eq(t, 10*time.Second, time.Since(start))
-		must.Eq(t, 2, b.network.Opened())
+		must.Eq(t, 2, f.network.Opened())
 	})
 }
 
-// TestBoundedMemory: a hop that nobody reads keeps no more than its bound.
+// TestBoundedMemory checks that a hop whose events are not read ends when the events
+// exceed maxBuffered.
 func TestBoundedMemory(t *testing.T) {
 	s := &session{call: newCall(), cancel: func() {}, window: time.Hour, done: make(chan struct{})}
 	defer s.close()
@@ -306,24 +308,24 @@
 	must.Less(t, 70, n)
 }
 
-// TestLargeWholeAnswer: an answer that is not streamed may be larger than a
-// chunk, also when its connection breaks.
+// TestLargeWholeAnswer checks that an answer that is not streamed may be larger than
+// a chunk, even if its connection breaks.
 func TestLargeWholeAnswer(t *testing.T) {
 	for name, cut := range map[string]bool{"no fault": false, "cut": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
+				f := newFixture(t)
 				data := make([]byte, 8<<20)
-				b.handler.Execute = func(_ context.Context, _ *snipecall.Call, sink snipecall.Sink) error {
+				f.handler.Execute = func(_ context.Context, _ *snipecall.Call, sink snipecall.Sink) error {
 					if cut {
 						time.Sleep(time.Second)
-						b.network.Cut()
+						f.network.Cut()
 						synctest.Wait()
 					}
 					return sink(snipecall.Chunk{Sequence: 1, Status: 200, ContentType: "text/plain", Data: data, Last: true})
 				}
 				size := 0
-				must.NoError(t, b.client.Forward(t.Context(), ownerAddress, newCall(), func(c snipecall.Chunk) error {
+				must.NoError(t, f.client.Forward(t.Context(), ownerAddress, newCall(), func(c snipecall.Chunk) error {
 					size = len(c.Data)
 					return nil
 				}))
@@ -333,31 +335,33 @@
 	}
 }
 
-// TestRefusalOnKeptConnection: the bound on writes of an earlier hop does not
-// cut a refusal on the same connection, which would read as "may have run".
+// TestRefusalOnKeptConnection guards against the write deadline of an earlier hop
+// cutting off a refusal on the same connection. The call would then be reported as
+// "may have run".
 func TestRefusalOnKeptConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
+		f := newFixture(t)
 		sink, _ := collect()
-		must.NoError(t, b.client.Forward(t.Context(), ownerAddress, newCall(), sink))
+		must.NoError(t, f.client.Forward(t.Context(), ownerAddress, newCall(), sink))
 		time.Sleep(20 * time.Second)
-		b.client.Secret = "other"
-		err := b.client.Forward(t.Context(), ownerAddress, newCall(), sink)
+		f.client.Secret = "other"
+		err := f.client.Forward(t.Context(), ownerAddress, newCall(), sink)
 		must.ErrorIs(t, err, snipeerror.ErrUnauthenticated)
 		must.Eq(t, snipeerror.NotRun, snipeerror.From(err).Outcome)
-		must.Eq(t, 1, b.network.Opened())
+		must.Eq(t, 1, f.network.Opened())
 	})
 }
 
-// TestSlowEntry: an entry that does not read for longer than a write to it may
-// take gets the whole answer all the same.
+// TestSlowEntry checks that an entry receives the whole answer even if it does not read
+// for longer than WriteTimeout.
 func TestSlowEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		// A paused clock does not go on while a beat waits for the session's lock.
-		b.handler.Beat = time.Hour
+		f := newFixture(t)
+		// The clock of the synctest bubble does not advance while a heartbeat waits for the
+		// session's lock.
+		f.handler.Beat = time.Hour
 		sink, got := collect()
-		must.NoError(t, b.client.Forward(t.Context(), ownerAddress, newCall(), func(c snipecall.Chunk) error {
+		must.NoError(t, f.client.Forward(t.Context(), ownerAddress, newCall(), func(c snipecall.Chunk) error {
 			if c.Sequence == 3 {
 				time.Sleep(8 * time.Second)
 			}
