--- a/snipemirror/follow.go
+++ b/snipemirror/follow.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return fromPeer, err
 	}
-	if f.Mirror.Lacks(page) {
+	if f.Mirror.LacksValues(page) {
 		f.needAll = true
 		return fromPeer, nil
 	}
--- a/snipemirror/snipemirror.go
+++ b/snipemirror/snipemirror.go
@@ -15,8 +15,8 @@
 //
 //   - A row never goes back to an older version.
 //   - A row without its value is applied only if its value is known.
-//   - A copy that another instance has not refreshed from the store for MaxAge is not
-//     applied, and the follower stops waiting for it; it reads the store instead.
+//   - A follower neither applies nor waits for a copy that another instance has not
+//     refreshed from the store for MaxAge. It reads the store instead.
 package snipemirror
 
 import (
@@ -159,9 +159,9 @@
 	slices.SortFunc(rows, func(a, b Row) int { return cmp.Compare(a.Key, b.Key) })
 }
 
-// Lacks reports whether a page leaves out values that this mirror does not have. Such a page
+// LacksValues reports whether a page leaves out values that this mirror does not have. Such a page
 // cannot be applied: all rows must be read.
-func (m *Mirror) Lacks(p Page) bool {
+func (m *Mirror) LacksValues(p Page) bool {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	for _, r := range p.Rows {
--- a/snipemirror/snipemirror_test.go
+++ b/snipemirror/snipemirror_test.go
@@ -141,7 +141,7 @@
 	must.Eq(t, 5, changed)
 }
 
-// TestRenewals guards against unchanged values being sent again. Some dozen instances each renew
+// TestRenewals guards against unchanged values being sent again. Dozens of instances each renew
 // their row every second, and all other instances need the new version: a row with an unchanged
 // value is passed on without it, but only to followers that have the value.
 func TestRenewals(t *testing.T) {
@@ -164,8 +164,8 @@
 	}, p.Rows)
 	incomplete := snipemirror.New()
 	incomplete.Apply(whole(2, renewed("a", 1)))
-	must.True(t, incomplete.Lacks(p))
-	must.False(t, follower.Lacks(p))
+	must.True(t, incomplete.LacksValues(p))
+	must.False(t, follower.LacksValues(p))
 	must.Len(t, 2, follower.Apply(p))
 	rows, _, err := follower.Rows(0)
 	must.NoError(t, err)
--- a/snipepeer/session.go
+++ b/snipepeer/session.go
@@ -130,7 +130,7 @@
 }
 
 // release detaches the current connection and starts the window, after which the
-// call is cancelled. The caller holds the lock.
+// call is canceled. The caller holds the lock.
 func (s *session) release() {
 	s.current.Store(nil)
 	if !s.ended && s.windowTimer == nil {
--- a/snipepeer/snipepeer_test.go
+++ b/snipepeer/snipepeer_test.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// TestWindowEnds checks that a hop that is not resumed is cancelled after the window.
+// TestWindowEnds checks that a hop that is not resumed is canceled after the window.
 func TestWindowEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
