--- a/snipemirror/snipemirror.go
+++ b/snipemirror/snipemirror.go
@@ -259,8 +259,8 @@
 	}
 }
 
-// Watch returns the changes after a position, and waits up to wait for a change or for the
-// first page. It returns all rows if the changes are no longer known one by one.
+// Watch returns the changes after a position, and waits up to wait for a newer position or for
+// the first page. It returns all rows if the changes are no longer known one by one.
 func (m *Mirror) Watch(ctx context.Context, after uint64, wait time.Duration) (Page, error) {
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
--- a/snipepeer/snipepeer.go
+++ b/snipepeer/snipepeer.go
@@ -297,7 +297,7 @@
 }
 
 // handleEvent delivers the next event in order. It ignores heartbeats and repeated
-// events, and returns errBroken for a gap.
+// events, and returns errBroken for a gap or another event without a number.
 func (h *hop) handleEvent(e snipestream.Event) error {
 	switch {
 	case e.ID > h.sequence+1, e.ID == 0 && e.Name != eventHeartbeat:
