--- a/snipeplatform/dynamo.go
+++ b/snipeplatform/dynamo.go
@@ -14,7 +14,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Names of the attributes of a row, and the conditions on them.
+// Names of the attributes of a row, and expressions of conditions on them.
 const (
 	attributePartition = "Partition"
 	attributeSort      = "Sort"
@@ -27,29 +27,29 @@
 	keyCondition     = "#partition = :partition"
 )
 
-// Dynamo is the settings of a table served over the DynamoDB protocol.
+// Dynamo holds the settings of a table that is served over the DynamoDB protocol.
 type Dynamo struct {
-	// Address is where the service listens.
+	// Address is the address at which the service listens.
 	Address netip.AddrPort
-	// Table is the table's name.
+	// Table is the name of the table.
 	Table string
 	// AccessKey and SecretKey sign the requests.
 	AccessKey string
 	SecretKey string
 	// Timeout bounds each request.
 	Timeout time.Duration
-	// Dial opens connections; nil for the usual dialler.
+	// Dial opens a connection to the service. If it is nil, the default dialer of net/http is used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Open returns the table. It makes no request.
+// Open returns a Table that uses the service. It makes no request.
 func (d Dynamo) Open() Table {
 	client := dynamodb.New(dynamodb.Options{
 		BaseEndpoint: aws.String("http://" + d.Address.String()),
 		Region:       "platform",
 		Credentials:  aws.CredentialsProviderFunc(d.credentials),
-		// Retries are decided by the duties: an unknown outcome must not be
-		// hidden by a library.
+		// Callers decide about retries. A retry by the library could hide that the outcome of an
+		// earlier attempt is unknown.
 		Retryer:    aws.NopRetryer{},
 		HTTPClient: &http.Client{Timeout: d.Timeout, Transport: &http.Transport{DialContext: d.Dial}},
 	})
@@ -61,6 +61,7 @@
 	return aws.Credentials{AccessKeyID: d.AccessKey, SecretAccessKey: d.SecretKey}, nil
 }
 
+// dynamoTable implements the functions of a Table.
 type dynamoTable struct {
 	client *dynamodb.Client
 	table  string
@@ -78,7 +79,7 @@
 	if len(out.Item) == 0 {
 		return Row{}, errors.Wrapf(ErrNotFound, "get %s/%s", key.Partition, key.Sort)
 	}
-	return rowOf(out.Item)
+	return decodeRow(out.Item)
 }
 
 func (t *dynamoTable) list(ctx context.Context, partition string) ([]Row, error) {
@@ -90,14 +91,14 @@
 			ConsistentRead:            aws.Bool(true),
 			KeyConditionExpression:    aws.String(keyCondition),
 			ExpressionAttributeNames:  map[string]string{"#partition": attributePartition},
-			ExpressionAttributeValues: map[string]types.AttributeValue{":partition": text(partition)},
+			ExpressionAttributeValues: map[string]types.AttributeValue{":partition": stringAttribute(partition)},
 			ExclusiveStartKey:         start,
 		})
 		if err != nil {
 			return nil, errors.Wrapf(ErrUnavailable, "list %s: %v", partition, err)
 		}
 		for _, item := range out.Items {
-			r, err := rowOf(item)
+			r, err := decodeRow(item)
 			if err != nil {
 				return nil, err
 			}
@@ -113,21 +114,22 @@
 func (t *dynamoTable) write(ctx context.Context, operation string, changes []Change) error {
 	items := make([]types.TransactWriteItem, 0, len(changes))
 	for _, c := range changes {
-		items = append(items, t.item(operation, c))
+		items = append(items, t.transactItem(operation, c))
 	}
-	var sent sending
-	_, err := t.client.TransactWriteItems(sent.watch(ctx), &dynamodb.TransactWriteItemsInput{
+	var tracker sendTracker
+	_, err := t.client.TransactWriteItems(tracker.trace(ctx), &dynamodb.TransactWriteItemsInput{
 		ClientRequestToken: aws.String(operation),
 		TransactItems:      items,
 	})
 	if err == nil {
 		return nil
 	}
-	return sent.writeError(err)
+	return tracker.classifyWriteError(err)
 }
 
-func (t *dynamoTable) item(operation string, c Change) types.TransactWriteItem {
-	condition, values := expect(c.Expect)
+// transactItem encodes a change as a conditional delete, condition check or put.
+func (t *dynamoTable) transactItem(operation string, c Change) types.TransactWriteItem {
+	condition, values := versionCondition(c.Expect)
 	switch {
 	case c.Delete:
 		return types.TransactWriteItem{Delete: &types.Delete{
@@ -141,8 +143,8 @@
 		}}
 	}
 	item := keyAttributes(c.Key)
-	item[attributeVersion] = number(c.Expect + 1)
-	item[attributeOperation] = text(operation)
+	item[attributeVersion] = numberAttribute(c.Expect + 1)
+	item[attributeOperation] = stringAttribute(operation)
 	item[attributeData] = &types.AttributeValueMemberB{Value: c.Data}
 	return types.TransactWriteItem{Put: &types.Put{
 		TableName: aws.String(t.table), Item: item,
@@ -150,27 +152,30 @@
 	}}
 }
 
-func expect(version uint64) (*string, map[string]types.AttributeValue) {
+// versionCondition returns the expression of the condition that a row has the version, and the
+// values in it. Version 0 requires that the row does not exist.
+func versionCondition(version uint64) (*string, map[string]types.AttributeValue) {
 	if version == 0 {
 		return aws.String(conditionAbsent), nil
 	}
-	return aws.String(conditionVersion), map[string]types.AttributeValue{":expected": number(version)}
+	return aws.String(conditionVersion), map[string]types.AttributeValue{":expected": numberAttribute(version)}
 }
 
 func keyAttributes(k Key) map[string]types.AttributeValue {
 	return map[string]types.AttributeValue{
-		attributePartition: text(k.Partition),
-		attributeSort:      text(k.Sort),
+		attributePartition: stringAttribute(k.Partition),
+		attributeSort:      stringAttribute(k.Sort),
 	}
 }
 
-func text(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
+func stringAttribute(s string) types.AttributeValue { return &types.AttributeValueMemberS{Value: s} }
 
-func number(n uint64) types.AttributeValue {
+func numberAttribute(n uint64) types.AttributeValue {
 	return &types.AttributeValueMemberN{Value: strconv.FormatUint(n, 10)}
 }
 
-func rowOf(item map[string]types.AttributeValue) (Row, error) {
+// decodeRow decodes the attributes of a row. Its errors wrap ErrUnavailable.
+func decodeRow(item map[string]types.AttributeValue) (Row, error) {
 	partition, ok1 := item[attributePartition].(*types.AttributeValueMemberS)
 	sort, ok2 := item[attributeSort].(*types.AttributeValueMemberS)
 	version, ok3 := item[attributeVersion].(*types.AttributeValueMemberN)
--- a/snipeplatform/guard.go
+++ b/snipeplatform/guard.go
@@ -8,11 +8,11 @@
 	"github.com/go-faster/errors"
 )
 
-// Priority orders the duties that share an instance's requests to the table.
+// Priority ranks the subsystems that share the rate of requests of one instance to the table.
 type Priority uint8
 
-// The priorities, the most urgent first. Leases and settings are bounded by
-// their design and always pass; they also find out when the table is back.
+// Priorities, from the most to the least urgent. Requests for leases and settings are bounded by
+// design and are always admitted. Their results also show when the table is available again.
 const (
 	Leases Priority = iota
 	Settings
@@ -21,44 +21,45 @@
 )
 
 const (
-	// burst is for how long an instance may save up its share.
-	burst = 5 * time.Second
-	// sweepReserve is the part of the burst that sweeps leave to claims.
+	// burstTime is the time for which an instance can accumulate unused requests of its share.
+	burstTime = 5 * time.Second
+	// sweepReserve is the fraction of the full burst that sweeps leave to claims.
 	sweepReserve = 0.5
-	// failuresDown is from how many failures in a row on the table counts as
-	// down, and probeEvery the time between two requests that try it then.
-	failuresDown = 3
-	probeEvery   = time.Second
+	// downThreshold is the number of consecutive failures from which the table counts as down.
+	// probeInterval is the interval at which single requests are then admitted as probes.
+	downThreshold = 3
+	probeInterval = time.Second
 )
 
-// Guard shares the table among the duties of one instance. Claims and sweeps
-// stay within the instance's share; while the table is down they are refused
-// at once instead of waiting for their time. Exported fields are set before
-// the first request. It is safe for concurrent use.
+// Guard limits the rate of the requests of one instance to the table, and shares that rate among
+// its subsystems. Claims and sweeps stay within the share of the instance. While the table is down
+// they are refused at once, apart from probes, instead of waiting until they time out. Exported
+// fields must be set before the first request. A Guard is safe for concurrent use.
 type Guard struct {
-	// Table is the table service.
+	// Table is the table to which admitted requests are sent.
 	Table Table
-	// Share returns how many requests a second this instance may make.
+	// Share returns the number of requests per second that this instance may send.
 	Share func() float64
 
 	lock     sync.Mutex // guards the fields below
 	tokens   float64
-	filled   time.Time
+	refilled time.Time
 	failures int
 	probed   time.Time
 }
 
-// For returns the table as a duty of a priority sees it.
+// For returns the table for requests of the given priority. Requests that are not admitted fail
+// with ErrUnavailable.
 func (g *Guard) For(p Priority) Table {
 	return Table{
 		Get: func(ctx context.Context, key Key) (Row, error) {
-			return guarded(g, p, func() (Row, error) { return g.Table.Get(ctx, key) })
+			return guardedRequest(g, p, func() (Row, error) { return g.Table.Get(ctx, key) })
 		},
 		List: func(ctx context.Context, partition string) ([]Row, error) {
-			return guarded(g, p, func() ([]Row, error) { return g.Table.List(ctx, partition) })
+			return guardedRequest(g, p, func() ([]Row, error) { return g.Table.List(ctx, partition) })
 		},
 		Write: func(ctx context.Context, operation string, changes []Change) error {
-			_, err := guarded(g, p, func() (struct{}, error) {
+			_, err := guardedRequest(g, p, func() (struct{}, error) {
 				return struct{}{}, g.Table.Write(ctx, operation, changes)
 			})
 			return err
@@ -66,51 +67,53 @@
 	}
 }
 
-func guarded[T any](g *Guard, p Priority, request func() (T, error)) (T, error) {
+// guardedRequest sends a request if it is admitted, and records its result.
+func guardedRequest[T any](g *Guard, p Priority, request func() (T, error)) (T, error) {
 	if err := g.admit(p); err != nil {
 		var zero T
 		return zero, err
 	}
 	v, err := request()
-	g.note(err)
+	g.recordResult(err)
 	return v, err
 }
 
-// admit counts a request, or refuses it.
+// admit takes a token for a request, or returns an error that wraps ErrUnavailable. Leases and
+// settings are always admitted.
 func (g *Guard) admit(p Priority) error {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	now := time.Now()
 	share := g.Share()
-	most := share * burst.Seconds()
-	if g.filled.IsZero() {
-		g.tokens = most
+	capacity := share * burstTime.Seconds()
+	if g.refilled.IsZero() {
+		g.tokens = capacity
 	}
-	g.tokens = min(most, g.tokens+share*now.Sub(g.filled).Seconds())
-	g.filled = now
+	g.tokens = min(capacity, g.tokens+share*now.Sub(g.refilled).Seconds())
+	g.refilled = now
 	if p < Claims {
 		g.tokens = max(g.tokens-1, 0)
 		return nil
 	}
-	if g.failures >= failuresDown {
-		if now.Sub(g.probed) < probeEvery {
+	if g.failures >= downThreshold {
+		if now.Sub(g.probed) < probeInterval {
 			return errors.Wrapf(ErrUnavailable, "%d failures in a row", g.failures)
 		}
 		g.probed = now
 	}
-	need := 1.0
+	required := 1.0
 	if p == Sweeps {
-		need = max(1, most*sweepReserve)
+		required = max(1, capacity*sweepReserve)
 	}
-	if g.tokens < need {
+	if g.tokens < required {
 		return errors.Wrap(ErrUnavailable, "this instance's share of requests is used up")
 	}
 	g.tokens--
 	return nil
 }
 
-// note counts failures in a row.
-func (g *Guard) note(err error) {
+// recordResult counts consecutive failures of requests.
+func (g *Guard) recordResult(err error) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	if errors.Is(err, ErrUnavailable) || errors.Is(err, ErrUnknown) {
--- a/snipeplatform/instances.go
+++ b/snipeplatform/instances.go
@@ -11,25 +11,25 @@
 	"github.com/go-faster/errors"
 )
 
-// maxInstanceList bounds the answer of the instance list in bytes.
+// maxInstanceList bounds the JSON document of the instance list in bytes.
 const maxInstanceList = 1 << 20
 
-// InstancesPath is where the platform serves its instance list.
+// InstancesPath is the path at which the platform serves its instance list.
 const InstancesPath = "/instances"
 
-// ListedInstance is an instance as the platform lists it. The list lags behind
-// reality: it names instances that are gone and lacks new ones.
+// ListedInstance is an entry of the instance list. The list lags behind: it contains instances that
+// have ended and lacks ones that have just started.
 type ListedInstance struct {
 	Name    string
 	Address netip.AddrPort
-	// Leaving tells that the platform is about to stop it.
+	// Leaving is set if the platform is about to stop the instance.
 	Leaving bool `json:",omitempty"`
 }
 
-// InstanceList is the platform's list of the system's own instances, served as
-// a JSON document over HTTP.
+// InstanceList reads the platform's list of the instances of this system, a JSON document that is
+// served over HTTP.
 type InstanceList struct {
-	// Address is where the platform serves the list.
+	// Address is the address at which the platform serves the list.
 	Address netip.AddrPort
 	// Timeout bounds each request.
 	Timeout time.Duration
@@ -38,7 +38,8 @@
 // instanceDocument is the JSON document of the list.
 type instanceDocument struct{ Instances []ListedInstance }
 
-// Read returns the list. Its errors wrap ErrUnavailable.
+// Read requests the list and returns its entries. The error wraps ErrUnavailable if the request or
+// the decoding of the list failed.
 func (l InstanceList) Read(ctx context.Context) ([]ListedInstance, error) {
 	bounded, cancel := context.WithTimeout(ctx, l.Timeout)
 	defer cancel()
--- a/snipeplatform/outcome.go
+++ b/snipeplatform/outcome.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Codes of the service by which a request was refused without an effect.
+// refusedCodes are the error codes with which the service refuses a request that has had no effect.
 var refusedCodes = map[string]bool{
 	"ProvisionedThroughputExceededException": true,
 	"RequestLimitExceeded":                   true,
@@ -21,22 +21,22 @@
 	"IdempotentParameterMismatchException":   true,
 }
 
-// conditionFailed is the reason of a cancelled transaction whose condition did
-// not hold; with other reasons it met another transaction or a throttle.
+// conditionFailed is the cancellation reason of a transaction with a condition that did not hold.
+// With other reasons a transaction conflicted with another one or was throttled.
 const conditionFailed = "ConditionalCheckFailed"
 
-// sending watches whether a request has left this process.
-type sending struct{ left atomic.Bool }
+// sendTracker records whether the headers of a request have been written to a connection.
+type sendTracker struct{ headersWritten atomic.Bool }
 
-// watch returns a context under which requests note that they have left. The
-// headers are written before the body: a request whose headers were not
-// written cannot be executed.
-func (s *sending) watch(ctx context.Context) context.Context {
-	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { s.left.Store(true) }})
+// trace returns a context whose requests record that their headers have been written. Headers are
+// written before the body, so the service cannot execute a request whose headers were not written.
+func (s *sendTracker) trace(ctx context.Context) context.Context {
+	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteHeaders: func() { s.headersWritten.Store(true) }})
 }
 
-// writeError tells a write that was refused from one whose outcome is unknown.
-func (s *sending) writeError(err error) error {
+// classifyWriteError wraps the error of a failed write in ErrConflict if a condition did not hold,
+// in ErrUnavailable if the write was refused or not sent, and otherwise in ErrUnknown.
+func (s *sendTracker) classifyWriteError(err error) error {
 	var canceled *types.TransactionCanceledException
 	if errors.As(err, &canceled) {
 		for _, r := range canceled.CancellationReasons {
@@ -53,7 +53,7 @@
 	if errors.As(err, &refused) && refusedCodes[refused.ErrorCode()] {
 		return errors.Wrapf(ErrUnavailable, "write: %v", err)
 	}
-	if !s.left.Load() {
+	if !s.headersWritten.Load() {
 		return errors.Wrapf(ErrUnavailable, "write not sent: %v", err)
 	}
 	return errors.Wrapf(ErrUnknown, "write: %v", err)
--- a/snipeplatform/outcome_test.go
+++ b/snipeplatform/outcome_test.go
@@ -21,26 +21,30 @@
 	rowKey       = snipeplatform.Key{Partition: "p", Sort: "s"}
 )
 
-// answer is a handler that fails with an exception.
-func answer(status int, body string) http.Handler {
+// respond returns a handler that sends a fixed status and body.
+func respond(status int, body string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/x-amz-json-1.0")
 		w.WriteHeader(status)
-		// The client may be gone.
+		// The write fails if the client has closed the connection.
 		_, _ = w.Write([]byte(body))
 	})
 }
 
+// exception returns a handler that fails with the named exception of the service. The rest is added
+// to the fields of its JSON document.
 func exception(name, rest string) http.Handler {
-	return answer(http.StatusBadRequest, `{"__type": "com.amazonaws.dynamodb.v20120810#`+name+`"`+rest+`}`)
+	return respond(http.StatusBadRequest, `{"__type": "com.amazonaws.dynamodb.v20120810#`+name+`"`+rest+`}`)
 }
 
+// hang never answers within the timeout of a request.
 func hang(http.ResponseWriter, *http.Request) { time.Sleep(time.Minute) }
 
+// abort closes the connection without an answer.
 func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// TestOutcome: a request that cannot have had an effect is told from one whose
-// outcome is unknown, and a failed read is never unknown.
+// TestOutcome guards against reporting a write that may have taken effect as not done, and a
+// request that cannot have had an effect, such as a failed read, as unknown.
 func TestOutcome(t *testing.T) {
 	tests := map[string]struct {
 		handler http.Handler
@@ -60,10 +64,10 @@
 		"hangs":      {handler: http.HandlerFunc(hang), write: snipeplatform.ErrUnknown, read: snipeplatform.ErrUnavailable},
 		"reply lost": {handler: http.HandlerFunc(abort), write: snipeplatform.ErrUnknown, read: snipeplatform.ErrUnavailable},
 		"internal error": {
-			handler: answer(http.StatusInternalServerError, `{"__type": "InternalServerError"}`),
+			handler: respond(http.StatusInternalServerError, `{"__type": "InternalServerError"}`),
 			write:   snipeplatform.ErrUnknown, read: snipeplatform.ErrUnavailable,
 		},
-		"not JSON": {handler: answer(http.StatusOK, `<html>`), write: snipeplatform.ErrUnknown, read: snipeplatform.ErrUnavailable},
+		"not JSON": {handler: respond(http.StatusOK, `<html>`), write: snipeplatform.ErrUnknown, read: snipeplatform.ErrUnavailable},
 		"throttled": {
 			handler: exception("ProvisionedThroughputExceededException", ""),
 			write:   snipeplatform.ErrUnavailable, read: snipeplatform.ErrUnavailable,
@@ -106,20 +110,20 @@
 				err = table.Write(t.Context(), "operation", []snipeplatform.Change{{Key: rowKey, Data: []byte("{}")}})
 				must.ErrorIs(t, err, tc.write)
 				network.Cut()
-				// Dials that nobody waits for come to their end.
+				// Wait until abandoned dials have ended.
 				time.Sleep(2 * time.Minute)
 			})
 		})
 	}
 }
 
-// TestGuard: leases pass always, claims and sweeps within the share, and
-// nothing but leases while the table is down.
+// TestGuard checks that leases are always admitted, that claims and sweeps are admitted within the
+// share of the instance, and that while the table is down they are admitted only as probes.
 func TestGuard(t *testing.T) {
 	tests := map[string]struct {
 		share float64
 		down  bool
-		// passed is how many of 100 requests in 10 s reach the table.
+		// passed is the number of requests that reach the table, of 100 sent in 10 s.
 		passed map[snipeplatform.Priority]int
 	}{
 		"enough": {100, false, map[snipeplatform.Priority]int{snipeplatform.Leases: 100, snipeplatform.Claims: 100, snipeplatform.Sweeps: 100}},
@@ -130,10 +134,10 @@
 		for priority, passed := range tc.passed {
 			t.Run(name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					reached := 0
+					received := 0
 					g := &snipeplatform.Guard{
 						Table: snipeplatform.Table{Get: func(context.Context, snipeplatform.Key) (snipeplatform.Row, error) {
-							reached++
+							received++
 							if tc.down {
 								return snipeplatform.Row{}, errors.Wrap(snipeplatform.ErrUnavailable, "down")
 							}
@@ -142,15 +146,15 @@
 						Share: func() float64 { return tc.share },
 					}
 					for range 100 {
-						began := time.Now()
+						start := time.Now()
 						_, err := g.For(priority).Get(t.Context(), rowKey)
 						if tc.down {
 							must.ErrorIs(t, err, snipeplatform.ErrUnavailable)
 						}
-						must.Zero(t, time.Since(began))
+						must.Zero(t, time.Since(start))
 						time.Sleep(100 * time.Millisecond)
 					}
-					must.Eq(t, passed, reached, must.Sprintf("priority %d", priority))
+					must.Eq(t, passed, received, must.Sprintf("priority %d", priority))
 				})
 			})
 		}
--- a/snipeplatform/settle.go
+++ b/snipeplatform/settle.go
@@ -9,19 +9,20 @@
 	"snipepitch.example/snipepitch/snipetime"
 )
 
-// Pauses between two sendings of one operation.
+// Delays between two attempts of one write. The delay doubles with each attempt up to maxDelay.
 const (
-	firstPause = 50 * time.Millisecond
-	maxPause   = time.Second
+	firstDelay = 50 * time.Millisecond
+	maxDelay   = time.Second
 )
 
-// Settle makes a write and finds out what became of it: while the outcome is
-// unknown it sends the same operation again, which does nothing when the first
-// sending took effect. The result is ErrUnknown only when ctx ended first; the
-// write may then still take effect.
+// Settle makes a write and determines its outcome. While the outcome is unknown, Settle repeats
+// the write with the same operation, which has no effect if an earlier attempt has taken effect.
+// After an unknown outcome ErrUnavailable does not end the attempts, since it concerns only the
+// last one. Settle returns ErrUnknown only if ctx ends first; the write may then still take
+// effect.
 func (t Table) Settle(ctx context.Context, operation string, changes []Change) error {
 	unknown := false
-	for pause := firstPause; ; pause = min(2*pause, maxPause) {
+	for delay := firstDelay; ; delay = min(2*delay, maxDelay) {
 		err := t.Write(ctx, operation, changes)
 		switch {
 		case err == nil || errors.Is(err, ErrConflict):
@@ -33,7 +34,7 @@
 		if !unknown {
 			return err
 		}
-		if !snipetime.Sleep(ctx, pause) {
+		if !snipetime.Sleep(ctx, delay) {
 			return errors.Wrapf(ErrUnknown, "%v, last: %v", ctx.Err(), err)
 		}
 	}
--- a/snipeplatform/snipeplatform.go
+++ b/snipeplatform/snipeplatform.go
@@ -1,14 +1,14 @@
-// Package snipeplatform is the only package that knows the platform's formats:
-// the table service (the DynamoDB protocol), the object store (the S3
-// protocol) and the instance list.
+// Package snipeplatform implements the clients of the platform's table service (the DynamoDB
+// protocol) and of its instance list. The rest of the project does not depend on these formats.
 //
-// Towards the rest of the project a table is the typed Table below, a set of
-// function fields, so that tests put a fake in its place. Every row has a
-// version that grows by one with each write; every write is conditional on the
-// versions that its author has read. A write has three results: done, not done
-// (ErrConflict, ErrUnavailable) and unknown (ErrUnknown: it may have taken
-// effect). Unknown is never folded into not done: whoever gets it reads the
-// rows again and looks for the operation's identifier.
+// Other packages use a table through Table, a struct of functions that tests replace with a fake.
+// Every row has a version that grows with each write, and every write is conditional on the
+// versions that the writer has read.
+//
+// A write has one of three results: done, not done (ErrConflict, ErrUnavailable), or unknown
+// (ErrUnknown), in which case it may have taken effect. An unknown result is never reported as not
+// done: a writer that receives ErrUnknown reads the rows again and looks for the identifier of its
+// operation.
 package snipeplatform
 
 import (
@@ -17,66 +17,66 @@
 	"github.com/go-faster/errors"
 )
 
-// Errors of the table service.
+// Errors of the table service. Errors with more detail wrap these.
 var (
-	// ErrNotFound: the row does not exist.
+	// ErrNotFound is returned if the row does not exist.
 	ErrNotFound = errors.New("row not found")
-	// ErrConflict: a condition did not hold; nothing was written.
+	// ErrConflict is returned if a condition of a write did not hold. Nothing was written.
 	ErrConflict = errors.New("write conflict")
-	// ErrUnavailable: the service did not take the request; nothing was written.
+	// ErrUnavailable is returned if a read failed, or if the service did not accept a write.
+	// Nothing was written.
 	ErrUnavailable = errors.New("table service unavailable")
-	// ErrUnread: the table has not been read yet.
+	// ErrUnread is returned if the table has not been read yet.
 	ErrUnread = errors.New("table not read yet")
-	// ErrHistory: the changes since the position asked for are no longer kept.
+	// ErrHistory is returned if the changes after the requested position are no longer kept.
 	ErrHistory = errors.New("history is gone")
-	// ErrUnknown: the request may have taken effect.
+	// ErrUnknown is returned if the outcome of a write is unknown. It may have taken effect.
 	ErrUnknown = errors.New("write outcome unknown")
 )
 
-// Answered reports whether the table has answered a write.
+// Answered reports whether err, the result of a write, is a definite answer of the table: the write
+// was done, or a condition did not hold.
 func Answered(err error) bool { return err == nil || errors.Is(err, ErrConflict) }
 
-// Key names a row.
+// Key identifies a row.
 type Key struct {
-	// Partition groups rows that are listed together.
+	// Partition is the group of rows that List returns together.
 	Partition string
-	// Sort orders rows within their partition.
+	// Sort identifies the row within its partition and determines its position in a list.
 	Sort string
 }
 
 // Row is one row of the table.
 type Row struct {
 	Key
-	// Version grows with each write: by one from 1 on in a table that counts for
-	// each row, by more in one that counts all writes together.
+	// Version grows with each write. In a table that counts the writes of each row it starts at 1
+	// and grows by one; in a table that counts all writes together it can grow by more.
 	Version uint64
-	// Operation identifies the write that made this version.
+	// Operation identifies the write that created this version.
 	Operation string
 	// Data is the row's JSON document.
 	Data []byte
 }
 
-// Change is one part of a transaction.
+// Change is the change of one row in a transaction.
 type Change struct {
 	Key
-	// Expect is the version that the row must have; 0 means that it must not
-	// exist.
+	// Expect is the version that the row must have. 0 requires that the row does not exist.
 	Expect uint64
-	// Data is the new document. Nil leaves the row as it is: the change only
-	// checks the version.
+	// Data is the new document. If it is nil, the row is left unchanged and only its version is
+	// checked.
 	Data []byte
-	// Delete removes the row instead.
+	// Delete removes the row, whatever Data holds.
 	Delete bool
 }
 
 // Table is the platform's transactional table service.
 type Table struct {
-	// Get reads one row, consistently.
+	// Get reads one row with a consistent read.
 	Get func(ctx context.Context, key Key) (Row, error)
-	// List reads all rows of a partition, consistently, in the order of Sort.
+	// List reads all rows of a partition with consistent reads, in the order of Sort.
 	List func(ctx context.Context, partition string) ([]Row, error)
-	// Write makes all changes or none. The operation identifies the write:
-	// it is stored in each changed row, and sending the same operation again
-	// does nothing more.
+	// Write applies all changes or none. The operation identifies the write: it is stored in each
+	// written row, and a repeated write with the same operation has no further effect.
 	Write func(ctx context.Context, operation string, changes []Change) error
 }
--- a/snipeplatform/traffic_bench_test.go
+++ b/snipeplatform/traffic_bench_test.go
@@ -17,11 +17,11 @@
 	"snipepitch.example/snipepitch/snipeupstream"
 )
 
-// rowData is the size of the document of an owner row, in bytes.
-const rowData = 120
+// documentBytes is the size of the document of an owner row.
+const documentBytes = 120
 
-// BenchmarkTraffic reports the bytes that one request to the table costs on
-// the wire, for the capacity page: a list of rows, a read and a write.
+// BenchmarkTraffic reports the bytes that one request to the table transfers, for the capacity
+// page. The requests are a list of rows, a read and a write.
 func BenchmarkTraffic(b *testing.B) {
 	for _, rows := range []int{60, 600} {
 		b.Run(fmt.Sprintf("list/rows=%d", rows), func(b *testing.B) {
@@ -53,19 +53,22 @@
 	})
 }
 
+// write writes a row of the size of an owner row.
 func write(ctx context.Context, table snipeplatform.Table, sort string, expect uint64) error {
 	return table.Write(ctx, fmt.Sprint("operation-", sort, "-", expect), []snipeplatform.Change{{
 		Key: snipeplatform.Key{Partition: "Owners", Sort: sort}, Expect: expect,
-		Data: []byte(strings.Repeat("x", rowData)),
+		Data: []byte(strings.Repeat("x", documentBytes)),
 	}})
 }
 
+// countedTable returns a client of a simulated table with the given number of rows, and a counter
+// of the bytes that the client transfers.
 func countedTable(b *testing.B, rows int) (snipeplatform.Table, *snipemeter.Traffic) {
-	stand := snipestand.NewTable()
+	simulated := snipestand.NewTable()
 	for n := range rows {
-		must.NoError(b, write(b.Context(), stand.Client(), fmt.Sprintf("engine-%04d", n), 0))
+		must.NoError(b, write(b.Context(), simulated.Client(), fmt.Sprintf("engine-%04d", n), 0))
 	}
-	server := httptest.NewServer(stand)
+	server := httptest.NewServer(simulated)
 	b.Cleanup(server.Close)
 	traffic := snipemeter.New().Traffic("Platform")
 	table := snipeplatform.Dynamo{
@@ -75,6 +78,7 @@
 	return table, traffic
 }
 
+// report reports the bytes received and sent per operation.
 func report(b *testing.B, traffic *snipemeter.Traffic) {
 	received, sent := traffic.Bytes()
 	b.ReportMetric(float64(received)/float64(b.N), "received-bytes/op")
