--- a/snipelog/buffer.go
+++ b/snipelog/buffer.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// bufferLines is how many lines may wait for a slow reader of the log.
+	// bufferLines is the number of lines that the buffer holds while the reader of the log is slow.
 	bufferLines = 8192
-	// flushTime bounds the wait for the reader when the process ends.
+	// flushTime bounds the time for which the end of the process waits for buffered lines to be
+	// written.
 	flushTime = time.Second
 )
 
-// Buffer takes log lines and writes them in a duty of its own, so that a log
-// whose reader is slow or has stopped never holds up a call. Lines that do not
-// fit are dropped and counted.
+// Buffer is an io.Writer that buffers log lines and writes them in a separate goroutine, so that a
+// log whose reader is slow or has stopped never blocks a call. Lines that do not fit into the
+// buffer are dropped and counted.
 type Buffer struct {
 	out     io.Writer
 	ring    *snipering.Ring[[]byte]
 	dropped atomic.Uint64
 }
 
-// NewBuffer returns a buffer before out.
+// NewBuffer returns a buffer that writes to out once it is started.
 func NewBuffer(out io.Writer) *Buffer {
 	return &Buffer{out: out, ring: snipering.New[[]byte](bufferLines)}
 }
 
-// Write implements io.Writer. It never waits and never fails.
+// Write implements io.Writer. It copies one line into the buffer. It never blocks and never fails.
 func (b *Buffer) Write(line []byte) (int, error) {
 	if !b.ring.TryPush(append([]byte(nil), line...)) {
 		b.dropped.Add(1)
@@ -38,16 +39,16 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines that did not fit.
+// Dropped returns the number of lines that were dropped because the buffer was full.
 func (b *Buffer) Dropped() uint64 { return b.dropped.Load() }
 
-// Start starts the duty. The returned function ends it once the waiting lines
-// are written, or after a second: the reader may have stopped for good.
+// Start starts the goroutine that writes lines. The returned function waits until all buffered
+// lines are written, but at most flushTime, since the reader may have stopped for good.
 func (b *Buffer) Start() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		b.run(ctx)
 	}()
 	return func() {
@@ -55,13 +56,13 @@
 		t := time.NewTimer(flushTime)
 		defer t.Stop()
 		select {
-		case <-ended:
+		case <-done:
 		case <-t.C:
 		}
 	}
 }
 
-// run writes lines until ctx has ended and none is left.
+// run writes lines until ctx has ended and the buffer is empty.
 func (b *Buffer) run(ctx context.Context) {
 	for {
 		line, ok := b.ring.TryPop()
@@ -71,7 +72,7 @@
 				return
 			}
 		}
-		// A log that cannot be written has no other place to say so.
+		// There is no other place to report that the log cannot be written.
 		_, _ = b.out.Write(line)
 	}
 }
--- a/snipelog/buffer_test.go
+++ b/snipelog/buffer_test.go
@@ -12,20 +12,21 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// stuck is a log whose reader has stopped.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a log whose reader has stopped until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
 // Write implements io.Writer.
-func (s stuck) Write(p []byte) (int, error) {
-	<-s.release
+func (w blockedWriter) Write(p []byte) (int, error) {
+	<-w.release
 	return len(p), nil
 }
 
-// TestStuckReader: a log that nobody reads holds up neither calls nor the end.
+// TestStuckReader guards against a log whose reader has stopped blocking calls or the end of the
+// process.
 func TestStuckReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := stuck{make(chan struct{})}
-		b := snipelog.NewBuffer(s)
+		w := blockedWriter{make(chan struct{})}
+		b := snipelog.NewBuffer(w)
 		stop := b.Start()
 		l := snipelog.New(b, logrus.InfoLevel, "one")
 		start := time.Now()
@@ -36,11 +37,11 @@
 		must.Greater(t, 0, b.Dropped())
 		stop()
 		must.Eq(t, time.Second, time.Since(start))
-		close(s.release)
+		close(w.release)
 	})
 }
 
-// TestStopWritesAll: the last lines before the end are written.
+// TestStopWritesAll guards against losing the last lines before the process ends.
 func TestStopWritesAll(t *testing.T) {
 	var out bytes.Buffer
 	b := snipelog.NewBuffer(&out)
--- a/snipelog/catalogue_test.go
+++ b/snipelog/catalogue_test.go
@@ -8,7 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestCatalogue holds the operators' page against the events in the code.
+// TestCatalogue checks that the operators' page lists every event with its number, name and level,
+// and that no number is used twice.
 func TestCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../docs/operators/events.md")
 	must.NoError(t, err)
--- a/snipelog/events.go
+++ b/snipelog/events.go
@@ -2,7 +2,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Events of the daemon's life, 100 to 199.
+// Events of the lifecycle of the daemon, 100 to 199.
 var (
 	Started        = define(100, "Started", logrus.InfoLevel)
 	Ready          = define(101, "Ready", logrus.InfoLevel)
@@ -87,7 +87,7 @@
 	RecordRefused      = define(603, "RecordRefused", logrus.WarnLevel)
 )
 
-// Events of requests that are passed on, 210 to 239.
+// Events of requests that are forwarded to upstreams, 210 to 239.
 var (
 	RequestEnded     = define(210, "RequestEnded", logrus.InfoLevel)
 	RequestRefused   = define(211, "RequestRefused", logrus.InfoLevel)
@@ -100,7 +100,7 @@
 	HeaderAppeared   = define(218, "HeaderAppeared", logrus.InfoLevel)
 )
 
-// Events of what operators declared and of the directory, 310 to 339.
+// Events of the catalog, which operators declare, and of the directory of upstreams, 310 to 339.
 var (
 	CatalogInForce   = define(310, "CatalogInForce", logrus.InfoLevel)
 	CatalogStale     = define(311, "CatalogStale", logrus.WarnLevel)
@@ -123,7 +123,7 @@
 	UpstreamRests    = define(333, "UpstreamRests", logrus.WarnLevel)
 )
 
-// Events of the right to order engines, 480 to 499.
+// Events of the ownership of engines, which is the right to send them orders, 480 to 499.
 var (
 	OwnershipTaken    = define(480, "OwnershipTaken", logrus.InfoLevel)
 	OwnershipLost     = define(481, "OwnershipLost", logrus.WarnLevel)
--- a/snipelog/snipelog.go
+++ b/snipelog/snipelog.go
@@ -1,8 +1,8 @@
-// Package snipelog writes structured log lines with numbered events.
+// Package snipelog writes structured log lines for numbered events.
 //
-// An event's number never changes and is never given to another event, so that
-// operators can alert on it. docs/operators/events.md is the catalogue; a test
-// holds it against the list below.
+// The number of an event never changes and is never reused for another event, so that operators can
+// use it in alerts. The page docs/operators/events.md lists all events; a test compares it with the
+// events that this package defines.
 package snipelog
 
 import (
@@ -12,30 +12,31 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Event is one numbered kind of log line.
+// Event is a numbered kind of log line.
 type Event struct {
-	// Number identifies the event for good.
+	// Number identifies the event and never changes.
 	Number int
-	// Name is the event's short name, in Pascal case.
+	// Name is the short name of the event, in Pascal case.
 	Name string
 	// Level is the level at which the event is written.
 	Level logrus.Level
 }
 
-// Fields are the structured values of one line. Keys of teams or operators,
-// prompts and answers are never among them.
+// Fields are the structured values of one log line. They must not contain keys of teams or
+// operators, prompts or answers.
 type Fields = logrus.Fields
 
-// Logger writes events. Its methods are safe for concurrent use.
+// Logger writes log lines for events. Its methods are safe for concurrent use.
 type Logger struct {
 	entry *logrus.Entry
 }
 
-// timeFormat is that of RFC 3339 with milliseconds: what follows each other on several
-// instances lies a few milliseconds apart.
+// timeFormat is the RFC 3339 format with milliseconds, because successive events on several
+// instances are only a few milliseconds apart.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// New returns a logger that writes JSON lines to w.
+// New returns a logger that writes JSON lines of the given level and of more severe ones to w.
+// Every line has the name of the instance.
 func New(w io.Writer, level logrus.Level, instance string) *Logger {
 	l := logrus.New()
 	l.SetOutput(w)
@@ -47,12 +48,12 @@
 // Discard returns a logger that writes nothing.
 func Discard() *Logger { return New(io.Discard, logrus.PanicLevel, "") }
 
-// Log writes one line for e.
+// Log writes one line for the event e.
 func (l *Logger) Log(e Event, f Fields) {
 	l.entry.WithFields(f).WithField("Event", e.Number).WithField("Name", e.Name).Log(e.Level)
 }
 
-// Error writes one line for e with the error's text.
+// Error writes one line for the event e with the text of err.
 func (l *Logger) Error(e Event, err error, f Fields) {
 	l.entry.WithFields(f).WithField("Error", err.Error()).
 		WithField("Event", e.Number).WithField("Name", e.Name).Log(e.Level)
@@ -63,6 +64,7 @@
 	catalogue     []Event
 )
 
+// define adds an event to the catalogue.
 func define(number int, name string, level logrus.Level) Event {
 	catalogueLock.Lock()
 	defer catalogueLock.Unlock()
