--- a/snipetrace/generate.go
+++ b/snipetrace/generate.go
@@ -13,62 +13,64 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// ErrBadShape is returned for a shape that cannot be generated.
+// ErrBadShape is returned for a shape from which no trace can be generated.
 var ErrBadShape = errors.New("bad trace shape")
 
-// Popularity says how the adapters' popularity behaves over a trace.
+// Popularity is the way in which the popularity of the adapters changes over a trace.
 type Popularity string
 
-// The popularities. In all of them a few adapters are hot and most are cold.
+// Values of Popularity. With each of them a few adapters receive most of the calls.
 const (
-	// Steady keeps the order of popularity.
+	// Steady never changes the ranking of the adapters.
 	Steady Popularity = "steady"
-	// Shift replaces the order by another one at half of the length.
+	// Shift replaces the ranking by a random one at half of the length.
 	Shift Popularity = "shift"
-	// Drift moves driftShare of the adapters to other ranks, evenly over the
-	// length.
+	// Drift swaps the ranks of random pairs of adapters, evenly over the length. The number of
+	// swaps is driftShare times the number of adapters.
 	Drift Popularity = "drift"
-	// Storm makes the first team send stormFactor times its calls in the
-	// middle third, all of one class.
+	// Storm makes the first team send stormFactor times its usual calls in the middle third of the
+	// length. All additional calls have the same class.
 	Storm Popularity = "storm"
 )
 
-// Shape says what trace to generate.
+// Shape holds the parameters of a generated trace.
 type Shape struct {
-	// Seed makes the trace.
+	// Seed is the seed of the random source.
 	Seed uint64
-	// Calls is how many calls, over Length. A storm comes on top.
+	// Calls is the number of calls, evenly over Length. Crashing calls and the additional calls of
+	// a storm are not included.
 	Calls  int
 	Length time.Duration
-	// Popularity is how popularity behaves; Steady when empty.
+	// Popularity is the way in which popularity changes. Empty means Steady.
 	Popularity Popularity
-	// Teams are the callers' teams; each has Adapters adapters named
-	// adapter-N with the version 1 at the path TEAM/adapter-N/1.
+	// Teams are the teams of the callers. Each has as many adapters as Adapters states, named
+	// adapter-N, with version 1 at the path TEAM/adapter-N/1.
 	Teams    []string
 	Adapters int
-	// Service is a plain service that a part of the calls go to.
+	// Service is a plain service that receives serviceShare of the calls. Empty means none.
 	Service string
-	// Crashes is how many calls, evenly over Length, crash engines.
+	// Crashes is the number of additional calls, evenly over Length, that crash engines.
 	Crashes int
 	// Timeout is the deadline of each call.
 	Timeout time.Duration
 }
 
 const (
-	zipfExponent   = 1.2
-	serviceShare   = 0.15
-	unknownShare   = 0.02
-	streamShare    = 0.6
-	keylessShare   = 0.2 // of the calls to services
-	repeatShare    = 0.2 // of the calls to services
-	shortestAnswer = 4
-	longestAnswer  = 48
-	driftShare     = 0.35
-	stormFactor    = 5
-	maxCalls       = 1 << 20
+	zipfExponent    = 1.2
+	serviceShare    = 0.15
+	unknownShare    = 0.02
+	streamShare     = 0.6
+	keylessShare    = 0.2 // of the calls to services
+	idempotentShare = 0.2 // of the calls to services
+	shortestAnswer  = 4
+	longestAnswer   = 48
+	driftShare      = 0.35
+	stormFactor     = 5
+	maxCalls        = 1 << 20
 )
 
-// check returns ErrBadShape and the reason unless s can be generated.
+// check returns an error that wraps ErrBadShape and states the reason if no trace can be generated
+// from s.
 func (s Shape) check() error {
 	switch {
 	case len(s.Teams) == 0 || slices.Contains(s.Teams, ""):
@@ -85,18 +87,20 @@
 	return errors.Wrapf(ErrBadShape, "popularity %q", s.Popularity)
 }
 
-// generator is the state of one generation.
+// generator is the state of the generation of one trace.
 type generator struct {
 	Shape
 	random *rand.Rand
 	zipf   *rand.Zipf
-	// ranks has the adapter at each rank of popularity.
-	ranks   []int
-	drifted int
-	count   int
+	// ranks holds the number of the adapter at each rank, from the most to the least popular.
+	ranks []int
+	// swaps is the number of swaps that Drift has made, and count the number of generated records.
+	swaps int
+	count int
 }
 
-// Generate makes a trace with Zipf-like popularity, in the order of time.
+// Generate returns a trace in the order of time. The popularity of the adapters has a Zipf-like
+// distribution.
 func Generate(s Shape) ([]Record, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -110,20 +114,20 @@
 	all := make([]Record, 0, s.Calls)
 	for n := range s.Calls {
 		at := time.Duration(float64(s.Length) * float64(n) / float64(s.Calls))
-		g.move(n)
-		all = append(all, g.record(at, s.Teams[r.IntN(len(s.Teams))]))
+		g.updateRanks(n)
+		all = append(all, g.randomCall(at, s.Teams[r.IntN(len(s.Teams))]))
 		if (n+1)*(s.Crashes+1)/s.Calls != n*(s.Crashes+1)/s.Calls && n+1 < s.Calls {
-			all = append(all, g.crash(at))
+			all = append(all, g.crashingCall(at))
 		}
 		if s.Popularity == Storm && n >= s.Calls/3 && n < 2*s.Calls/3 {
-			all = append(all, g.storm(n, at)...)
+			all = append(all, g.stormCalls(n, at)...)
 		}
 	}
 	return all, nil
 }
 
-// move changes the order of popularity before call n.
-func (g *generator) move(n int) {
+// updateRanks changes the ranking of the adapters, if it is due, before call n.
+func (g *generator) updateRanks(n int) {
 	swap := func(i, j int) { g.ranks[i], g.ranks[j] = g.ranks[j], g.ranks[i] }
 	switch g.Popularity {
 	case Shift:
@@ -132,26 +136,26 @@
 		}
 	case Drift:
 		due := int(driftShare * float64(g.Adapters) * float64(n) / float64(g.Calls))
-		for ; g.drifted < due; g.drifted++ {
+		for ; g.swaps < due; g.swaps++ {
 			swap(g.random.IntN(g.Adapters), g.random.IntN(g.Adapters))
 		}
 	}
 }
 
-// storm returns the calls that a storm adds after call n.
-func (g *generator) storm(n int, at time.Duration) []Record {
+// stormCalls returns the calls that a storm adds after call n.
+func (g *generator) stormCalls(n int, at time.Duration) []Record {
 	extra := make([]Record, 0, stormFactor)
-	until := func(n int) int { return n * (stormFactor - 1) / len(g.Teams) }
-	for range until(n+1) - until(n) {
-		c := g.record(at, g.Teams[0])
+	extraBefore := func(n int) int { return n * (stormFactor - 1) / len(g.Teams) }
+	for range extraBefore(n+1) - extraBefore(n) {
+		c := g.randomCall(at, g.Teams[0])
 		c.Class = snipecall.Standard
 		extra = append(extra, c)
 	}
 	return extra
 }
 
-// crash returns a call that crashes engines.
-func (g *generator) crash(at time.Duration) Record {
+// crashingCall returns a call whose prompt crashes the engine that runs it.
+func (g *generator) crashingCall(at time.Duration) Record {
 	team, adapter := g.Teams[0], g.ranks[0]
 	g.count++
 	return Record{
@@ -162,7 +166,9 @@
 	}
 }
 
-func (g *generator) record(at time.Duration, team string) Record {
+// randomCall returns a call of a team to the service, to an adapter that does not exist, or to an
+// adapter chosen by popularity.
+func (g *generator) randomCall(at time.Duration, team string) Record {
 	r := g.random
 	c := Record{
 		At: snipejson.Duration(at), Team: team,
@@ -174,7 +180,7 @@
 	adapter := g.ranks[g.zipf.Uint64()]
 	switch p := r.Float64(); {
 	case p < serviceShare && g.Service != "":
-		g.serviceCall(&c)
+		g.makeServiceCall(&c)
 	case p < serviceShare+unknownShare:
 		c.Model, c.Code = "no-such-adapter@1", "UnknownAdapter"
 	default:
@@ -186,11 +192,13 @@
 	return c
 }
 
-func (g *generator) serviceCall(c *Record) {
+// makeServiceCall turns c into a call to the service, with no key, idempotent, or with a unique
+// key.
+func (g *generator) makeServiceCall(c *Record) {
 	c.Service = g.Service
 	switch p := g.random.Float64(); {
 	case p < keylessShare:
-	case p < keylessShare+repeatShare:
+	case p < keylessShare+idempotentShare:
 		c.Idempotent = true
 	default:
 		c.Key = fmt.Sprintf("key-%d-%d", g.Seed, g.count)
--- a/snipetrace/generate_test.go
+++ b/snipetrace/generate_test.go
@@ -10,6 +10,7 @@
 	"snipepitch.example/snipepitch/snipetrace"
 )
 
+// shape returns a shape with 3000 calls of two teams.
 func shape(p snipetrace.Popularity) snipetrace.Shape {
 	return snipetrace.Shape{
 		Seed: 3, Calls: 3000, Length: 30 * time.Second, Popularity: p, Teams: []string{"a", "b"},
@@ -17,8 +18,9 @@
 	}
 }
 
-// top returns the model that most calls of a part of a trace name.
-func top(records []snipetrace.Record) string {
+// mostCalled returns the model with the most calls, apart from calls to services and to adapters
+// that do not exist.
+func mostCalled(records []snipetrace.Record) string {
 	counts, best := map[string]int{}, ""
 	for _, r := range records {
 		if r.Path == "" {
@@ -32,6 +34,8 @@
 	return best
 }
 
+// TestGenerate guards against a trace that differs between two runs with the same seed, that
+// changes when it is written and read, or whose popularity does not change as its shape states.
 func TestGenerate(t *testing.T) {
 	steady, err := snipetrace.Generate(shape(snipetrace.Steady))
 	must.NoError(t, err)
@@ -51,18 +55,21 @@
 			half := len(records) / 2
 			switch p {
 			case snipetrace.Shift:
-				must.NotEq(t, top(records[:half]), top(records[half:]))
+				must.NotEq(t, mostCalled(records[:half]), mostCalled(records[half:]))
 			case snipetrace.Steady, snipetrace.Storm:
-				must.Eq(t, top(records[:half]), top(records[half:]))
+				must.Eq(t, mostCalled(records[:half]), mostCalled(records[half:]))
 			case snipetrace.Drift:
 				must.NotEq(t, steady, records)
 			}
-			// A storm adds 4 times the first team's half of a third.
+			// A storm adds 4 times the calls of the first team, which sends half of the calls, in a
+			// third of the length.
 			must.Eq(t, p == snipetrace.Storm, len(records) == 3000+2000)
 		})
 	}
 }
 
+// TestGenerateCrashes checks that a trace has the requested number of crashing calls, and that all
+// its records are valid.
 func TestGenerateCrashes(t *testing.T) {
 	s := shape(snipetrace.Steady)
 	s.Crashes = 3
@@ -78,6 +85,7 @@
 	must.Eq(t, 3, crashes)
 }
 
+// TestReadRefuses checks which lines are rejected as invalid records.
 func TestReadRefuses(t *testing.T) {
 	tests := map[string]string{
 		"neither model nor service": `{"Team":"t","Timeout":"1s"}`,
--- a/snipetrace/snipetrace.go
+++ b/snipetrace/snipetrace.go
@@ -1,9 +1,8 @@
-// Package snipetrace is the recorded trace: its format and its generation from
-// a seed.
+// Package snipetrace defines the format of traces of calls, and generates traces from a seed.
 //
-// A trace is a file of JSON documents, one a line, each a Record: one call
-// with its stated outcome. The format is documented in docs/trace.md. The same
-// Shape makes the same trace on every machine.
+// A trace is a file with one JSON document per line. Each document is a Record: a call and its
+// expected outcome. The format is documented in docs/trace.md. The same Shape yields the same trace
+// on every machine.
 package snipetrace
 
 import (
@@ -17,52 +16,52 @@
 	"snipepitch.example/snipepitch/snipejson"
 )
 
-// ErrBadRecord is returned for a line that is no valid record.
+// ErrBadRecord is returned for a record that is invalid.
 var ErrBadRecord = errors.New("bad trace record")
 
-// maxLine bounds one line of a trace in bytes.
+// maxLine bounds the length of a line of a trace in bytes.
 const maxLine = 1 << 20
 
-// Record is one call of a trace with its stated outcome.
+// Record is one call of a trace with its expected outcome.
 type Record struct {
-	// At is when the call starts, from the start of the replay.
+	// At is the time between the start of the replay and the start of the call.
 	At snipejson.Duration
-	// Team and Class are those of the caller.
+	// Team is the team of the caller, and Class the class of the call.
 	Team  string
 	Class snipecall.Class
-	// Model, Prompt, MaxTokens and Stream make a model call.
+	// Model, Prompt, MaxTokens and Stream are the fields of a model call.
 	Model     string `json:",omitempty"`
 	Prompt    string `json:",omitempty"`
 	MaxTokens int    `json:",omitempty"`
 	Stream    bool   `json:",omitempty"`
-	// Service makes a call to a plain service, with Prompt as the body, which
-	// no other record may have. It may be executed at most once unless
-	// Idempotent is set.
+	// Service is the plain service that a service call goes to. Prompt is its body, which must
+	// differ from the bodies of all other service calls of the trace. The call may be executed at
+	// most once unless Idempotent is set.
 	Service    string `json:",omitempty"`
 	Idempotent bool   `json:",omitempty"`
-	// Key is the request key. Without one a call that is not idempotent is
-	// never repeated once it may have run.
+	// Key is the request key. A call that has none and is not idempotent is never repeated once it
+	// may have run.
 	Key string `json:",omitempty"`
 	// Timeout is the caller's deadline.
 	Timeout snipejson.Duration
-	// Path is the stated outcome of a model call: where the weight store keeps
-	// the adapter that must answer. Empty when Code is set.
+	// Path is the expected outcome of a model call: the path in the weight store of the adapter
+	// that must answer. It is empty if Code is set.
 	Path string `json:",omitempty"`
-	// Crashes tells that the prompt crashes the engine that runs it: the call
-	// may crash MaxCrashes engines, however often it is sent, and is never
-	// answered.
+	// Crashes is set if the prompt crashes the engine that runs it. The call may crash at most
+	// MaxCrashes engines, however often it is sent, and is never answered.
 	Crashes bool `json:",omitempty"`
-	// Code is the stated outcome of a call that must be refused, as not run.
+	// Code is the expected outcome of a call that must be refused without being run: the error
+	// code.
 	Code string `json:",omitempty"`
 }
 
-// MaxCrashes is how many engines one call may crash.
+// MaxCrashes is the number of engines that one call may crash.
 const MaxCrashes = 2
 
-// Repeatable reports whether executing the call twice does no harm.
+// Repeatable reports whether the call may be executed more than once.
 func (r Record) Repeatable() bool { return r.Service == "" || r.Idempotent }
 
-// Check returns ErrBadRecord and the reason unless r is valid.
+// Check returns an error that wraps ErrBadRecord and states the reason if r is invalid.
 func (r Record) Check() error {
 	switch {
 	case r.Team == "":
@@ -81,7 +80,7 @@
 	return nil
 }
 
-// Read reads a whole trace.
+// Read reads a whole trace. An invalid line is reported with its number and ErrBadRecord.
 func Read(r io.Reader) ([]Record, error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLine)
