--- a/snipestory/cause.go
+++ b/snipestory/cause.go
@@ -9,7 +9,7 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// Kind is a kind of cause.
+// Kind identifies a kind of cause.
 type Kind string
 
 // Kinds of causes.
@@ -40,122 +40,127 @@
 	Pause           Kind = "Pause"
 )
 
-// Cause is why a request ended as it did.
+// Cause is the reason for the outcome of a request.
 type Cause struct {
 	Kind Kind
-	// Text says it in a sentence, with the figures that speak for it.
+	// Text describes the cause in a sentence, with the figures that support it.
 	Text string
 }
 
-// crashSlack is how long before or after an answer breaks off other signs of the same
-// upstream's end may be logged: three broken answers, or a lease's duration.
-const crashSlack = 4 * time.Second
+// failureWindow is the time before and after the end of a request in which other failures of the
+// same upstream may be logged. An upstream becomes suspect only after three requests in a row
+// without an answer, unless it cannot be reached at all, and its entry in the registry expires only
+// after the duration of its lease.
+const failureWindow = 4 * time.Second
 
-// evictionAge is how long before a request an eviction may explain that it met an
-// engine without its adapter: all instances know of it by then.
-const evictionAge = 4 * time.Second
+// evictionWindow is the time before the arrival of a request in which an eviction can explain that
+// the engine did not hold the adapter. All instances know of an older eviction.
+const evictionWindow = 4 * time.Second
 
-// explain returns the cause of a story and the lines that speak for it.
+// explain returns the cause of the outcome of a request and the lines that support it.
 func explain(s *Story) (Cause, []Line) {
 	if s.End == nil {
-		return Cause{Unknown, "the request has no end line: the instance was killed, or the line was dropped"}, s.lifecycle()
+		return Cause{Unknown, "no line reports the end of the request: the instance was killed, or the line was dropped"}, s.lifecycleLines()
 	}
 	switch s.End.Event {
 	case snipelog.RequestEnded.Number:
-		return s.late()
+		return s.explainAnswered()
 	case snipelog.RequestAbandoned.Number:
-		return Cause{CallerLeft, fmt.Sprintf("the caller left after %d ms", s.End.Milliseconds)}, []Line{*s.End}
+		return Cause{CallerLeft, fmt.Sprintf("the caller disconnected after %d ms", s.End.Milliseconds)}, []Line{*s.End}
 	case snipelog.RequestRefused.Number:
-		return s.refused()
+		return s.explainRefused()
 	default:
-		return s.failed()
+		return s.explainFailed()
 	}
 }
 
-// late explains an answer that was given.
-func (s *Story) late() (Cause, []Line) {
+// explainAnswered explains why a request was answered late or with too long a pause. The cause is
+// None if it was answered in time.
+func (s *Story) explainAnswered() (Cause, []Line) {
 	e := s.End
-	over := func(ms, target int64) bool { return target > 0 && ms > target }
+	exceeds := func(ms, target int64) bool { return target > 0 && ms > target }
 	switch {
-	case over(e.FirstMilliseconds, e.TargetMilliseconds) && 2*e.WaitedMilliseconds >= e.FirstMilliseconds:
-		text := fmt.Sprintf("%d of the %d ms to the answer's beginning were spent on waiting for adapter %s",
+	case exceeds(e.FirstMilliseconds, e.TargetMilliseconds) && 2*e.WaitedMilliseconds >= e.FirstMilliseconds:
+		text := fmt.Sprintf("%d of the %d ms until the answer began were spent waiting for adapter %s",
 			e.WaitedMilliseconds, e.FirstMilliseconds, e.Adapter)
-		return Cause{AdapterWait, text}, s.loads()
-	case over(e.FirstMilliseconds, e.TargetMilliseconds):
-		text := fmt.Sprintf("the answer began after %d ms, of which the adapter took %d; %.0f%% of the upstream's slots were thought to be taken",
+		return Cause{AdapterWait, text}, s.loadLines()
+	case exceeds(e.FirstMilliseconds, e.TargetMilliseconds):
+		text := fmt.Sprintf("the answer began after %d ms, of which %d were spent waiting for the adapter; an estimated %.0f%% of the upstream's slots were in use",
 			e.FirstMilliseconds, e.WaitedMilliseconds, 100*e.Busy)
-		return Cause{UpstreamWait, text}, append(s.repeats(), *e)
-	case over(e.PauseMilliseconds, e.PauseTargetMilliseconds):
-		text := fmt.Sprintf("the answer paused for %d ms, %d are allowed", e.PauseMilliseconds, e.PauseTargetMilliseconds)
-		return Cause{Pause, text}, append(s.repeats(), *e)
+		return Cause{UpstreamWait, text}, append(s.retries(), *e)
+	case exceeds(e.PauseMilliseconds, e.PauseTargetMilliseconds):
+		text := fmt.Sprintf("the answer paused for %d ms, the target is %d", e.PauseMilliseconds, e.PauseTargetMilliseconds)
+		return Cause{Pause, text}, append(s.retries(), *e)
 	default:
 		return Cause{None, fmt.Sprintf("answered in time, with status %d", e.Status)}, []Line{*e}
 	}
 }
 
-// identity explains a refusal for the request's key or quota; false where it was for something else.
-func (e *Line) identity() (Cause, bool) {
-	has := func(text string) bool { return strings.Contains(e.Error, text) }
+// explainAccess explains a refusal because of the key or the quota of a request, or because a newer
+// catalog may allow it. It returns false for any other refusal.
+func (e *Line) explainAccess() (Cause, bool) {
+	contains := func(text string) bool { return strings.Contains(e.Error, text) }
 	switch {
-	case has("no workspace has this key"), has("no key"):
-		return Cause{KeyUnknown, fmt.Sprintf("no workspace of catalog %d has its key", e.Catalog)}, true
-	case has("the key was taken away"):
-		return Cause{KeyTaken, fmt.Sprintf("its key was in catalog %d and was taken away while it waited", e.Catalog)}, true
-	case has("may have changed since it was read"):
-		return Cause{CatalogOld, fmt.Sprintf("nothing in catalog %d fits it, and a newer one may be in force", e.Catalog)}, true
-	case has("quota is used up"):
-		return Cause{QuotaUsed, fmt.Sprintf("workspace %s had no room for %.0f units in its quota", e.Workspace, e.Asked)}, true
+	case contains("no workspace has this key"), contains("no key"):
+		return Cause{KeyUnknown, fmt.Sprintf("no workspace in catalog %d has the key of the request", e.Catalog)}, true
+	case contains("the key was taken away"):
+		return Cause{KeyTaken, fmt.Sprintf("the key of the request was in catalog %d and was removed while the request waited", e.Catalog)}, true
+	case contains("may have changed since it was read"):
+		return Cause{CatalogOld, fmt.Sprintf("nothing in catalog %d matches the request, and a newer catalog may be in force", e.Catalog)}, true
+	case contains("quota is used up"):
+		return Cause{QuotaUsed, fmt.Sprintf("the quota of workspace %s had fewer units left than the %.0f that the request needed", e.Workspace, e.Asked)}, true
 	}
 	return Cause{}, false
 }
 
-// refused explains a request that nothing has run.
-func (s *Story) refused() (Cause, []Line) {
+// explainRefused explains why a request was refused without being run.
+func (s *Story) explainRefused() (Cause, []Line) {
 	e := s.End
 	end := []Line{*e}
-	has := func(text string) bool { return strings.Contains(e.Error, text) }
-	if c, known := e.identity(); known {
-		return c, append(s.lifecycle(), *e)
+	contains := func(text string) bool { return strings.Contains(e.Error, text) }
+	if c, known := e.explainAccess(); known {
+		return c, append(s.lifecycleLines(), *e)
 	}
 	switch {
-	case has("no routes are known"):
-		return Cause{RoutesUnknown, "the instance had read no routes yet"}, append(s.lifecycle(), *e)
-	case has("no route for this host"):
-		return Cause{NoRoute, "no declared route fits its host and path"}, end
-	case has("limits are reached"), has("takes no more requests now"):
-		return Cause{UpstreamClosed, "the upstreams that could serve it take no more requests now, by their own words"}, end
+	case contains("no routes are known"):
+		return Cause{RoutesUnknown, "the instance had not read any routes yet"}, append(s.lifecycleLines(), *e)
+	case contains("no route for this host"):
+		return Cause{NoRoute, "no declared route matches the host and path of the request"}, end
+	case contains("limits are reached"), contains("takes no more requests now"):
+		return Cause{UpstreamClosed, "the upstreams that could serve the request had signaled that they accept no more requests at the time"}, end
 	default:
-		return s.unserved()
+		return s.explainUnserved()
 	}
 }
 
-// unserved explains a refusal for want of an upstream that could serve the request.
-func (s *Story) unserved() (Cause, []Line) {
+// explainUnserved explains why no upstream could serve a request.
+func (s *Story) explainUnserved() (Cause, []Line) {
 	e := s.End
 	end := []Line{*e}
-	has := func(text string) bool { return strings.Contains(e.Error, text) }
+	contains := func(text string) bool { return strings.Contains(e.Error, text) }
 	switch {
-	case has("too many loads wait"):
-		return Cause{LoadsQueued, "the engines of adapter " + e.Adapter + " had more loads queued than fit into its time"}, append(s.loads(), *e)
-	case has("no engine has an owner"), has("no right to order"):
-		return Cause{NoOwner, "no live instance had the right to order the adapter's engines"}, append(s.ownership(), *e)
-	case has("status 421"), has("status 503") && e.Adapter != "":
-		return s.absent()
-	case has("status 503"), has("status 429"):
-		return Cause{UpstreamFull, fmt.Sprintf("%s had no room, and nothing else was tried", strings.Join(e.Tried, ", "))}, append(s.repeats(), *e)
-	case has("request not sent"), has("no upstream is left"), has("has no upstream"):
-		return Cause{UpstreamLost, "no upstream could be reached"}, append(s.upstreamSigns(crashSlack), *e)
-	case has("no time left"), has("deadline"):
-		return Cause{DeadlinePassed, "its time was over before an upstream could run it"}, append(s.repeats(), *e)
+	case contains("too many loads wait"):
+		return Cause{LoadsQueued, "the engines of adapter " + e.Adapter + " had more loads queued than could end before the deadline of the request"}, append(s.loadLines(), *e)
+	case contains("no engine has an owner"), contains("no right to order"):
+		return Cause{NoOwner, "no live instance owned the engines of the adapter and could order a load"}, append(s.ownershipLines(), *e)
+	case contains("status 421"), contains("status 503") && e.Adapter != "":
+		return s.explainAbsentAdapter()
+	case contains("status 503"), contains("status 429"):
+		return Cause{UpstreamFull, fmt.Sprintf("%s had no free capacity, and no other upstream was tried", strings.Join(e.Tried, ", "))}, append(s.retries(), *e)
+	case contains("request not sent"), contains("no upstream is left"), contains("has no upstream"):
+		return Cause{UpstreamLost, "no upstream could be reached"}, append(s.upstreamFailures(failureWindow), *e)
+	case contains("no time left"), contains("deadline"):
+		return Cause{DeadlinePassed, "the deadline passed before an upstream could run the request"}, append(s.retries(), *e)
 	default:
 		return Cause{Unknown, e.Error}, end
 	}
 }
 
-// absent explains a refusal by an engine that did not hold the adapter.
-func (s *Story) absent() (Cause, []Line) {
+// explainAbsentAdapter explains why an engine refused a request for an adapter: the adapter had
+// been replaced or evicted, or the engine did not hold it or was full.
+func (s *Story) explainAbsentAdapter() (Cause, []Line) {
 	e := s.End
-	from := e.begun().Add(-evictionAge)
+	from := e.arrival().Add(-evictionWindow)
 	var unloads, loads []Line
 	for _, l := range s.Lines {
 		if l.Event != snipelog.OrderGiven.Number || l.Adapter != e.Adapter || !slices.Contains(e.Tried, l.Engine) || l.Time.Before(from) {
@@ -169,39 +174,39 @@
 	}
 	switch {
 	case len(loads) > 0:
-		text := fmt.Sprintf("adapter %s was replaced by version %d on the engine that was asked", e.Adapter, loads[0].Version)
+		text := fmt.Sprintf("adapter %s was replaced by version %d on the engine that received the request", e.Adapter, loads[0].Version)
 		return Cause{AdapterReplaced, text}, append(loads, *e)
 	case len(unloads) > 0:
-		text := fmt.Sprintf("adapter %s was evicted from the engine %d ms before the request came",
-			e.Adapter, e.begun().Sub(unloads[len(unloads)-1].Time).Milliseconds())
+		text := fmt.Sprintf("adapter %s was evicted from the engine %d ms before the request arrived",
+			e.Adapter, e.arrival().Sub(unloads[len(unloads)-1].Time).Milliseconds())
 		return Cause{AdapterEvicted, text}, append(unloads, *e)
 	default:
-		text := fmt.Sprintf("the engine did not hold adapter %s, or was full; knowledge of the engines was %d ms old", e.Adapter, e.DirectoryAge)
-		return Cause{AdapterAbsent, text}, append(s.upstreamSigns(crashSlack), *e)
+		text := fmt.Sprintf("the engine did not hold adapter %s, or was full; the directory of upstreams was %d ms old", e.Adapter, e.DirectoryAge)
+		return Cause{AdapterAbsent, text}, append(s.upstreamFailures(failureWindow), *e)
 	}
 }
 
-// failed explains a request that may have run.
-func (s *Story) failed() (Cause, []Line) {
+// explainFailed explains the failure of a request that may have run.
+func (s *Story) explainFailed() (Cause, []Line) {
 	e := s.End
-	signs := s.upstreamSigns(crashSlack)
-	stops := s.with(snipelog.StopForced.Number)
+	failures := s.upstreamFailures(failureWindow)
+	stops := s.withEvents(snipelog.StopForced.Number)
 	switch {
 	case len(stops) > 0:
-		return Cause{StopCut, "the instance's planned stop ran out of time"}, append(stops, *e)
-	case len(signs) > 0:
-		return Cause{UpstreamLost, fmt.Sprintf("upstream %s ended or could not be reached: %s", signs[0].target(), e.Error)}, append(append(s.repeats(), signs...), *e)
+		return Cause{StopCut, "the planned stop of the instance reached its time limit before the request ended"}, append(stops, *e)
+	case len(failures) > 0:
+		return Cause{UpstreamLost, fmt.Sprintf("upstream %s ended or could not be reached: %s", failures[0].target(), e.Error)}, append(append(s.retries(), failures...), *e)
 	case strings.Contains(e.Error, "deadline"):
-		return Cause{DeadlinePassed, fmt.Sprintf("the upstream did not end within its time, %d ms", e.Milliseconds)}, append(s.repeats(), *e)
+		return Cause{DeadlinePassed, fmt.Sprintf("the upstream had not finished when the deadline passed, after %d ms", e.Milliseconds)}, append(s.retries(), *e)
 	case strings.Contains(e.Error, "receipt"), strings.Contains(e.Error, "another request"):
-		return Cause{UpstreamUnsure, "what the upstream sent was no answer to this request: " + e.Error}, append(s.repeats(), *e)
+		return Cause{UpstreamUnsure, "the answer of the upstream did not belong to this request, or was not signed: " + e.Error}, append(s.retries(), *e)
 	default:
-		return Cause{UpstreamBroke, "the upstream broke off or failed this one answer: " + e.Error}, append(s.repeats(), *e)
+		return Cause{UpstreamBroke, "the upstream aborted or failed this answer: " + e.Error}, append(s.retries(), *e)
 	}
 }
 
-// with returns the lines of some events.
-func (s *Story) with(events ...int) []Line {
+// withEvents returns the lines that have one of the events.
+func (s *Story) withEvents(events ...int) []Line {
 	var found []Line
 	for _, l := range s.Lines {
 		if slices.Contains(events, l.Event) {
@@ -211,35 +216,36 @@
 	return found
 }
 
-// repeats returns the lines of further attempts.
-func (s *Story) repeats() []Line { return s.with(snipelog.RequestSentAgain.Number) }
+// retries returns the lines that report further attempts of the request.
+func (s *Story) retries() []Line { return s.withEvents(snipelog.RequestSentAgain.Number) }
 
-// loads returns what became of the loads of the request's adapter.
-func (s *Story) loads() []Line {
-	return s.with(snipelog.AdapterPresent.Number, snipelog.LoadFailed.Number, snipelog.OrderUnknown.Number)
+// loadLines returns the lines that report the results of loads of the request's adapter.
+func (s *Story) loadLines() []Line {
+	return s.withEvents(snipelog.AdapterPresent.Number, snipelog.LoadFailed.Number, snipelog.OrderUnknown.Number)
 }
 
-// ownership returns the changes of who may order.
-func (s *Story) ownership() []Line {
-	return s.with(snipelog.OwnershipTaken.Number, snipelog.OwnershipLost.Number,
+// ownershipLines returns the lines that report changes of the ownership of engines.
+func (s *Story) ownershipLines() []Line {
+	return s.withEvents(snipelog.OwnershipTaken.Number, snipelog.OwnershipLost.Number,
 		snipelog.OwnershipStale.Number, snipelog.OwnershipFresh.Number)
 }
 
-// lifecycle returns the instance's own starts, stops and lost dependencies.
-func (s *Story) lifecycle() []Line {
-	return s.with(snipelog.Started.Number, snipelog.Stopping.Number, snipelog.StopForced.Number, snipelog.Stopped.Number,
+// lifecycleLines returns the lines that report that an instance started, stopped, or could not
+// refresh its catalog or directory.
+func (s *Story) lifecycleLines() []Line {
+	return s.withEvents(snipelog.Started.Number, snipelog.Stopping.Number, snipelog.StopForced.Number, snipelog.Stopped.Number,
 		snipelog.CatalogStale.Number, snipelog.DirectoryStale.Number)
 }
 
-// upstreamSigns returns the signs that the last upstream that was tried ended, or could
-// not be reached, within a time of the request's end.
-func (s *Story) upstreamSigns(within time.Duration) []Line {
+// upstreamFailures returns the lines that report that the last upstream that was tried became
+// suspect or ended, within the given time of the end of the request.
+func (s *Story) upstreamFailures(within time.Duration) []Line {
 	if len(s.End.Tried) == 0 {
 		return nil
 	}
 	last := s.End.Tried[len(s.End.Tried)-1]
-	signs := s.with(snipelog.UpstreamSuspect.Number, snipelog.UpstreamGone.Number)
-	return slices.DeleteFunc(signs, func(l Line) bool {
+	failures := s.withEvents(snipelog.UpstreamSuspect.Number, snipelog.UpstreamGone.Number)
+	return slices.DeleteFunc(failures, func(l Line) bool {
 		return l.Upstream != last || s.End.Time.Sub(l.Time).Abs() > within
 	})
 }
--- a/snipestory/line.go
+++ b/snipestory/line.go
@@ -7,11 +7,11 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrLine says that a line is no log line of an instance.
-var ErrLine = errors.New("no log line of an instance")
+// ErrLine is returned for a line that is not a log line of an instance.
+var ErrLine = errors.New("not a log line of an instance")
 
-// Line is one log line, with the fields that stories are told from. A field that the
-// line does not have is zero.
+// Line is a log line with the fields that a Story uses. Fields that are missing in the line are
+// zero.
 type Line struct {
 	Time     time.Time `json:"time"`
 	Instance string
@@ -19,7 +19,7 @@
 	Name     string
 	Error    string
 
-	// Of requests.
+	// Fields of requests.
 	Request      string
 	Route        string
 	Service      string
@@ -34,13 +34,13 @@
 	Holders      int
 	PromptTokens int
 	DirectoryAge int64
-	// Workspace is whose the request is by the catalog of version Catalog, Asked what it counts
-	// against its quota.
+	// Workspace is the workspace of the request according to version Catalog of the catalog. Asked
+	// is the number of units that the request counts against the quota of the workspace.
 	Workspace string
 	Catalog   int64
 	Asked     float64
-	// TargetMilliseconds is the objective of the route until the answer begins, and
-	// PauseTargetMilliseconds the longest pause in an answer that is on time.
+	// TargetMilliseconds is the route's target for the time until the answer begins, and
+	// PauseTargetMilliseconds its target for the longest pause in the answer.
 	TargetMilliseconds      int64
 	PauseTargetMilliseconds int64
 	WaitedMilliseconds      int64
@@ -48,18 +48,18 @@
 	PauseMilliseconds       int64
 	Milliseconds            int64
 
-	// Of engines and upstreams.
+	// Fields of engines and upstreams.
 	Engine   string
 	Upstream string
 	Action   string
 	Reply    string
 	Queued   int64
 
-	// Raw is the line as it was read.
+	// Raw is the unchanged text of the line.
 	Raw string `json:"-"`
 }
 
-// Decode reads one line. Its error wraps ErrLine.
+// Decode decodes one line. Its errors wrap ErrLine.
 func Decode(raw []byte) (Line, error) {
 	var l Line
 	if err := json.Unmarshal(raw, &l); err != nil {
@@ -72,12 +72,12 @@
 	return l, nil
 }
 
-// begun is when the request of an end line arrived.
-func (l Line) begun() time.Time {
+// arrival returns the time at which a request arrived, given the line of its end.
+func (l Line) arrival() time.Time {
 	return l.Time.Add(-time.Duration(l.Milliseconds) * time.Millisecond)
 }
 
-// target is the upstream or engine that the line is about; empty for none.
+// target returns the engine or upstream that the line names, or an empty string if it names none.
 func (l Line) target() string {
 	if l.Engine != "" {
 		return l.Engine
--- a/snipestory/read.go
+++ b/snipestory/read.go
@@ -10,28 +10,29 @@
 )
 
 const (
-	// longestLine bounds one log line in bytes; longer ones are passed over.
-	longestLine = 1 << 20
-	// maxChanges bounds the lines of changes that are kept: some 500 bytes each.
+	// maxLine bounds the length of a log line in bytes. Longer lines are skipped.
+	maxLine = 1 << 20
+	// maxChanges bounds the number of lines of changes that are kept. A line has about 500 bytes.
 	maxChanges = 1_000_000
 )
 
-// Log collects the lines that may concern one request.
+// Log collects the lines that can explain the outcome of one request.
 type Log struct {
-	id      string
-	own     []Line
-	changes []Line
-	// Unread counts the lines that could not be read or kept.
+	id           string
+	requestLines []Line
+	changes      []Line
+	// Unread counts the lines that were skipped because they are invalid, too long, or beyond
+	// maxChanges.
 	Unread int
 }
 
-// NewLog returns a log that collects for one request.
+// NewLog returns an empty log for the request with the given identifier.
 func NewLog(id string) *Log { return &Log{id: id} }
 
-// Read reads lines until r ends. Lines that are none of an instance are counted and
-// passed over: what else writes to the same file is no reason to stop.
+// Read reads lines until r ends. Lines that are not log lines of an instance are counted and
+// skipped, since other programs may write to the same file.
 func (l *Log) Read(r io.Reader) error {
-	lines := bufio.NewReaderSize(r, longestLine)
+	lines := bufio.NewReaderSize(r, maxLine)
 	for {
 		raw, long, err := lines.ReadLine()
 		if errors.Is(err, io.EOF) {
@@ -42,17 +43,17 @@
 		}
 		if long {
 			l.Unread++
-			if err := skip(lines); err != nil {
+			if err := skipLine(lines); err != nil {
 				return err
 			}
 			continue
 		}
-		l.take(raw)
+		l.add(raw)
 	}
 }
 
-// skip passes over the rest of a line that is too long.
-func skip(lines *bufio.Reader) error {
+// skipLine skips the rest of a line that is too long.
+func skipLine(lines *bufio.Reader) error {
 	for {
 		_, long, err := lines.ReadLine()
 		if err != nil && !errors.Is(err, io.EOF) {
@@ -64,7 +65,9 @@
 	}
 }
 
-func (l *Log) take(raw []byte) {
+// add keeps a line if it belongs to the request or to none, and counts a line that it cannot keep.
+// Empty lines and lines of other requests are ignored.
+func (l *Log) add(raw []byte) {
 	if len(raw) == 0 {
 		return
 	}
@@ -73,9 +76,9 @@
 	case err != nil:
 		l.Unread++
 	case line.Request == l.id:
-		l.own = append(l.own, line)
+		l.requestLines = append(l.requestLines, line)
 	case line.Request != "":
-		// Of another request.
+		// The line belongs to another request.
 	case len(l.changes) < maxChanges:
 		l.changes = append(l.changes, line)
 	default:
@@ -83,7 +86,7 @@
 	}
 }
 
-// isEnd reports whether an event is the end of a request.
+// isEnd reports whether an event reports the end of a request.
 func isEnd(event int) bool {
 	switch event {
 	case snipelog.RequestEnded.Number, snipelog.RequestRefused.Number,
--- a/snipestory/snipestory.go
+++ b/snipestory/snipestory.go
@@ -1,16 +1,16 @@
-// Package snipestory tells what became of one request from the log lines of any number
-// of instances, and the cause that they point to.
+// Package snipestory reconstructs what happened to one request from the log lines of any number of
+// instances, and derives the cause of its outcome.
 //
-// Design. Lines are read once, in any order and from any number of files. Kept are the
-// lines of the request itself and those that tell of a change of what an instance
-// believes (read.go); lines of other requests are dropped as they are read, so that
-// memory grows with the changes and not with the traffic. Tell puts the lines that
-// concern the request in the order of their times and derives a Cause (cause.go).
+// Design. Lines are read once, in any order and from any number of files. The package keeps the
+// lines of the request itself and the lines that report a change of an instance's state (read.go).
+// It drops the lines of other requests as it reads them, so that memory grows with the number of
+// changes and not with the traffic. Tell sorts the lines that concern the request by time and
+// derives a Cause (cause.go).
 //
 // Invariants:
 //
-//   - A cause names the lines that speak for it; without any it is Unknown.
-//   - Clocks of instances may differ: lines of different instances are compared with a
+//   - A cause comes with the lines that support it. Without such lines the cause is Unknown.
+//   - Clocks of instances may differ, so lines of different instances are compared with a
 //     tolerance of clockSlack.
 package snipestory
 
@@ -23,51 +23,52 @@
 )
 
 const (
-	// before is how long before a request arrived changes may still explain it: an
-	// eviction is known everywhere after two seconds, an outage is told once.
-	before = 10 * time.Second
-	// clockSlack is by how much the times of day of two instances may differ.
+	// windowBefore is the time before the arrival of a request in which changes can explain its
+	// outcome: all instances know of an eviction after two seconds, and an outage is logged once.
+	windowBefore = 10 * time.Second
+	// clockSlack is the maximum difference between the clocks of two instances.
 	clockSlack = 300 * time.Millisecond
-	// after is how long after its end changes may still explain it: the end of an upstream
-	// is known when its entry lapses.
-	after = crashSlack + clockSlack
+	// windowAfter is the time after the end of a request in which changes can explain its outcome:
+	// the end of an upstream is known only when its entry in the registry expires.
+	windowAfter = failureWindow + clockSlack
 )
 
-// ErrNoRequest says that no line has the request's identifier.
+// ErrNoRequest is returned if no line has the identifier of the request.
 var ErrNoRequest = errors.New("no line of this request")
 
-// Story is what is known of one request.
+// Story is the reconstructed history of one request.
 type Story struct {
-	// ID is the request's identifier.
+	// ID is the identifier of the request.
 	ID string
-	// Lines are those of the request and those that concern it, the earliest first.
+	// Lines holds the lines of the request and the changes that concern it, in the order of time.
 	Lines []Line
-	// End is the line of the request's end; nil when it is missing.
+	// End is the line that reports the end of the request; nil if it is missing.
 	End *Line
-	// Cause is why it ended so.
+	// Cause is the cause of the outcome.
 	Cause Cause
-	// Evidence are the lines that speak for the cause.
+	// Evidence holds the lines that support the cause.
 	Evidence []Line
 }
 
-// Tell returns the story of a request.
+// Tell returns the story of the request from the lines that have been read. It returns
+// ErrNoRequest if none of them is a line of the request.
 func (l *Log) Tell() (*Story, error) {
-	if len(l.own) == 0 {
+	if len(l.requestLines) == 0 {
 		return nil, errors.Wrap(ErrNoRequest, l.id)
 	}
-	own := slices.Clone(l.own)
-	slices.SortStableFunc(own, byTime)
+	requestLines := slices.Clone(l.requestLines)
+	slices.SortStableFunc(requestLines, byTime)
 	s := &Story{ID: l.id}
-	for _, line := range own {
+	for _, line := range requestLines {
 		if isEnd(line.Event) {
 			s.End = &line
 		}
 	}
-	from, to := span(own, s.End)
-	concerned := concerns(own)
-	s.Lines = own
+	from, to := changeWindow(requestLines, s.End)
+	scope := scopeOf(requestLines)
+	s.Lines = requestLines
 	for _, change := range l.changes {
-		if change.Time.Before(from) || change.Time.After(to) || !concerned.by(change) {
+		if change.Time.Before(from) || change.Time.After(to) || !scope.includes(change) {
 			continue
 		}
 		s.Lines = append(s.Lines, change)
@@ -79,45 +80,48 @@
 
 func byTime(a, b Line) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) }
 
-// span returns the time in which changes may explain a request.
-func span(own []Line, end *Line) (from, to time.Time) {
-	from, to = own[0].Time, own[len(own)-1].Time
-	if end != nil && end.begun().Before(from) {
-		from = end.begun()
+// changeWindow returns the time range in which changes can explain the outcome of a request.
+func changeWindow(requestLines []Line, end *Line) (from, to time.Time) {
+	from, to = requestLines[0].Time, requestLines[len(requestLines)-1].Time
+	if end != nil && end.arrival().Before(from) {
+		from = end.arrival()
 	}
-	return from.Add(-before), to.Add(after)
+	return from.Add(-windowBefore), to.Add(windowAfter)
 }
 
-// concern is what a request had to do with.
-type concern struct {
+// requestScope is the set of instances and upstreams that a request involved, and its adapter.
+type requestScope struct {
 	instances, upstreams map[string]bool
 	adapter              string
 }
 
-func concerns(own []Line) concern {
-	c := concern{instances: make(map[string]bool), upstreams: make(map[string]bool)}
-	for _, l := range own {
-		c.instances[l.Instance] = true
+// scopeOf returns the scope of a request from its own lines.
+func scopeOf(requestLines []Line) requestScope {
+	s := requestScope{instances: make(map[string]bool), upstreams: make(map[string]bool)}
+	for _, l := range requestLines {
+		s.instances[l.Instance] = true
 		for _, id := range l.Tried {
-			c.upstreams[id] = true
+			s.upstreams[id] = true
 		}
 		if l.Adapter != "" {
-			c.adapter = l.Adapter
+			s.adapter = l.Adapter
 		}
 	}
-	return c
+	return s
 }
 
-// by reports whether a change concerns the request: one of an upstream that it went to,
-// of its adapter anywhere, or of its own instance as a whole.
-func (c concern) by(change Line) bool {
-	adapter := change.Adapter == "" || change.Adapter == c.adapter
+// includes reports whether a change concerns the request. A change that names an adapter must name
+// that of the request. A change of an upstream must, if it names no adapter, be of one that the
+// request was sent to. A change without an upstream must be of an instance that handled the
+// request.
+func (s requestScope) includes(change Line) bool {
+	adapterMatches := change.Adapter == "" || change.Adapter == s.adapter
 	switch target := change.target(); {
 	case target == "":
-		return c.instances[change.Instance] && adapter
-	case c.upstreams[target]:
-		return adapter
+		return s.instances[change.Instance] && adapterMatches
+	case s.upstreams[target]:
+		return adapterMatches
 	default:
-		return change.Adapter != "" && change.Adapter == c.adapter
+		return change.Adapter != "" && change.Adapter == s.adapter
 	}
 }
--- a/snipestory/snipestory_test.go
+++ b/snipestory/snipestory_test.go
@@ -11,31 +11,32 @@
 	"snipepitch.example/snipepitch/snipestory"
 )
 
-// The lines are those of instances under faults, shortened to what stories are told from.
+// Log lines of instances under faults, shortened to the fields that a Story uses.
 const (
-	other    = `{"time":"2026-03-01T10:00:01.000Z","Instance":"i9","Event":210,"Name":"RequestEnded","Request":"q2","Status":200}`
-	appeared = `{"time":"2026-03-01T10:00:00.500Z","Instance":"i1","Event":320,"Name":"UpstreamAppeared","Upstream":"u7"}`
-	unload   = `{"time":"2026-03-01T10:00:00.900Z","Instance":"i3","Event":510,"Name":"OrderGiven","Action":"Unload","Adapter":"a5","Engine":"u1"}`
-	replace  = `{"time":"2026-03-01T10:00:00.950Z","Instance":"i3","Event":510,"Name":"OrderGiven","Action":"Load","Adapter":"a5","Version":3,"Engine":"u1"}`
-	elsehow  = `{"time":"2026-03-01T10:00:00.950Z","Instance":"i3","Event":510,"Name":"OrderGiven","Action":"Unload","Adapter":"a6","Engine":"u1"}`
-	present  = `{"time":"2026-03-01T10:00:01.900Z","Instance":"i3","Event":514,"Name":"AdapterPresent","Adapter":"a5","Engine":"u1","Queued":700,"Milliseconds":260}`
-	again    = `{"time":"2026-03-01T10:00:01.200Z","Instance":"i1","Event":212,"Name":"RequestSentAgain","Request":"q1","After":"x","Tried":["u1"],"Ran":1}`
-	gone     = `{"time":"2026-03-01T10:00:04.000Z","Instance":"i1","Event":322,"Name":"UpstreamGone","Upstream":"u1"}`
-	goneElse = `{"time":"2026-03-01T10:00:04.000Z","Instance":"i1","Event":322,"Name":"UpstreamGone","Upstream":"u2"}`
-	forced   = `{"time":"2026-03-01T10:00:01.900Z","Instance":"i1","Event":104,"Name":"StopForced"}`
-	stale    = `{"time":"2026-03-01T10:00:00.100Z","Instance":"i1","Event":482,"Name":"OwnershipStale","Error":"down"}`
-	started  = `{"time":"2026-03-01T10:00:01.000Z","Instance":"i1","Event":100,"Name":"Started"}`
-	startedX = `{"time":"2026-03-01T10:00:01.000Z","Instance":"i2","Event":100,"Name":"Started"}`
+	other        = `{"time":"2026-03-01T10:00:01.000Z","Instance":"i9","Event":210,"Name":"RequestEnded","Request":"q2","Status":200}`
+	appeared     = `{"time":"2026-03-01T10:00:00.500Z","Instance":"i1","Event":320,"Name":"UpstreamAppeared","Upstream":"u7"}`
+	unload       = `{"time":"2026-03-01T10:00:00.900Z","Instance":"i3","Event":510,"Name":"OrderGiven","Action":"Unload","Adapter":"a5","Engine":"u1"}`
+	replace      = `{"time":"2026-03-01T10:00:00.950Z","Instance":"i3","Event":510,"Name":"OrderGiven","Action":"Load","Adapter":"a5","Version":3,"Engine":"u1"}`
+	unloadOther  = `{"time":"2026-03-01T10:00:00.950Z","Instance":"i3","Event":510,"Name":"OrderGiven","Action":"Unload","Adapter":"a6","Engine":"u1"}`
+	present      = `{"time":"2026-03-01T10:00:01.900Z","Instance":"i3","Event":514,"Name":"AdapterPresent","Adapter":"a5","Engine":"u1","Queued":700,"Milliseconds":260}`
+	retried      = `{"time":"2026-03-01T10:00:01.200Z","Instance":"i1","Event":212,"Name":"RequestSentAgain","Request":"q1","After":"x","Tried":["u1"],"Ran":1}`
+	gone         = `{"time":"2026-03-01T10:00:04.000Z","Instance":"i1","Event":322,"Name":"UpstreamGone","Upstream":"u1"}`
+	goneOther    = `{"time":"2026-03-01T10:00:04.000Z","Instance":"i1","Event":322,"Name":"UpstreamGone","Upstream":"u2"}`
+	forced       = `{"time":"2026-03-01T10:00:01.900Z","Instance":"i1","Event":104,"Name":"StopForced"}`
+	stale        = `{"time":"2026-03-01T10:00:00.100Z","Instance":"i1","Event":482,"Name":"OwnershipStale","Error":"down"}`
+	started      = `{"time":"2026-03-01T10:00:01.000Z","Instance":"i1","Event":100,"Name":"Started"}`
+	startedOther = `{"time":"2026-03-01T10:00:01.000Z","Instance":"i2","Event":100,"Name":"Started"}`
 )
 
-// end is the line of request q1's end, after 800 ms.
+// end returns a line that reports the end of request q1 after 800 ms, with the given event and
+// fields.
 func end(event, fields string) string {
 	return `{"time":"2026-03-01T10:00:02.000Z","Instance":"i1","Event":` + event +
 		`,"Name":"End","Request":"q1","Milliseconds":800,"TargetMilliseconds":600,"PauseTargetMilliseconds":400,` + fields + `}`
 }
 
-// TestCauses leads from the lines of several instances to the cause and to the lines
-// that speak for it.
+// TestCauses guards against a wrong cause for a request, or evidence that does not support the
+// cause, when lines of other requests, adapters, engines and instances are in the logs too.
 func TestCauses(t *testing.T) {
 	tests := map[string]struct {
 		lines    []string
@@ -43,10 +44,10 @@
 		evidence []string
 	}{
 		"InTime":     {[]string{end("210", `"Status":200,"FirstMilliseconds":90`)}, snipestory.None, nil},
-		"AbsentLine": {[]string{again, started, startedX}, snipestory.Unknown, []string{"Started"}},
+		"AbsentLine": {[]string{retried, started, startedOther}, snipestory.Unknown, []string{"Started"}},
 		"CallerLeft": {[]string{end("214", `"Status":0`)}, snipestory.CallerLeft, nil},
 		"Evicted": {
-			[]string{unload, elsehow, end("211", `"Error":"status 421","Adapter":"a5","Tried":["u1"]`)},
+			[]string{unload, unloadOther, end("211", `"Error":"status 421","Adapter":"a5","Tried":["u1"]`)},
 			snipestory.AdapterEvicted,
 			[]string{"OrderGiven", "End"},
 		},
@@ -55,13 +56,13 @@
 			snipestory.AdapterReplaced,
 			[]string{"OrderGiven", "End"},
 		},
-		"LoadedNotReplaced": { // without an announced version any will do
+		"LoadedNotReplaced": { // a request without an announced version accepts any version
 			[]string{unload, replace, end("211", `"Error":"status 421","Adapter":"a5","Tried":["u1"]`)},
 			snipestory.AdapterEvicted,
 			[]string{"OrderGiven", "End"},
 		},
 		"Absent": {
-			[]string{elsehow, end("211", `"Error":"status 421","Adapter":"a5","Tried":["u1"]`)},
+			[]string{unloadOther, end("211", `"Error":"status 421","Adapter":"a5","Tried":["u1"]`)},
 			snipestory.AdapterAbsent,
 			[]string{"End"},
 		},
@@ -109,11 +110,11 @@
 		"Full":     {[]string{end("211", `"Error":"status 503","Tried":["u1"]`)}, snipestory.UpstreamFull, nil},
 		"Deadline": {[]string{end("213", `"Error":"deadline"`)}, snipestory.DeadlinePassed, nil},
 		"Lost": {
-			[]string{gone, goneElse, again, end("213", `"Error":"answer incomplete","Tried":["u1"]`)},
+			[]string{gone, goneOther, retried, end("213", `"Error":"answer incomplete","Tried":["u1"]`)},
 			snipestory.UpstreamLost,
 			[]string{"RequestSentAgain", "UpstreamGone", "End"},
 		},
-		"Broke":   {[]string{goneElse, end("213", `"Error":"answer incomplete","Tried":["u1"]`)}, snipestory.UpstreamBroke, nil},
+		"Broke":   {[]string{goneOther, end("213", `"Error":"answer incomplete","Tried":["u1"]`)}, snipestory.UpstreamBroke, nil},
 		"Foreign": {[]string{end("213", `"Error":"the answer has no receipt","Tried":["u1"]`)}, snipestory.UpstreamUnsure, nil},
 		"Stop":    {[]string{forced, end("213", `"Error":"answer incomplete","Tried":["u1"]`)}, snipestory.StopCut, []string{"StopForced", "End"}},
 		"LateForAdapter": {
@@ -133,7 +134,7 @@
 		t.Run(name, func(t *testing.T) {
 			must.StrContains(t, string(page), "`"+string(tt.kind)+"`")
 			log := snipestory.NewLog("q1")
-			// The order in which files are read does not matter.
+			// The order in which files are read must not change the result.
 			for n := len(tt.lines) - 1; n >= 0; n-- {
 				must.NoError(t, log.Read(strings.NewReader(tt.lines[n]+"\n"+other+"\n"+appeared+"\n")))
 			}
@@ -153,7 +154,7 @@
 	}
 }
 
-// TestNoRequest: an identifier that no line has is an error of its own.
+// TestNoRequest checks that ErrNoRequest is returned if no line has the identifier of the request.
 func TestNoRequest(t *testing.T) {
 	log := snipestory.NewLog("q7")
 	must.NoError(t, log.Read(strings.NewReader(other+"\n"+unload)))
@@ -161,7 +162,8 @@
 	must.ErrorIs(t, err, snipestory.ErrNoRequest)
 }
 
-// TestOtherLines: what is no log line of an instance is counted and hides nothing.
+// TestOtherLines guards against losing log lines after text that is not a log line of an instance,
+// such as a stack trace or a line that is too long. Such text must be counted.
 func TestOtherLines(t *testing.T) {
 	text := "goroutine 7 [running]:\n{}\n" + strings.Repeat("x", 3<<20) + "\n\n" + end("210", `"Status":200`)
 	log := snipestory.NewLog("q1")
@@ -171,17 +173,19 @@
 	must.NoError(t, err)
 }
 
-// TestReadFails: an error of the reader is not taken for the end.
+// TestReadFails guards against treating an error of the reader as the end of the log.
 func TestReadFails(t *testing.T) {
-	broken := errors.New("disk")
-	must.ErrorIs(t, snipestory.NewLog("q1").Read(failing{broken}), broken)
+	errDisk := errors.New("disk")
+	must.ErrorIs(t, snipestory.NewLog("q1").Read(failingReader{errDisk}), errDisk)
 }
 
-type failing struct{ err error }
+// failingReader is a reader that always fails.
+type failingReader struct{ err error }
 
-func (f failing) Read([]byte) (int, error) { return 0, f.err }
+func (r failingReader) Read([]byte) (int, error) { return 0, r.err }
 
-// FuzzDecode: no line ends the program, and what is taken has an event and a time.
+// FuzzDecode guards against a panic in Decode, and against accepting a line without an event or a
+// time.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{unload, present, end("210", `"Status":200`), "{", `{"Event":1}`, `{"Event":"1"}`} {
 		f.Add([]byte(seed))
