--- a/snipeinstance/bench_test.go
+++ b/snipeinstance/bench_test.go
@@ -29,9 +29,9 @@
 	"snipepitch.example/snipepitch/snipeupstream"
 )
 
-// The benchmarks run a whole system over loopback in one process: platform,
-// engine, and two instances, of which one owns the engine. What an instance
-// adds is the difference to calling the engine directly, in the same run.
+// The benchmarks run a complete system over loopback in one process: the platform, one engine, and
+// two instances, one of which owns the engine. The cost of an instance is the difference to calling
+// the engine directly in the same run.
 
 const (
 	benchKey    = "callers-key-not-to-be-logged"
@@ -40,9 +40,9 @@
 	benchChunks = 64
 )
 
-// benchEngine answers at once: the stand-in's own time would hide what an
-// instance adds. A gated stream sends each chunk when the benchmark has seen
-// the one before.
+// benchEngine answers calls at once and leaves all other requests to stand: the time that the
+// stand-in takes for a call would hide the cost of an instance. A chat stream sends each chunk only
+// after a receive from gate, which the benchmark sends when it has read the previous chunk.
 type benchEngine struct {
 	stand http.Handler
 	gate  chan struct{}
@@ -79,14 +79,14 @@
 	_, _ = fmt.Fprintf(w, "id: %d\ndata: [DONE]\n\n", chunks+1)
 }
 
-// path is one way to the engine.
+// path is one way to reach the engine: directly, through its owner, or through the other instance.
 type path struct {
 	name    string
 	address netip.AddrPort
 	model   string
 }
 
-// system is the whole system.
+// system is a complete system: platform, engine and two instances.
 type system struct {
 	engine *benchEngine
 	table  *snipestand.Table
@@ -94,13 +94,13 @@
 	client *http.Client
 	scheme string
 
-	// instances are the two; ended gets what each returned.
+	// instances are the two instances; ended receives the result of each one's serve.
 	instances []*Instance
 	ended     []chan error
 	log       lockedBuffer
 }
 
-// lockedBuffer collects the log of both instances.
+// lockedBuffer collects the log lines of both instances.
 type lockedBuffer struct {
 	lock sync.Mutex // guards text
 	text strings.Builder
@@ -118,7 +118,7 @@
 	return l.text.String()
 }
 
-// serve serves a handler on loopback and returns where.
+// serve serves a handler on loopback and returns its address.
 func serve(b testing.TB, h http.Handler) netip.AddrPort {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(b, err)
@@ -128,11 +128,11 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// ports are listeners that are open before their instance starts: a port that
-// was free a moment ago may be another process's by now.
+// ports holds listeners that are opened before their instance starts. If only the numbers of free
+// ports were reserved, another process could take a port in the meantime.
 type ports map[netip.AddrPort]net.Listener
 
-// open returns the address of a new listener.
+// open opens a listener and returns its address.
 func (p ports) open(b testing.TB) netip.AddrPort {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(b, err)
@@ -194,19 +194,19 @@
 		return s.paths[1].address.IsValid()
 	})
 	if change == nil {
-		s.warm(b)
+		s.waitAnswers(b)
 	}
 	return s
 }
 
-// warm waits until both instances answer.
-func (s *system) warm(b testing.TB) {
+// waitAnswers waits until both instances answer calls.
+func (s *system) waitAnswers(b testing.TB) {
 	for _, p := range s.paths[1:] {
-		wait(b, func() bool { return s.plain(p) == nil })
+		wait(b, func() bool { return s.complete(p) == nil })
 	}
 }
 
-// apply writes the settings.
+// apply writes the settings and reports whether they were accepted.
 func (s *system) apply(ctx context.Context, i *Instance, engine netip.AddrPort) bool {
 	hash, _ := snipetree.HashKey(benchKey).MarshalText()
 	platform := fmt.Sprintf(`{"WeightStore":{"LoadsPerSecond":10,"Concurrent":1},"Services":{},
@@ -227,7 +227,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	b.Fatal("the system did not get ready")
+	b.Fatal("the system did not become ready")
 }
 
 func (s *system) send(p path, route, body string) (*http.Response, error) {
@@ -246,8 +246,8 @@
 	return response, err
 }
 
-// plain makes one call whose answer is short.
-func (s *system) plain(p path) error {
+// complete makes one call whose answer is short.
+func (s *system) complete(p path) error {
 	response, err := s.send(p, snipeupstream.CompletionsPath, `{"model":"`+p.model+`","prompt":"order twelve cases","max_tokens":1}`)
 	if err != nil {
 		return err
@@ -260,8 +260,8 @@
 	return err
 }
 
-// stream makes one gated call and returns the time of each chunk from the
-// engine's leave to send it to its arrival.
+// stream makes one gated call. It appends to times the time of each chunk after the first, from
+// opening the gate for the chunk to its arrival.
 func (s *system) stream(p path, times []time.Duration) ([]time.Duration, error) {
 	go func() { s.engine.gate <- struct{}{} }()
 	response, err := s.send(p, snipeupstream.ChatPath, `{"model":"`+p.model+`","messages":[],"stream":true}`)
@@ -295,8 +295,8 @@
 	return float64(times[len(times)/2].Nanoseconds()) / 1e3
 }
 
-// BenchmarkAddedLatency takes turns between the ways and reports the medians,
-// in microseconds, of a plain call and of one chunk of a stream.
+// BenchmarkAddedLatency alternates between the paths and reports the medians, in microseconds, of a
+// short call and of one chunk of a stream.
 func BenchmarkAddedLatency(b *testing.B) {
 	s := newSystem(b, nil)
 	calls := make([][]time.Duration, len(s.paths))
@@ -305,7 +305,7 @@
 	for range b.N {
 		for n, p := range s.paths {
 			start := time.Now()
-			must.NoError(b, s.plain(p))
+			must.NoError(b, s.complete(p))
 			calls[n] = append(calls[n], time.Since(start))
 		}
 		for n, p := range s.paths {
@@ -321,9 +321,9 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkCost runs each way alone, eight calls at a time, and reports time,
-// processor time and allocations of all parts in the process; the difference
-// to "direct" is the instance's.
+// BenchmarkCost runs each path alone, with GOMAXPROCS short calls at a time or one stream at a
+// time, and reports the time, processor time and allocations of the whole process. The cost of the
+// instances is the difference to the path "direct".
 func BenchmarkCost(b *testing.B) {
 	s := newSystem(b, nil)
 	for _, p := range s.paths {
@@ -333,7 +333,7 @@
 			b.SetParallelism(1)
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					must.NoError(b, s.plain(p))
+					must.NoError(b, s.complete(p))
 				}
 			})
 			b.ReportMetric(float64((processorTime()-before).Nanoseconds())/1e3/float64(b.N), "cpu-us/op")
@@ -350,7 +350,7 @@
 	}
 }
 
-// processorTime is what the process has used.
+// processorTime returns the processor time that the process has used.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/snipeinstance/keys.go
+++ b/snipeinstance/certificates.go
@@ -9,12 +9,12 @@
 	"snipepitch.example/snipepitch/snipeupstream"
 )
 
-// keysPoll is the time between two reads of certificate files.
-const keysPoll = 10 * time.Second
+// certificatePoll is the time between two reads of the certificate files.
+const certificatePoll = 10 * time.Second
 
-// loadKeys reads the certificates of the listeners that have any.
-func (i *Instance) loadKeys() error {
-	i.keys = map[string]*snipecert.Keeper{}
+// loadCertificates reads the certificates of the listeners that use TLS.
+func (i *Instance) loadCertificates() error {
+	i.certificates = map[string]*snipecert.Keeper{}
 	for name, files := range map[string]*snipecert.Files{
 		"Callers":   i.Config.CallersTLS,
 		"Operators": i.Config.OperatorsTLS,
@@ -23,20 +23,20 @@
 		if files == nil {
 			continue
 		}
-		k := &snipecert.Keeper{Files: *files, Name: name, Poll: keysPoll, Log: i.Log}
+		k := &snipecert.Keeper{Files: *files, Name: name, Poll: certificatePoll, Log: i.Log}
 		if err := k.Load(); err != nil {
 			return errors.Wrapf(err, "%sTLS", name)
 		}
-		i.keys[name] = k
+		i.certificates[name] = k
 	}
 	return nil
 }
 
-// peerDial returns the dial of connections to peers, with TLS where the peers'
-// listener has it. Its bytes are counted for the purpose.
+// peerDial returns the dial function for connections to peers. It uses TLS if the peers' listener
+// does. The bytes of its connections are counted under purpose in the traffic metrics.
 func (i *Instance) peerDial(purpose string) snipeupstream.Dial {
 	counted := i.meter.Traffic(purpose).Dialer(snipeupstream.DialTCP())
-	if k := i.keys["Peers"]; k != nil {
+	if k := i.certificates["Peers"]; k != nil {
 		return k.Dialer(counted)
 	}
 	return counted
--- a/snipeinstance/claims.go
+++ b/snipeinstance/claims.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// sweepInterval is the time between two sweeps of an instance.
+	// sweepInterval is the time between two partitions that an instance sweeps.
 	sweepInterval = 10 * time.Second
-	// claimTimeout bounds a step of a claim before the dispatch.
+	// claimTimeout bounds each step of a claim before the call is dispatched.
 	claimTimeout = 2 * time.Second
 )
 
-// claimed puts the claims around a and returns what executes a call.
-func (i *Instance) claimed(
+// buildClaims wraps the attempts of a with claims and returns the function that executes a call.
+func (i *Instance) buildClaims(
 	guard *snipeplatform.Guard, a *sniperetry.Attempts,
 ) func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	i.claims = &snipeclaim.Claims{
 		Table: guard.For(snipeplatform.Claims), SweepTable: guard.For(snipeplatform.Sweeps), Instance: i.Config.Name, Serve: a.Serve, Dispatch: a.Execute,
-		Live: i.live, Mine: i.sweeps, Sweep: sweepInterval, Timeout: claimTimeout,
+		Live: i.live, Mine: i.sweepsPartition, Sweep: sweepInterval, Timeout: claimTimeout,
 		Operation: rand.Text, Log: i.Log,
 	}
 	a.Execute = i.claims.Execute
 	return i.claims.Call
 }
 
-// live reports whether an instance is thought to be alive.
+// live reports whether the membership considers an instance alive.
 func (i *Instance) live(name string) bool {
 	m, ok := i.members.Member(name)
 	return ok && m.Live()
 }
 
-// sweeps reports whether this instance has the highest score of all live ones
-// for a partition. Two instances that disagree on who lives both sweep, which
-// costs a write.
-func (i *Instance) sweeps(partition string) bool {
+// sweepsPartition reports whether this instance has the highest score of all live instances for a
+// partition. Instances that disagree on which members are live may both sweep a partition, which
+// costs one extra write.
+func (i *Instance) sweepsPartition(partition string) bool {
 	key := sniperoute.Hash(partition)
 	own := sniperoute.Score(key, sniperoute.Hash(i.Config.Name))
 	for _, m := range i.members.Members() {
@@ -52,11 +52,11 @@
 	return true
 }
 
-// tableRequests is how many requests a second all instances together may make
-// to the table for claims and sweeps, beside leases and settings.
+// tableRequests is the number of requests per second that all instances together may make to the
+// table for claims and sweeps. Requests for leases and settings count too but are never refused.
 const tableRequests = 1000
 
-// tableShare is this instance's part of tableRequests.
+// tableShare returns this instance's share of tableRequests, an equal one for each live instance.
 func (i *Instance) tableShare() float64 {
 	live := 0
 	for _, m := range i.members.Members() {
--- a/snipeinstance/health.go
+++ b/snipeinstance/health.go
@@ -14,29 +14,30 @@
 )
 
 const (
-	// healthTopic is the topic of announced states of engines.
+	// healthTopic is the membership topic on which owners announce the health of their engines.
 	healthTopic = "Health"
-	// healthTTL is how long an announced state counts unless it is renewed.
+	// healthTTL is how long an announced state is valid unless it is renewed.
 	healthTTL = 30 * time.Second
-	// healthInterval is the time between two looks at announcements and probes.
+	// healthInterval is the time between two polls of announcements and due probes.
 	healthInterval = 250 * time.Millisecond
 )
 
-// errNoProbe is returned for an upstream that is not in the settings.
-var errNoProbe = errors.New("unknown upstream")
+// errProbeFailed is returned by a probe of an upstream that is no engine in the settings and does
+// not accept a connection as an upstream of a plain service.
+var errProbeFailed = errors.New("unknown upstream")
 
-// health is this instance's part of finding upstreams that fail.
+// health detects failing upstreams and exchanges the health of engines with other instances.
 type health struct {
 	instance *Instance
 	tracker  *snipehealth.Tracker
-	// run executes calls at upstreams and observes them.
-	run func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
-	// heard has the version of the last digest by origin and key; it belongs
-	// to loop's goroutine.
-	heard map[string]uint64
+	// execute executes a call at its upstream and records the outcome in tracker.
+	execute func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
+	// versions holds the version of the last merged digest by origin and key. Only the goroutine of
+	// loop accesses it.
+	versions map[string]uint64
 }
 
-// announcedHealth is the announced state of an engine.
+// announcedHealth is the state of an engine as its owner announces it.
 type announcedHealth struct {
 	State  snipehealth.State
 	Reason snipehealth.Reason `json:",omitempty"`
@@ -45,7 +46,7 @@
 func (i *Instance) buildHealth() {
 	h := &health{instance: i}
 	h.tracker = &snipehealth.Tracker{Announce: h.announce, Log: i.Log}
-	h.run = h.tracker.Watch(i.dispatch.Run)
+	h.execute = h.tracker.Watch(i.dispatch.Run)
 	i.health = h
 }
 
@@ -55,21 +56,21 @@
 	return ok
 }
 
-// announce tells all instances the state of an owned engine; of a plain
-// service each instance sees enough by itself.
+// announce publishes the state of an engine that this instance owns to all instances. States of
+// plain services are not announced: every instance sends calls to them and observes them itself.
 func (h *health) announce(name string, s snipehealth.State, r snipehealth.Reason) {
 	if !h.owns(name) {
 		return
 	}
 	data, err := json.Marshal(announcedHealth{s, r})
 	if err != nil {
-		// Two numbers always encode.
+		// Both fields are numbers, which always encode.
 		panic(err)
 	}
 	h.instance.members.Announce(healthTopic, name, data, healthTTL)
 }
 
-// loop hears what others have announced and probes what is out.
+// loop merges the announcements of other instances and probes upstreams that are out.
 func (h *health) loop(ctx context.Context) error {
 	return snipetime.Every(ctx, healthInterval, h.step)
 }
@@ -78,21 +79,22 @@
 	if h.instance.settings.Current() == nil {
 		return
 	}
-	h.hear()
-	h.tracker.Step(ctx, h.probes, h.probe)
+	h.mergeAnnouncements()
+	h.tracker.Step(ctx, h.shouldProbe, h.probe)
 	for name, reason := range h.tracker.Outs() {
 		h.announce(name, snipehealth.Out, reason)
 	}
-	h.tracker.Forget(h.known)
+	h.tracker.Forget(h.declared)
 }
 
-func (h *health) hear() {
+// mergeAnnouncements applies the new announcements of other instances to the tracker.
+func (h *health) mergeAnnouncements() {
 	digests := h.instance.members.Digests(healthTopic)
-	heard := make(map[string]uint64, len(digests))
+	versions := make(map[string]uint64, len(digests))
 	for _, d := range digests {
 		key := d.Origin + "/" + d.Key
-		heard[key] = d.Version
-		if d.Origin == h.instance.Config.Name || h.heard[key] == d.Version {
+		versions[key] = d.Version
+		if d.Origin == h.instance.Config.Name || h.versions[key] == d.Version {
 			continue
 		}
 		var a announcedHealth
@@ -100,20 +102,20 @@
 			h.tracker.Hear(d.Key, a.State, a.Reason, healthTTL)
 		}
 	}
-	h.heard = heard
+	h.versions = versions
 }
 
-// known reports whether an upstream is in the settings.
-func (h *health) known(name string) bool {
+// declared reports whether the settings in force contain an upstream.
+func (h *health) declared(name string) bool {
 	p := h.instance.settings.Current().Platform
 	if _, ok := p.Engines[name]; ok {
 		return true
 	}
-	return h.service(name)
+	return h.isService(name)
 }
 
-// service reports whether an upstream is one of a plain service.
-func (h *health) service(name string) bool {
+// isService reports whether an upstream belongs to a plain service.
+func (h *health) isService(name string) bool {
 	for _, s := range h.instance.settings.Current().Platform.Services {
 		if _, ok := s.Upstreams[name]; ok {
 			return true
@@ -122,10 +124,12 @@
 	return false
 }
 
-// probes reports whether this instance probes an upstream.
-func (h *health) probes(name string) bool { return h.owns(name) || h.service(name) }
+// shouldProbe reports whether this instance probes an upstream: it owns the engine, or the upstream
+// belongs to a plain service.
+func (h *health) shouldProbe(name string) bool { return h.owns(name) || h.isService(name) }
 
-// probe asks an upstream whether it is up.
+// probe checks that an upstream is up: an engine must list its aliases, an upstream of a plain
+// service must accept a connection.
 func (h *health) probe(ctx context.Context, name string) error {
 	settings, ok := h.instance.settings.Current().Platform.Engines[name]
 	if ok {
@@ -133,8 +137,8 @@
 		_, err := e.Aliases(ctx)
 		return err
 	}
-	if h.instance.quarantine.answers(ctx, name) {
+	if h.instance.quarantine.acceptsConnection(ctx, name) {
 		return nil
 	}
-	return errors.Wrap(errNoProbe, name)
+	return errors.Wrap(errProbeFailed, name)
 }
--- a/snipeinstance/limits.go
+++ b/snipeinstance/limits.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// demandTopic is the topic of announced demands of limited teams.
+	// demandTopic is the membership topic on which instances announce the demand of limited teams.
 	demandTopic = "Demand"
-	// demandInterval is the time between two looks at demands.
+	// demandInterval is the time between two polls of announced demands.
 	demandInterval = time.Second
-	// heardTTL is how long a heard demand counts unless it is renewed; the
-	// announcement itself expires earlier when its instance falls silent.
-	heardTTL = 2 * demandInterval
+	// demandTTL is how long a received demand is valid unless the next poll renews it. The
+	// announcement itself expires earlier if its instance stops renewing it.
+	demandTTL = 2 * demandInterval
 )
 
-// limits is this instance's part of admission.
+// limits admits calls on this instance: by its own bound, by the limits of teams, and by the queue
+// of each upstream.
 type limits struct {
 	instance *Instance
 	teams    *snipelimit.Teams
@@ -50,7 +51,8 @@
 	return t.Platform.Limits[team]
 }
 
-// admit counts a call against the instance's bound and its team's limits.
+// admit counts a call against the bound of this instance and the limits of its team. The caller
+// calls the returned function when the call ends.
 func (l *limits) admit(c *snipecall.Call) (func(), error) {
 	i := l.instance
 	if i.callers.InFlight() > int64(i.Config.MaxCalls) {
@@ -59,7 +61,7 @@
 	return l.teams.Admit(c)
 }
 
-// queue returns the queue of an upstream that this instance executes calls at.
+// queue returns the queue of the call's upstream, where this instance executes calls.
 func (l *limits) queue(c *snipecall.Call) *snipelimit.Queue {
 	batch := l.instance.settings.Current().Platform.Engines[c.Upstream].Batch
 	l.lock.Lock()
@@ -69,13 +71,14 @@
 		q = snipelimit.NewQueue(batch)
 		l.queues[c.Upstream] = q
 	}
-	// An accepted edit of the batch is in force with the next call.
+	// An accepted change of the batch size takes effect with the next call.
 	q.Resize(batch)
 	return q
 }
 
-// gate admits a call at its upstream: in its turn, and beside no suspect. A
-// suspect waits for its own turn only.
+// gate admits a call at its upstream: the call waits in the upstream's queue and is then refused if
+// a suspect waits or runs at the upstream. A suspect skips the queue and waits only until it can
+// run alone. The caller calls the returned function with the call's failure when the call ends.
 func (l *limits) gate(ctx context.Context, c *snipecall.Call, alias string) (func(error), error) {
 	guard := l.instance.quarantine.guard
 	if c.Alone {
@@ -87,7 +90,7 @@
 	}
 	done, err := guard.Enter(ctx, c, alias)
 	if err != nil {
-		// It says nothing about the upstream's load.
+		// ErrCanceled: the refusal says nothing about the load of the upstream.
 		leave(snipeerror.New(snipeerror.ErrCanceled, snipeerror.NotRun, "kept free for a suspect"))
 		return nil, err
 	}
@@ -102,8 +105,8 @@
 	l.instance.members.Announce(demandTopic, team, data, ttl)
 }
 
-// loop announces and hears demands, and drops queues of upstreams that are no
-// longer in the settings.
+// loop exchanges demands with other instances and drops the queues of upstreams that are no longer
+// in the settings.
 func (l *limits) loop(ctx context.Context) error {
 	return snipetime.Every(ctx, demandInterval, func(context.Context) { l.step() })
 }
@@ -114,7 +117,7 @@
 		if err != nil || d.Origin == l.instance.Config.Name || !(demand >= 0) {
 			continue
 		}
-		l.teams.Hear(d.Key, d.Origin, demand, heardTTL)
+		l.teams.Hear(d.Key, d.Origin, demand, demandTTL)
 	}
 	l.teams.Step()
 	if l.instance.settings.Current() != nil {
@@ -122,11 +125,12 @@
 	}
 }
 
+// forget drops the queues of upstreams that are no longer in the settings.
 func (l *limits) forget() {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	for name := range l.queues {
-		if !l.instance.health.known(name) {
+		if !l.instance.health.declared(name) {
 			delete(l.queues, name)
 		}
 	}
--- a/snipeinstance/listen.go
+++ b/snipeinstance/listen.go
@@ -23,13 +23,13 @@
 	readHeaderTimeout = 10 * time.Second
 	keepAliveTimeout  = 2 * time.Minute
 	shutdownTimeout   = 5 * time.Second
-	// maxOperators bounds the connections of operators and scrapers.
+	// maxOperators bounds the connections of operators and metric scrapers.
 	maxOperators = 256
-	// overBound is the share of connections over the bound that are still
-	// answered, with a refusal; more are closed without an answer.
-	overBound = 8
-	// crowdedRetry is what a refused connection is told to wait.
-	crowdedRetry = time.Second
+	// refusalDivisor bounds the connections over a listener's limit that get a refusal as an
+	// answer: limit/refusalDivisor+1 of them. Further connections are closed without an answer.
+	refusalDivisor = 8
+	// overloadedRetryAfter is the Retry-After of requests on connections over the limit.
+	overloadedRetryAfter = time.Second
 )
 
 // listener is one of the instance's listeners.
@@ -39,12 +39,12 @@
 	handler http.Handler
 	// connections bounds the open connections.
 	connections int
-	// keys are those for TLS; nil for none.
-	keys *snipecert.Keeper
-	log  *snipelog.Logger
+	// certificate is the certificate for TLS; nil serves without TLS.
+	certificate *snipecert.Keeper
+	log         *snipelog.Logger
 }
 
-// connectionLog takes what net/http says about single connections.
+// connectionLog logs the errors that net/http reports about single connections.
 type connectionLog struct {
 	logger   *snipelog.Logger
 	listener string
@@ -58,45 +58,45 @@
 	return len(line), nil
 }
 
-// bounded counts the open connections of a listener, and those of them that
-// have a request.
-type bounded struct {
+// boundedListener counts its open connections and those that serve a request (active), and closes
+// new connections that are far over the limit.
+type boundedListener struct {
 	net.Listener
 	limit  int64
 	open   atomic.Int64
 	active atomic.Int64
 }
 
-// boundedConn is a connection that is counted until it is closed.
+// boundedConn is a connection that its listener counts until it is closed.
 type boundedConn struct {
 	net.Conn
-	over   bool
-	count  *bounded
-	done   atomic.Bool
-	active atomic.Bool
+	overLimit bool
+	listener  *boundedListener
+	closed    atomic.Bool
+	active    atomic.Bool
 }
 
 // Accept implements net.Listener.
-func (b *bounded) Accept() (net.Conn, error) {
+func (b *boundedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := b.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		n := b.open.Add(1)
-		counted := &boundedConn{Conn: c, over: n > b.limit, count: b}
-		if n <= b.limit+b.limit/overBound+1 {
+		counted := &boundedConn{Conn: c, overLimit: n > b.limit, listener: b}
+		if n <= b.limit+b.limit/refusalDivisor+1 {
 			return counted, nil
 		}
-		// There is nobody to tell.
+		// The connection is closed without an answer, so an error has no consequence.
 		_ = counted.Close()
 	}
 }
 
 // Close implements net.Conn.
 func (c *boundedConn) Close() error {
-	if c.done.CompareAndSwap(false, true) {
-		c.count.open.Add(-1)
+	if c.closed.CompareAndSwap(false, true) {
+		c.listener.open.Add(-1)
 		c.setActive(false)
 	}
 	return c.Conn.Close()
@@ -107,14 +107,14 @@
 		return
 	}
 	if active {
-		c.count.active.Add(1)
+		c.listener.active.Add(1)
 	} else {
-		c.count.active.Add(-1)
+		c.listener.active.Add(-1)
 	}
 }
 
-// inner returns the counted connection below TLS.
-func inner(c net.Conn) (*boundedConn, bool) {
+// unwrapConn returns the counted connection, below TLS if there is any.
+func unwrapConn(c net.Conn) (*boundedConn, bool) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
 	}
@@ -122,57 +122,57 @@
 	return b, ok
 }
 
-// follow is called by the server when a connection's state changes.
-func follow(c net.Conn, state http.ConnState) {
-	if b, ok := inner(c); ok {
+// trackState is the server's ConnState callback; it records which connections are active.
+func trackState(c net.Conn, state http.ConnState) {
+	if b, ok := unwrapConn(c); ok {
 		b.setActive(state == http.StateActive)
 	}
 }
 
-// overKey marks the context of a connection over the bound.
-type overKey struct{}
+// overLimitKey is the context key that marks a connection over the limit.
+type overLimitKey struct{}
 
-func markOver(ctx context.Context, c net.Conn) context.Context {
-	if b, ok := inner(c); ok && b.over {
-		return context.WithValue(ctx, overKey{}, true)
+func markOverLimit(ctx context.Context, c net.Conn) context.Context {
+	if b, ok := unwrapConn(c); ok && b.overLimit {
+		return context.WithValue(ctx, overLimitKey{}, true)
 	}
 	return ctx
 }
 
-// refuseOver answers requests on connections over the bound.
-func refuseOver(next http.Handler) http.Handler {
+// refuseOverLimit refuses requests on connections over the limit and passes all others to next.
+func refuseOverLimit(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.Context().Value(overKey{}) == nil {
+		if r.Context().Value(overLimitKey{}) == nil {
 			next.ServeHTTP(w, r)
 			return
 		}
 		w.Header().Set("Connection", "close")
-		snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "too many connections").After(crowdedRetry).Write(w, "")
+		snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "too many connections").After(overloadedRetryAfter).Write(w, "")
 	})
 }
 
-// server serves one listener.
+// server is the HTTP server of one listener.
 type server struct {
-	http   *http.Server
-	accept net.Listener
-	count  *bounded
+	http        *http.Server
+	listener    net.Listener
+	connections *boundedListener
 }
 
 func newServer(l listener, n net.Listener) *server {
-	s := &server{count: &bounded{Listener: n, limit: int64(l.connections)}}
-	s.accept = s.count
-	if l.keys != nil {
-		s.accept = tls.NewListener(s.count, l.keys.Server())
+	s := &server{connections: &boundedListener{Listener: n, limit: int64(l.connections)}}
+	s.listener = s.connections
+	if l.certificate != nil {
+		s.listener = tls.NewListener(s.connections, l.certificate.Server())
 	}
 	s.http = &http.Server{
-		Handler: refuseOver(l.handler), ConnContext: markOver, ConnState: follow, MaxHeaderBytes: 2 * maxHeader,
+		Handler: refuseOverLimit(l.handler), ConnContext: markOverLimit, ConnState: trackState, MaxHeaderBytes: 2 * maxHeader,
 		ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: keepAliveTimeout,
 		ErrorLog: log.New(&connectionLog{logger: l.log, listener: l.name}, "", 0),
 	}
 	return s
 }
 
-// listenTCP listens as the operating system does.
+// listenTCP opens a TCP listener.
 func listenTCP(ctx context.Context, address netip.AddrPort) (net.Listener, error) {
 	var config net.ListenConfig
 	return config.Listen(ctx, "tcp", address.String())
@@ -189,30 +189,31 @@
 	}
 	s := newServer(l, i.meter.Traffic(l.name).Listener(n))
 	g.Add(func() error {
-		err := s.http.Serve(s.accept)
+		err := s.http.Serve(s.listener)
 		if errors.Is(err, http.ErrServerClosed) {
 			return nil
 		}
 		i.Log.Error(snipelog.ListenerFailed, err, snipelog.Fields{"Listener": l.name})
 		return errors.Wrapf(err, "serve %s", l.name)
-	}, s.end)
+	}, s.shutdown)
 	return nil
 }
 
-// end closes the server: at once when the stop was forced, else after the last
-// bytes of answers are out, which a call's end does not wait for. It does not
-// wait for connections that have not brought a request, as Shutdown does.
-func (s *server) end(cause error) {
+// shutdown closes the server. A forced stop closes it at once. Otherwise shutdown waits up to
+// shutdownTimeout for active connections: a call counts as ended before the last bytes of its
+// answer are written. Unlike http.Server.Shutdown, it does not wait for connections that have not
+// sent a request yet.
+func (s *server) shutdown(cause error) {
 	if !errors.Is(cause, ErrForced) {
 		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
 		go func() {
 			defer cancel()
-			for ctx.Err() == nil && s.count.active.Load() > 0 {
+			for ctx.Err() == nil && s.connections.active.Load() > 0 {
 				time.Sleep(stopPoll)
 			}
 		}()
-		// What is left after the time is cut.
+		// Connections that are still active after the timeout are closed below.
 		_ = s.http.Shutdown(ctx)
 	}
 	_ = s.http.Close()
--- a/snipeinstance/listen_test.go
+++ b/snipeinstance/listen_test.go
@@ -19,15 +19,15 @@
 
 var testAddress = netip.MustParseAddrPort("10.0.0.9:1")
 
-// startServer serves a listener on a network in memory.
+// startServer serves a listener on an in-memory network.
 func startServer(n *snipestand.Network, l listener) *server {
 	l.log = snipelog.Discard()
 	s := newServer(l, n.Listen(testAddress))
-	go func() { _ = s.http.Serve(s.accept) }()
+	go func() { _ = s.http.Serve(s.listener) }()
 	return s
 }
 
-// get sends one request on a connection and returns its answer.
+// get sends one request on a connection and returns the status and body of the answer.
 func get(t *testing.T, c net.Conn) (int, string) {
 	_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	must.NoError(t, err)
@@ -38,8 +38,9 @@
 	return r.StatusCode, string(body)
 }
 
-// TestConnectionsAreBounded: over the bound a connection is told so; far over
-// it, it is closed; and one that closes makes room.
+// TestConnectionsAreBounded guards against connections that exceed a listener's limit: a connection
+// over the limit gets a refusal, one far over it is closed without an answer, and closing a
+// connection frees its slot.
 func TestConnectionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &snipestand.Network{}
@@ -77,12 +78,12 @@
 	})
 }
 
-// TestEndSendsWhatIsWritten: the last bytes of an answer go out although the
-// call has ended before them; a forced end does not wait.
+// TestEndSendsWhatIsWritten guards against a planned stop that cuts off an answer: the handler has
+// written it, but the bytes are sent only when the handler returns. A forced stop does not wait.
 func TestEndSendsWhatIsWritten(t *testing.T) {
 	for name, c := range map[string]struct {
-		cause error
-		whole bool
+		cause    error
+		complete bool
 	}{
 		"planned": {nil, true},
 		"forced":  {ErrForced, false},
@@ -102,9 +103,9 @@
 				_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 				must.NoError(t, err)
 				synctest.Wait()
-				go s.end(c.cause)
+				go s.shutdown(c.cause)
 				r, err := http.ReadResponse(bufio.NewReader(conn), nil)
-				if !c.whole {
+				if !c.complete {
 					must.Error(t, err)
 				} else {
 					must.NoError(t, err)
@@ -119,8 +120,8 @@
 	}
 }
 
-// TestEndDoesNotWaitForNothing: a connection that has brought no request, as a
-// balancer keeps them ready, does not hold the end.
+// TestEndDoesNotWaitForNothing guards against a stop that is delayed by connections without a
+// request, which a balancer opens in advance.
 func TestEndDoesNotWaitForNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &snipestand.Network{}
@@ -129,7 +130,7 @@
 		must.NoError(t, err)
 		synctest.Wait()
 		start := time.Now()
-		s.end(nil)
+		s.shutdown(nil)
 		must.Less(t, stopPoll, time.Since(start))
 		n.Cut()
 	})
--- a/snipeinstance/members.go
+++ b/snipeinstance/members.go
@@ -14,10 +14,11 @@
 	"snipepitch.example/snipepitch/snipeupstream"
 )
 
-// buildMembers makes this instance's part of the membership.
+// buildMembers creates the membership node of this instance.
 func (i *Instance) buildMembers(table snipeplatform.Table) {
 	c := i.Config
-	// An old connection may have gone silent and proves nothing.
+	// Each request opens a new connection: a pooled one may be dead without an error, so it does
+	// not show whether the peer can be reached.
 	fresh := snipeupstream.NewFresh(i.peerDial("Members"))
 	i.members = &snipemember.Node{
 		Self:     snipemember.Member{Name: c.Name, Address: c.Announced(), Domain: c.Domain},
@@ -28,13 +29,13 @@
 	}
 }
 
-// rowsEvery is the time between two reads of all lease rows for seeds, once
-// other instances are known.
-const rowsEvery = 10 * time.Minute
+// rowSeedInterval is the time between two reads of all lease rows for seeds once other instances
+// are known.
+const rowSeedInterval = 10 * time.Minute
 
-// seeds returns the instances that the platform lists and, while this instance
-// knows no other and now and then where there is no list, those that have lease
-// rows.
+// seeds returns the instances that the platform lists. While no other instance is known it adds
+// those that have lease rows. If other instances are known but the platform lists none, it returns
+// those that have lease rows, read every rowSeedInterval.
 func (i *Instance) seeds(ctx context.Context, table snipeplatform.Table) ([]snipemember.Seed, error) {
 	var all []snipemember.Seed
 	var listed error
@@ -49,10 +50,10 @@
 	if known && len(all) > 0 {
 		return all, nil
 	}
-	if known && time.Since(i.rowsRead) < rowsEvery {
+	if known && time.Since(i.rowSeedsRead) < rowSeedInterval {
 		return i.rowSeeds, nil
 	}
-	i.rowsRead = time.Now()
+	i.rowSeedsRead = time.Now()
 	instances, err := snipelease.ReadInstances(ctx, table)
 	for _, m := range instances {
 		all = append(all, snipemember.Seed{Name: m.Name, Address: m.PeerAddress})
@@ -64,16 +65,16 @@
 	return all, nil
 }
 
-// goneTimeout bounds the last word of an instance that ends, claimsTimeout the
-// wait for the rows of calls that have their answers.
+// goneTimeout bounds the announcement that this instance has left, claimsTimeout the wait for the
+// claim rows of calls that have their answers.
 const (
 	goneTimeout   = time.Second
 	claimsTimeout = 5 * time.Second
 )
 
-// gone ends what outlasts the calls and tells the others that this instance
-// ends.
-func (i *Instance) gone(ctx context.Context) {
+// finish waits for the claim rows that are still being written after the calls have ended, then
+// announces to the other members that this instance has left.
+func (i *Instance) finish(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		i.claims.Wait()
@@ -88,7 +89,7 @@
 	i.members.Gone(bounded)
 }
 
-// leaseMembers returns the part of the membership that the lease uses.
+// leaseMembers returns the functions of the membership that the lease holder uses.
 func (i *Instance) leaseMembers() snipelease.Members {
 	return snipelease.Members{
 		All:      func() ([]snipemember.Member, bool) { return i.members.Members(), i.members.Joined() },
--- a/snipeinstance/operators.go
+++ b/snipeinstance/operators.go
@@ -8,7 +8,8 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// buildOperators makes the operators' side and adds its peers' part to peers.
+// buildOperators creates the operator service and mounts the status service, through which other
+// instances query this one, on peers.
 func (i *Instance) buildOperators(peers *http.ServeMux) *snipeoperator.Server {
 	own := &snipeoperator.Own{
 		Name: i.Config.Name, Revision: i.revision, View: i.holder.View,
--- a/snipeinstance/quarantine.go
+++ b/snipeinstance/quarantine.go
@@ -19,65 +19,69 @@
 )
 
 const (
-	// quarantineTopic is the topic of announced crashes.
+	// quarantineTopic is the membership topic on which instances announce crash records.
 	quarantineTopic = "Quarantine"
-	// quarantineHold is how long a fingerprint is remembered, and refused once
-	// it is in quarantine, after its last crash.
+	// quarantineHold is how long after its last crash a fingerprint is remembered and, if it is in
+	// quarantine, refused.
 	quarantineHold = time.Hour
-	// clearedTTL is how long it is announced that a suspect is cleared.
+	// clearedTTL is how long the record of a cleared suspect is announced.
 	clearedTTL = time.Minute
-	// settleTime is longer than news take to reach every instance and attempts
-	// to move to a new coordinator.
+	// settleTime is how long no suspect starts after a crash or a change of the members. It is
+	// longer than an update takes to reach every instance and an attempt takes to move to a new
+	// coordinator.
 	settleTime = 3 * time.Second
-	// lingerTime bounds how long an upstream executes a call that was given up.
+	// lingerTime bounds how long an upstream keeps executing a call that was abandoned.
 	lingerTime = 5 * time.Second
-	// absorbInterval is the time between two looks at announced crashes.
-	absorbInterval = 200 * time.Millisecond
-	// membersAge is how long the list of members is used.
-	membersAge = 200 * time.Millisecond
+	// mergeInterval is the time between two polls of announced crash records.
+	mergeInterval = 200 * time.Millisecond
+	// membersMaxAge is how long a computed list of members is reused.
+	membersMaxAge = 200 * time.Millisecond
 )
 
-// quarantine is this instance's part of the quarantine.
+// quarantine connects the quarantine guard to the membership, the owners and the upstreams of this
+// instance.
 type quarantine struct {
 	instance *Instance
 	guard    *snipequarantine.Guard
 	self     string
 
-	lock    sync.Mutex // guards the fields below
+	lock    sync.Mutex // guards view, listed and members
 	view    *snipelease.View
-	when    time.Time
+	listed  time.Time // when members was computed
 	members []snipequarantine.Member
-	seen    map[string]uint64 // version of the last digest by origin and key
+	// versions holds the version of the last merged digest by origin and key. Only the goroutine of
+	// loop accesses it.
+	versions map[string]uint64
 }
 
-// memberID names one run of an instance's process.
+// memberID identifies one process of an instance; a restart changes it.
 func memberID(m snipelease.Instance) string { return m.Name + "/" + m.Incarnation }
 
 func (i *Instance) buildQuarantine() {
-	q := &quarantine{instance: i, self: memberID(i.holder.Self), seen: map[string]uint64{}}
+	q := &quarantine{instance: i, self: memberID(i.holder.Self), versions: map[string]uint64{}}
 	client := &snipequarantine.Client{
 		HTTP:    &snipepeer.SecretClient{Client: i.forward.HTTP, Secret: i.Config.PeerSecret},
 		Address: q.address,
 	}
 	registry := &snipequarantine.Registry{Self: q.self, Settle: settleTime, Linger: lingerTime, Hold: quarantineHold}
 	q.guard = &snipequarantine.Guard{
-		Registry: registry, Members: q.list, Begin: client.Begin, Finish: client.Finish, Replicate: client.Replicate,
-		Spread: q.spread, Run: i.execute, Isolation: &snipequarantine.Isolation{Linger: lingerTime},
+		Registry: registry, Members: q.liveMembers, Begin: client.Begin, Finish: client.Finish, Replicate: client.Replicate,
+		Spread: q.announce, Run: i.execute, Isolation: &snipequarantine.Isolation{Linger: lingerTime},
 		Mark: mark, Survived: q.survived, Log: i.Log,
 	}
 	registry.Announce = q.guard.Announce
 	i.quarantine = q
 }
 
-// list returns the members, this instance among them.
-func (q *quarantine) list() []snipequarantine.Member {
+// liveMembers returns the live instances that take part in the quarantine, including this one.
+func (q *quarantine) liveMembers() []snipequarantine.Member {
 	v := q.instance.holder.View()
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	if v == q.view && time.Since(q.when) < membersAge {
+	if v == q.view && time.Since(q.listed) < membersMaxAge {
 		return q.members
 	}
-	q.view, q.when = v, time.Now()
+	q.view, q.listed = v, time.Now()
 	all := []snipequarantine.Member{snipequarantine.NewMember(q.self, q.instance.Config.Domain)}
 	for name, m := range v.Instances {
 		known, ok := q.instance.members.Member(name)
@@ -89,29 +93,30 @@
 	return all
 }
 
+// address returns the peer address of a member, and false if its process is no longer in the view.
 func (q *quarantine) address(member string) (netip.AddrPort, bool) {
 	name, _, _ := strings.Cut(member, "/")
 	m, ok := q.instance.holder.View().Instances[name]
 	return m.PeerAddress, ok && memberID(m) == member
 }
 
-// spread announces a record. One without open crashes only has to overtake the
-// earlier ones.
-func (q *quarantine) spread(f snipequarantine.Fingerprint, record []byte, ttl time.Duration) {
+// announce publishes a crash record. A record without open crashes is published for clearedTTL
+// only, which is long enough to replace the earlier announcements.
+func (q *quarantine) announce(f snipequarantine.Fingerprint, record []byte, ttl time.Duration) {
 	if !q.guard.Registry.Suspects(f) {
 		ttl = clearedTTL
 	}
 	q.instance.members.Announce(quarantineTopic, f.String(), record, min(ttl, quarantineHold))
 }
 
-// absorb takes what the others have announced.
-func (q *quarantine) absorb() {
+// mergeAnnouncements merges the records that instances have announced into the registry.
+func (q *quarantine) mergeAnnouncements() {
 	digests := q.instance.members.Digests(quarantineTopic)
-	seen := make(map[string]uint64, len(digests))
+	versions := make(map[string]uint64, len(digests))
 	for _, d := range digests {
 		key := d.Origin + "/" + d.Key
-		seen[key] = d.Version
-		if q.seen[key] == d.Version {
+		versions[key] = d.Version
+		if q.versions[key] == d.Version {
 			continue
 		}
 		f, err := snipequarantine.ParseFingerprint(d.Key)
@@ -122,30 +127,32 @@
 			q.instance.Log.Error(snipelog.RecordRefused, err, snipelog.Fields{"Origin": d.Origin})
 		}
 	}
-	q.seen = seen
+	q.versions = versions
 }
 
-// run keeps the quarantine's knowledge of members and crashes.
-func (q *quarantine) run(ctx context.Context) error {
-	return snipetime.Every(ctx, absorbInterval, func(context.Context) { q.absorb() })
+// loop merges announced crash records until ctx ends.
+func (q *quarantine) loop(ctx context.Context) error {
+	return snipetime.Every(ctx, mergeInterval, func(context.Context) { q.mergeAnnouncements() })
 }
 
-// dialMark stands for a plain service: a connection proves that it is up.
-const dialMark = "service"
+// serviceMark is the mark of calls to plain services, which are up if they accept a connection.
+const serviceMark = "service"
 
-// mark returns the beginning of the aliases of the call's adapter.
+// mark returns what identifies the call at its upstream: the prefix of the aliases of its adapter,
+// or serviceMark for a plain service.
 func mark(c *snipecall.Call) string {
 	if c.Service != "" {
-		return dialMark
+		return serviceMark
 	}
 	return c.Adapter.String() + "#"
 }
 
-// survived reports whether an upstream is up and still has the mark.
+// survived reports whether an upstream is up and, for an engine, still has an alias that matches
+// the mark. The mark is a whole alias or, if it ends with #, a prefix.
 func (q *quarantine) survived(ctx context.Context, upstream, mark string) bool {
 	t := q.instance.settings.Current()
-	if mark == dialMark {
-		return q.answers(ctx, upstream)
+	if mark == serviceMark {
+		return q.acceptsConnection(ctx, upstream)
 	}
 	settings, ok := t.Platform.Engines[upstream]
 	if !ok {
@@ -164,8 +171,8 @@
 	return false
 }
 
-// answers reports whether an upstream of a plain service takes connections.
-func (q *quarantine) answers(ctx context.Context, upstream string) bool {
+// acceptsConnection reports whether an upstream of a plain service accepts a connection.
+func (q *quarantine) acceptsConnection(ctx context.Context, upstream string) bool {
 	for _, s := range q.instance.settings.Current().Platform.Services {
 		u, ok := s.Upstreams[upstream]
 		if !ok {
@@ -176,14 +183,15 @@
 		if err != nil {
 			return false
 		}
-		// Nothing was sent on it.
+		// The connection carried no data, so its error does not matter.
 		_ = connection.Close()
 		return true
 	}
 	return false
 }
 
-// isolate leaves of the candidates of a suspect only those where suspects run.
+// isolate marks all candidates of a suspect unusable except the upstream on which the suspect runs
+// in isolation. Calls that are not suspects, and calls to plain services, keep their candidates.
 func (q *quarantine) isolate(c *snipecall.Call, all []sniperoute.Candidate) []sniperoute.Candidate {
 	if records, _ := q.guard.Registry.Counts(); records == 0 || c.Service != "" {
 		return all
--- a/snipeinstance/reach.go
+++ b/snipeinstance/reach.go
@@ -4,9 +4,8 @@
 	"snipepitch.example/snipepitch/snipelease"
 )
 
-// reachable reports whether calls may be sent to the owner of an engine. An
-// owner that has died keeps its engines until its lease is over; until then
-// calls go to other engines at once.
+// reachable reports whether calls may be sent to the owner of an engine. A dead owner keeps its
+// engines until its lease expires; until then calls go to other engines at once.
 func (i *Instance) reachable(owner snipelease.Instance) bool {
 	if owner.Name == i.Config.Name {
 		return true
--- a/snipeinstance/record.go
+++ b/snipeinstance/record.go
@@ -8,8 +8,9 @@
 	"snipepitch.example/snipepitch/snipeslot"
 )
 
-// recordOf returns the lists of given-up aliases in the table.
-func recordOf(table snipeplatform.Table) func(engine string, fence uint64) *snipeslot.Record {
+// aliasRecords returns a function that opens the record of retired aliases in the table, for an
+// engine and the fencing number of its ownership.
+func aliasRecords(table snipeplatform.Table) func(engine string, fence uint64) *snipeslot.Record {
 	return func(engine string, fence uint64) *snipeslot.Record {
 		return &snipeslot.Record{
 			Table: table, Engine: engine, Fence: fence,
--- a/snipeinstance/replicas.go
+++ b/snipeinstance/replicas.go
@@ -13,35 +13,36 @@
 
 const (
 	replicasTopic = "Replicas"
-	// replicasStep is the time between two looks at the calls in flight, and
-	// at what other instances have announced.
-	replicasStep = time.Second
-	// replicasTTL is how long an announcement counts, replicasAgain the time
-	// after which it is repeated.
-	replicasTTL   = 30 * time.Second
-	replicasAgain = 10 * time.Second
-	// keyBase is the base of the hash that is an announcement's key.
+	// replicasInterval is the time between two polls of the calls in flight and of the
+	// announcements of all instances.
+	replicasInterval = time.Second
+	// replicasTTL is how long an announcement is valid, replicasRepeat the time after which it is
+	// repeated.
+	replicasTTL    = 30 * time.Second
+	replicasRepeat = 10 * time.Second
+	// keyBase is the numeric base of an announcement's key, the hash of the adapter.
 	keyBase = 36
 )
 
-// replicas keeps how many engines hold each hot adapter. The owner of an
-// adapter's home engine decides and announces; all others only listen.
+// replicas holds the number of engines that hold each hot adapter. The owner of an adapter's home
+// engine decides the number and announces it; all instances route by the announced number.
 type replicas struct {
-	counts atomic.Pointer[map[uint64]int] // by the adapter's hash; immutable
+	counts atomic.Pointer[map[uint64]int] // by the adapter's hash; the map is immutable
 
-	// The fields below belong to the goroutine of watchReplicas.
+	// homes holds the decisions of this instance by the adapter's hash. Only the goroutine of
+	// watchReplicas accesses it.
 	homes map[uint64]*homeReplicas
 }
 
-// homeReplicas is the decision for one adapter whose home is owned here.
+// homeReplicas is the decision for one adapter whose home engine this instance owns.
 type homeReplicas struct {
-	decision sniperoute.Replicas
-	said     int
-	at       time.Time // when it was said
-	seen     time.Time
+	decision    sniperoute.Replicas
+	announced   int       // the number in the last announcement
+	announcedAt time.Time // time of the last announcement
+	activeAt    time.Time // last time with a call in flight or more than one replica
 }
 
-// count returns how many engines hold an adapter.
+// count returns the announced number of engines that hold an adapter, or 0 if none is announced.
 func (r *replicas) count(key uint64) int {
 	if m := r.counts.Load(); m != nil {
 		return (*m)[key]
@@ -50,14 +51,14 @@
 }
 
 func (i *Instance) watchReplicas(ctx context.Context) error {
-	return snipetime.Every(ctx, replicasStep, func(context.Context) {
+	return snipetime.Every(ctx, replicasInterval, func(context.Context) {
 		i.decideReplicas(time.Now())
-		i.hearReplicas()
+		i.mergeReplicas()
 	})
 }
 
-// decideReplicas looks at the adapters whose home is at an engine of this
-// instance.
+// decideReplicas updates the decisions for the adapters whose home engine this instance owns, and
+// announces those that have changed or must be repeated.
 func (i *Instance) decideReplicas(now time.Time) {
 	r := &i.replicas
 	t := i.settings.Current()
@@ -82,36 +83,38 @@
 		})
 	}
 	for key, h := range r.homes {
-		if now.Sub(h.seen) > replicasTTL {
+		if now.Sub(h.activeAt) > replicasTTL {
 			delete(r.homes, key)
 			continue
 		}
-		if n := h.decision.Count(); n != h.said || n > 1 && now.Sub(h.at) >= replicasAgain {
-			h.said, h.at = n, now
+		if n := h.decision.Count(); n != h.announced || n > 1 && now.Sub(h.announcedAt) >= replicasRepeat {
+			h.announced, h.announcedAt = n, now
 			i.members.Announce(replicasTopic, strconv.FormatUint(key, keyBase), []byte{byte(n)}, replicasTTL) //nolint:gosec // at most MaxReplicas
 		}
 	}
 }
 
-// observe takes a look at one adapter. Those that need one engine are not kept.
+// observe updates the decision for one adapter with its calls in flight at the home engine. An
+// adapter gets an entry with its first call; the entry expires replicasTTL after the last
+// time with a call in flight or more than one replica.
 func (r *replicas) observe(key uint64, now time.Time, inFlight, batch int) {
 	h := r.homes[key]
 	if h == nil {
 		if inFlight == 0 {
 			return
 		}
-		h = &homeReplicas{said: 1}
+		h = &homeReplicas{announced: 1}
 		r.homes[key] = h
 	}
 	if inFlight > 0 || h.decision.Count() > 1 {
-		h.seen = now
+		h.activeAt = now
 	}
 	h.decision.Step(now, inFlight, batch)
 }
 
-// hearReplicas takes what all instances have announced. When a home has just
-// changed its owner, the higher number counts.
-func (i *Instance) hearReplicas() {
+// mergeReplicas collects the announcements of all instances. If two instances announce a number for
+// the same adapter, as happens after its home engine has changed owners, the higher one applies.
+func (i *Instance) mergeReplicas() {
 	counts := map[uint64]int{}
 	for _, d := range i.members.Digests(replicasTopic) {
 		key, err := strconv.ParseUint(d.Key, keyBase, 64)
--- a/snipeinstance/routes.go
+++ b/snipeinstance/routes.go
@@ -12,12 +12,12 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// routesAge is how old prepared candidates may be: what the membership says of
-// owners is that late, too.
-const routesAge = 100 * time.Millisecond
+// routesMaxAge bounds the age of prepared candidates. Changes of the membership, which determines
+// the owners that are reachable, take effect with up to this delay.
+const routesMaxAge = 100 * time.Millisecond
 
-// routes are the candidates of all calls, prepared so that a call hashes and
-// allocates nothing. They are immutable.
+// routes holds the candidates of all calls, prepared in advance so that a call neither hashes nor
+// allocates. It is immutable.
 type routes struct {
 	tree     *snipetree.Tree
 	view     *snipelease.View
@@ -26,24 +26,24 @@
 	services map[string][]sniperoute.Candidate
 }
 
-// router prepares routes and keeps the buffers of calls.
+// router caches the prepared routes and pools the candidate buffers of calls.
 type router struct {
 	current atomic.Pointer[routes]
 	lock    sync.Mutex // held while routes are prepared
 	buffers sync.Pool  // of *[]sniperoute.Candidate
 }
 
-// prepared returns routes for the settings and owners of now.
+// prepared returns routes for the current settings and owners.
 func (i *Instance) prepared() *routes {
 	t, v := i.settings.Current(), i.holder.View()
 	r := i.router.current.Load()
-	if r != nil && r.tree == t && r.view == v && time.Since(r.at) < routesAge {
+	if r != nil && r.tree == t && r.view == v && time.Since(r.at) < routesMaxAge {
 		return r
 	}
 	i.router.lock.Lock()
 	defer i.router.lock.Unlock()
 	if n := i.router.current.Load(); n != r && n.tree == t && n.view == v {
-		return n // another call has prepared them meanwhile
+		return n // another call has prepared them in the meantime
 	}
 	r = i.prepare(t, v)
 	i.router.current.Store(r)
@@ -72,8 +72,8 @@
 	return r
 }
 
-// candidates copies the candidates of a call into a buffer, which the caller
-// gives back.
+// candidates copies the candidates of a call into a buffer and excludes those in failed. The caller
+// returns the buffer to the pool.
 func (i *Instance) candidates(c *snipecall.Call, failed []string) *[]sniperoute.Candidate {
 	r := i.prepared()
 	from := r.engines[c.Base]
--- a/snipeinstance/settings.go
+++ b/snipeinstance/settings.go
@@ -11,15 +11,15 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// The announcement of an accepted revision.
+// The membership topic, key and lifetime of the announcement of an accepted revision.
 const (
 	settingsTopic = "Settings"
 	revisionKey   = "Revision"
 	revisionTTL   = 10 * time.Minute
 )
 
-// buildSettings makes the store that follows the settings. It is built after
-// the membership, which carries announcements and knows the peers.
+// buildSettings creates the store that follows the settings. It needs the membership, which
+// distributes announcements and lists the peers, so buildMembers must run first.
 func (i *Instance) buildSettings(table snipeplatform.Table) {
 	i.settings = &snipetree.Store{
 		Table: table, Poll: i.Config.Poll.Value(), Log: i.Log, Operation: rand.Text,
@@ -44,7 +44,7 @@
 	return highest
 }
 
-// randomPeers returns the addresses of up to n random live instances.
+// randomPeers returns the addresses of up to n other live instances in random order.
 func (i *Instance) randomPeers(n int) []netip.AddrPort {
 	var all []netip.AddrPort
 	for _, m := range i.members.Members() {
--- a/snipeinstance/snipeinstance.go
+++ b/snipeinstance/snipeinstance.go
@@ -1,11 +1,13 @@
-// Package snipeinstance puts the duties of one instance together and runs
-// them.
+// Package snipeinstance assembles the components of one instance and runs them.
 //
-// Design. Each duty runs in its own goroutine of a run group: the settings
-// store, the lease holder, and three listeners (callers, operators, peers).
-// A planned stop goes through these steps: readiness off and no new calls;
-// calls in flight are finished; owned engines are given up as they become
-// idle; listeners close; exit. A second signal ends the process at once.
+// Each component runs in its own goroutine of a run group; among them are the settings store, the
+// lease holder, and three listeners (callers, operators, peers). The group ends as soon as one of
+// its members ends.
+//
+// A planned stop takes these steps: the instance turns readiness off and starts to release its
+// engines, each one when it is idle; after a notice period it refuses new calls; calls in flight
+// finish and the remaining engines are released; the listeners close and the process exits. A
+// second signal ends the process at once.
 package snipeinstance
 
 import (
@@ -53,13 +55,13 @@
 
 // Instance is one running instance. Exported fields are set before Run.
 type Instance struct {
-	// Config is the checked settings file.
+	// Config is the settings file after validation.
 	Config snipeconfig.Config
-	// Log takes events.
+	// Log receives the instance's events.
 	Log *snipelog.Logger
-	// LogDropped returns how many log lines were dropped; nil for none.
+	// LogDropped returns the number of dropped log lines; nil omits the metric.
 	LogDropped func() uint64
-	// Listen opens a listener; nil for TCP.
+	// Listen opens a listener; nil listens on TCP.
 	Listen func(ctx context.Context, address netip.AddrPort) (net.Listener, error)
 
 	meter    *snipemeter.Meter
@@ -73,12 +75,14 @@
 	permits  *snipeweight.Permits
 	router   router
 	replicas replicas
-	keys     map[string]*snipecert.Keeper // by listener
-	members  *snipemember.Node
-	// Lease rows read for seeds; they belong to the goroutine of members.
-	rowSeeds []snipemember.Seed
-	rowsRead time.Time
-	claims   *snipeclaim.Claims
+	// certificates holds the TLS certificates by listener name.
+	certificates map[string]*snipecert.Keeper
+	members      *snipemember.Node
+	// rowSeeds are the seeds from the last read of the lease rows, rowSeedsRead is the time of that
+	// read. Only the goroutine of members accesses them.
+	rowSeeds     []snipemember.Seed
+	rowSeedsRead time.Time
+	claims       *snipeclaim.Claims
 
 	quarantine *quarantine
 	health     *health
@@ -89,7 +93,7 @@
 	signals  chan os.Signal
 }
 
-// Run serves until a signal or a drain order, then stops gracefully.
+// Run serves until a signal or a drain order arrives, then stops gracefully.
 func (i *Instance) Run(ctx context.Context) error {
 	if err := i.build(); err != nil {
 		return err
@@ -99,7 +103,7 @@
 	return i.serve(ctx)
 }
 
-// serve runs the duties until one of them ends.
+// serve runs the components until one of them ends, then stops the others.
 func (i *Instance) serve(ctx context.Context) error {
 	var g run.Group
 	i.addLoop(ctx, &g, i.settings.Run)
@@ -108,12 +112,12 @@
 	i.addLoop(ctx, &g, i.watchReplicas)
 	i.addLoop(ctx, &g, i.members.Run)
 	i.addLoop(ctx, &g, i.claims.Run)
-	i.addLoop(ctx, &g, i.quarantine.run)
+	i.addLoop(ctx, &g, i.quarantine.loop)
 	i.addLoop(ctx, &g, i.health.loop)
 	i.addLoop(ctx, &g, i.limits.loop)
 	i.addLoop(ctx, &g, i.quarantine.guard.Loop)
 	i.addLoop(ctx, &g, i.watchReady)
-	for _, k := range i.keys {
+	for _, k := range i.certificates {
 		i.addLoop(ctx, &g, k.Run)
 	}
 	for _, l := range i.listeners() {
@@ -130,7 +134,7 @@
 
 func (i *Instance) build() error {
 	c := i.Config
-	if err := i.loadKeys(); err != nil {
+	if err := i.loadCertificates(); err != nil {
 		return err
 	}
 	i.stopping = make(chan struct{}, 1)
@@ -165,7 +169,7 @@
 		Tree:   i.settings.Current,
 		Fence:  func(engine string) (uint64, bool) { return i.holder.Fence(engine) },
 		Holds:  func(engine string, fence uint64) bool { return i.holder.Holds(engine, fence) },
-		Record: recordOf(table),
+		Record: aliasRecords(table),
 		Budget: i.permits.Acquire,
 		Client: snipeupstream.NewPooled(dial), Fresh: snipeupstream.NewFresh(dial),
 		Progress: c.Progress.Value(), FirstChunk: c.FirstChunk.Value(), LoadTimeout: c.LoadTimeout.Value(),
@@ -178,7 +182,7 @@
 		Secret: c.PeerSecret, Progress: c.Progress.Value(), Log: i.Log,
 	}
 	i.peers = &snipepeer.Handler{
-		Execute: i.health.run, Secret: c.PeerSecret, Beat: peerBeat, Window: 2 * c.Progress.Value(),
+		Execute: i.health.execute, Secret: c.PeerSecret, Beat: peerBeat, Window: 2 * c.Progress.Value(),
 		WriteTimeout: c.Progress.Value(), MaxBody: c.MaxBody, MaxCalls: c.MaxCalls,
 	}
 }
@@ -217,7 +221,7 @@
 }
 
 func (i *Instance) buildCallers(guard *snipeplatform.Guard) {
-	serve := i.claimed(guard, i.retries())
+	serve := i.buildClaims(guard, i.retries())
 	i.callers = &snipecaller.Server{
 		Tree: i.settings.Admitting, Serve: serve, Admit: i.limits.admit, NewID: rand.Text,
 		MaxBody: i.Config.MaxBody, MaxHeader: maxHeader, BodyTimeout: bodyTimeout,
@@ -225,9 +229,11 @@
 	}
 }
 
-// noUpstreamRetry is what a caller is told to wait when no upstream is usable.
-const noUpstreamRetry = 2 * time.Second
+// noUpstreamRetryAfter is the Retry-After of a call that is refused because no upstream is usable.
+const noUpstreamRetryAfter = 2 * time.Second
 
+// choose returns the upstream for the next attempt of a call. It excludes the upstreams in failed,
+// unhealthy ones and, for a suspect, all but the isolation upstream.
 func (i *Instance) choose(c *snipecall.Call, failed []string) (string, error) {
 	buffer := i.candidates(c, failed)
 	defer i.router.buffers.Put(buffer)
@@ -243,22 +249,22 @@
 		n = sniperoute.PickReplica(key, call, i.replicas.count(key), candidates)
 	}
 	if n < 0 {
-		return "", snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "no usable upstream").After(noUpstreamRetry)
+		return "", snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "no usable upstream").After(noUpstreamRetryAfter)
 	}
 	return candidates[n].Name, nil
 }
 
-// execute runs a call here or on the instance that owns its engine.
+// execute runs a call on this instance or forwards it to the instance that owns its engine.
 func (i *Instance) execute(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	if c.Service != "" {
-		return i.health.run(ctx, c, sink)
+		return i.health.execute(ctx, c, sink)
 	}
 	o, ok := i.holder.View().Owners[c.Upstream]
 	if !ok {
 		return snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "engine "+c.Upstream+" has no owner")
 	}
 	if o.Instance.Name == i.Config.Name {
-		return i.health.run(ctx, c, sink)
+		return i.health.execute(ctx, c, sink)
 	}
 	err := i.forward.Forward(ctx, o.Instance.PeerAddress, c, sink)
 	i.health.tracker.Hop(c, err)
@@ -279,13 +285,13 @@
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { i.meter.Write(w) })
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("GET /ready", i.serveReady)
-	front := http.NewServeMux()
-	front.Handle("/", i.callers.Handler())
-	front.HandleFunc("GET /ready", i.serveReady)
+	callers := http.NewServeMux()
+	callers.Handle("/", i.callers.Handler())
+	callers.HandleFunc("GET /ready", i.serveReady)
 	return []listener{
-		{"Callers", i.Config.Callers, i.phase.closing(front), i.Config.MaxConnections, i.keys["Callers"], i.Log},
-		{"Operators", i.Config.Operators, mux, maxOperators, i.keys["Operators"], i.Log},
-		{"Peers", i.Config.Peers, peers, i.Config.MaxConnections, i.keys["Peers"], i.Log},
+		{"Callers", i.Config.Callers, i.phase.closeWhenStopping(callers), i.Config.MaxConnections, i.certificates["Callers"], i.Log},
+		{"Operators", i.Config.Operators, mux, maxOperators, i.certificates["Operators"], i.Log},
+		{"Peers", i.Config.Peers, peers, i.Config.MaxConnections, i.certificates["Peers"], i.Log},
 	}
 }
 
@@ -295,7 +301,7 @@
 	}
 }
 
-// addLoop adds a duty that ends with its context.
+// addLoop adds a component that runs until its context ends.
 func (i *Instance) addLoop(ctx context.Context, g *run.Group, f func(context.Context) error) {
 	inner, cancel := context.WithCancel(ctx)
 	g.Add(func() error { return f(inner) }, func(error) { cancel() })
--- a/snipeinstance/stop.go
+++ b/snipeinstance/stop.go
@@ -12,16 +12,17 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// Errors of a stop.
+// Errors returned by a stop that did not complete gracefully.
 var (
-	// ErrForced: a second signal ended the stop.
+	// ErrForced reports that a second signal ended the stop.
 	ErrForced = errors.New("stopped by a second signal")
-	// ErrStopTimeout: calls were still in flight when the time was over.
+	// ErrStopTimeout reports that StopTimeout expired before the stop had completed. Calls that are
+	// still in flight are cut off.
 	ErrStopTimeout = errors.New("calls were cut at the end of StopTimeout")
 )
 
-// phase is how far the instance is in its life. It only grows, so that
-// readiness cannot come back once a stop has begun.
+// phase is the phase of the instance's life: starting, ready, stopping. It never goes back, so
+// readiness stays off once a stop has begun.
 type phase struct{ value atomic.Int32 }
 
 const (
@@ -30,17 +31,18 @@
 	phaseStopping
 )
 
-// readied turns readiness on; it reports false when a stop has begun.
-func (p *phase) readied() bool { return p.value.CompareAndSwap(phaseStarting, phaseReady) }
+// setReady turns readiness on. It returns false if the instance was not starting, in particular
+// after a stop has begun.
+func (p *phase) setReady() bool { return p.value.CompareAndSwap(phaseStarting, phaseReady) }
 
 func (p *phase) ready() bool { return p.value.Load() == phaseReady }
 
 func (p *phase) stop() { p.value.Store(phaseStopping) }
 
-// closing asks callers to come over a new connection once a stop has begun, so
-// that the balancer's kept connections move to other instances. Closing them
-// here could cut a request that is on its way.
-func (p *phase) closing(next http.Handler) http.Handler {
+// closeWhenStopping adds "Connection: close" to answers once a stop has begun, so that the balancer
+// replaces its kept connections by connections to other instances. Closing the connections on this
+// side could cut off a request that is in transit.
+func (p *phase) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if p.value.Load() == phaseStopping {
 			w.Header().Set("Connection", "close")
@@ -49,22 +51,27 @@
 	})
 }
 
-// stop carries out a planned stop. Its order: readiness off and ownership
-// given up; after the notice, in which the balancer sees that, no new calls;
-// calls in flight finish, those of peers too; ownership is handed over; end.
+// stop carries out a planned stop: it turns readiness off and starts to release the owned engines;
+// after the notice period, in which the balancer detects that the instance is not ready, it refuses
+// new calls; then it waits until the calls in flight, including those of peers, have finished and
+// the engines are released.
 type stop struct {
-	// notice is the time for the balancer to notice, limit bounds the whole
-	// stop, handover the wait for the table once no call is in flight.
+	// notice is the time for the balancer to detect that the instance is not ready, limit bounds
+	// the whole stop, and handover bounds the wait for the release of engines once no call is in
+	// flight.
 	notice, limit, handover time.Duration
-	// signals end the stop at once.
+	// signals ends the stop at once when it receives a signal.
 	signals <-chan os.Signal
-	// unready, leave and refuse are the steps.
+	// unready turns readiness off, leave announces the stop and starts the release of the engines,
+	// refuse refuses new calls.
 	unready, leave, refuse func()
-	// calls returns the calls in flight, owned the engines still owned.
+	// calls returns the number of calls in flight, owned the number of engines still owned.
 	calls, owned func() int
 	log          *snipelog.Logger
 }
 
+// run carries out the stop. It returns nil when the stop has completed, when the handover has timed
+// out, or when ctx has ended.
 func (s *stop) run(ctx context.Context) error {
 	s.log.Log(snipelog.Stopping, nil)
 	s.unready()
@@ -101,14 +108,14 @@
 		case idleSince.IsZero():
 			idleSince = time.Now()
 		case time.Since(idleSince) >= s.handover:
-			// The others take over when the lease has run out.
+			// Other instances take over the engines when the lease has expired.
 			s.log.Log(snipelog.HandoverFailed, snipelog.Fields{"Engines": s.owned()})
 			return nil
 		}
 	}
 }
 
-// Stop starts a graceful stop.
+// Stop starts a graceful stop and returns at once.
 func (i *Instance) Stop() {
 	select {
 	case i.stopping <- struct{}{}:
@@ -133,18 +140,19 @@
 	}
 	err := s.run(ctx)
 	if !errors.Is(err, ErrForced) {
-		i.gone(ctx)
+		i.finish(ctx)
 	}
 	return err
 }
 
-// leave tells the other instances, and gives up the engines.
+// leave announces the stop to the other instances and starts the release of the owned engines.
 func (i *Instance) leave() {
 	i.members.Leave()
 	i.holder.Leave()
 }
 
-// watchReady turns readiness on once settings are in force and owners known.
+// watchReady turns readiness on once settings are in force and the holder has a view of the
+// instances and owners.
 func (i *Instance) watchReady(ctx context.Context) error {
 	t := time.NewTicker(stopPoll)
 	defer t.Stop()
@@ -155,7 +163,7 @@
 		case <-t.C:
 		}
 		if i.settings.Current() != nil && len(i.holder.View().Instances) > 0 {
-			if i.phase.readied() {
+			if i.phase.setReady() {
 				i.Log.Log(snipelog.Ready, nil)
 			}
 			<-ctx.Done()
--- a/snipeinstance/stop_test.go
+++ b/snipeinstance/stop_test.go
@@ -16,7 +16,7 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// until returns a count that is 1 until a time from now.
+// until returns a function that returns 1 until d has passed from now, then 0.
 func until(d time.Duration) func() int {
 	end := time.Now().Add(d)
 	return func() int {
@@ -27,11 +27,13 @@
 	}
 }
 
+// TestStop checks how long a stop takes and how it ends: it waits for the notice, the calls and the
+// release of engines, but not longer than its limits or after a second signal.
 func TestStop(t *testing.T) {
 	never := 24 * time.Hour
 	cases := map[string]struct {
-		calls, owned time.Duration // until none is left
-		signal       time.Duration // of the second signal
+		calls, owned time.Duration // time until the last call ends, or the last engine is released
+		signal       time.Duration // time of the second signal
 		took         time.Duration
 		err          error
 	}{
@@ -47,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var p phase
-				must.True(t, p.readied())
+				must.True(t, p.setReady())
 				signals := make(chan os.Signal, 2)
 				time.AfterFunc(c.signal, func() { signals <- syscall.SIGTERM })
 				start := time.Now()
@@ -75,26 +77,28 @@
 	}
 }
 
-// TestReadyStaysOff: whichever comes first, readiness is off after a stop.
+// TestReadyStaysOff guards against readiness that comes back after a stop has begun, when the stop
+// races with the end of the start.
 func TestReadyStaysOff(t *testing.T) {
 	for range 200 {
 		var p phase
 		done := make(chan struct{})
 		go func() {
-			p.readied()
+			p.setReady()
 			close(done)
 		}()
 		p.stop()
 		<-done
 		must.False(t, p.ready())
-		must.False(t, p.readied())
+		must.False(t, p.setReady())
 	}
 }
 
-// TestKeptConnectionsMove: answers in a stop tell the balancer to connect anew.
+// TestKeptConnectionsMove guards against a balancer that keeps its connections to a stopping
+// instance: answers during a stop carry "Connection: close".
 func TestKeptConnectionsMove(t *testing.T) {
 	var p phase
-	h := p.closing(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	h := p.closeWhenStopping(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	for _, want := range []string{"", "close"} {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil))
@@ -103,7 +107,8 @@
 	}
 }
 
-// TestStopEndsWithItsGroup: another duty's failure ends the wait.
+// TestStopEndsWithItsGroup guards against a stop that keeps waiting after another component of the
+// run group has failed and the context has ended.
 func TestStopEndsWithItsGroup(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/snipeinstance/weights.go
+++ b/snipeinstance/weights.go
@@ -15,11 +15,12 @@
 	"snipepitch.example/snipepitch/snipeweight"
 )
 
-// weightQueueKey is the key whose rendezvous ranking names the holder of the
-// queue for the weight store.
+// weightQueueKey is the key whose rendezvous ranking determines the instance that holds the queue
+// for the weight store.
 const weightQueueKey = "WeightQueue"
 
-// buildWeights makes this instance's part in the queue for the weight store.
+// buildWeights creates this instance's queue for the weight store, which is used while it is the
+// holder, and the client that requests permits from the current holder.
 func (i *Instance) buildWeights() {
 	c := i.Config
 	i.weights = &snipeweight.Queue{Limits: i.weightLimits}
@@ -31,14 +32,15 @@
 	}
 }
 
-// weightServer serves the queue to the other instances.
+// weightServer returns the handler, and its path prefix, through which other instances use the
+// queue.
 func (i *Instance) weightServer() (prefix string, h http.Handler) {
 	server := snipeproto.NewWeightServer(&snipeweight.Server{Queue: i.weights})
 	return server.PathPrefix(), snipepeer.Authorized(i.Config.PeerSecret, server)
 }
 
-// weightHolders returns the live instances, the one that should hold the queue
-// first.
+// weightHolders returns the live instances that are not leaving, and always this one. They are in
+// the order of their rank as the queue's holder.
 func (i *Instance) weightHolders(client snipeproto.HTTPClient) []snipeweight.Holder {
 	key := sniperoute.Hash(weightQueueKey)
 	members := slices.DeleteFunc(i.members.Members(), func(m snipemember.Member) bool {
@@ -64,8 +66,9 @@
 	return holders
 }
 
-// weightLimits returns the weight store's budget, or the share of this side
-// while it does not see all instances that hold leases.
+// weightLimits returns the weight store's budget. While the membership lists fewer live instances
+// than there are instances with leases, as in a network partition, it returns the proportional
+// share of the budget.
 func (i *Instance) weightLimits() (perSecond float64, concurrent int) {
 	t := i.settings.Current()
 	if t == nil {
--- a/snipeinstance/whole_test.go
+++ b/snipeinstance/whole_test.go
@@ -24,7 +24,7 @@
 	"snipepitch.example/snipepitch/snipeupstream"
 )
 
-// writeFiles writes a self-signed certificate, which is its own authority.
+// writeFiles writes a self-signed certificate, which also serves as its authority.
 func writeFiles(t *testing.T) snipecert.Files {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must.NoError(t, err)
@@ -44,8 +44,8 @@
 	return f
 }
 
-// TestWholeOverTLS: callers and peers speak TLS; a caller without it and a
-// peer without a certificate get nothing.
+// TestWholeOverTLS checks that callers and peers are served over TLS, and that a caller or a peer
+// without TLS is refused.
 func TestWholeOverTLS(t *testing.T) {
 	peers := writeFiles(t)
 	callers := peers
@@ -56,11 +56,11 @@
 	s.client = &http.Client{Transport: &http.Transport{
 		TLSClientConfig: &tls.Config{InsecureSkipVerify: true},
 	}}
-	s.warm(t)
+	s.waitAnswers(t)
 	_, err := s.stream(s.paths[2], nil)
 	must.NoError(t, err)
 	s.scheme, s.client = "http://", plain
-	must.Error(t, s.plain(s.paths[1]))
+	must.Error(t, s.complete(s.paths[1]))
 	peer := s.instances[0].Config.Peers
 	client := snipeupstream.NewFresh(snipeupstream.DialTCP())
 	response, err := client.Get("http://" + peer.String() + "/Peer/Call")
@@ -69,11 +69,12 @@
 	must.Eq(t, http.StatusBadRequest, response.StatusCode)
 }
 
-// TestWholeStop: the owner stops while it answers a call of the other
-// instance; the answer is complete, the other takes over, and nothing failed.
+// TestWholeStop guards against calls that fail in a planned stop: the owner of the engine stops
+// while it answers a call forwarded by the other instance. The answer must be complete, and the
+// other instance must take the engine over.
 func TestWholeStop(t *testing.T) {
 	s := newSystem(t, func(c *snipeconfig.Config) { c.StopNotice = snipejson.Duration(100 * time.Millisecond) })
-	s.warm(t)
+	s.waitAnswers(t)
 	owner := 0
 	if s.instances[1].Config.Callers == s.paths[1].address {
 		owner = 1
@@ -91,8 +92,8 @@
 		if n == benchChunks/2 {
 			s.instances[owner].Stop()
 			wait(t, func() bool { return !s.instances[owner].phase.ready() })
-			// Calls are refused from now on, and the one in flight goes on.
-			wait(t, func() bool { return s.plain(s.paths[1]) != nil })
+			// New calls are refused from now on; the call in flight continues.
+			wait(t, func() bool { return s.complete(s.paths[1]) != nil })
 		}
 		if n < benchChunks {
 			s.engine.gate <- struct{}{}
@@ -103,23 +104,23 @@
 	must.Eq(t, "[DONE]", string(e.Data))
 	must.NoError(t, <-s.ended[owner])
 	must.False(t, s.instances[owner].phase.ready())
-	wait(t, func() bool { return s.plain(s.paths[2]) == nil })
+	wait(t, func() bool { return s.complete(s.paths[2]) == nil })
 }
 
-// TestWholeStopWithoutTable: a stop ends although nothing can be handed over,
-// also with calls before it, and loses none.
+// TestWholeStopWithoutTable guards against a stop that hangs while the table is down, when engines
+// cannot be handed over. It also checks that no secret is logged.
 func TestWholeStopWithoutTable(t *testing.T) {
 	s := newSystem(t, func(c *snipeconfig.Config) {
 		c.StopNotice = snipejson.Duration(100 * time.Millisecond)
 		c.Lease = snipejson.Duration(time.Second)
 	})
-	s.warm(t)
+	s.waitAnswers(t)
 	s.table.SetFault(snipestand.TableFault{Down: true})
 	for n, i := range s.instances {
 		i.Stop()
 		must.NoError(t, <-s.ended[n])
 	}
-	// All that went wrong here is logged, and nothing secret with it.
+	// The failed handover is logged, without any secret.
 	log := s.log.String()
 	must.StrContains(t, log, "HandoverFailed")
 	for _, secret := range []string{benchKey, peerSecret, tableSecret} {
