--- a/snipeoperator/adapters.go
+++ b/snipeoperator/adapters.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if team := r.GetTeam(); team != "" && !sees(o, team) {
+	if team := r.GetTeam(); team != "" && !maySee(o, team) {
 		return nil, twirp.PermissionDenied.Errorf("no right to branch %q", team)
 	}
 	engines, silent := s.gatherOwners(ctx)
@@ -28,7 +28,7 @@
 	for engine, e := range engines {
 		for _, a := range e.GetResident() {
 			team, _, _ := strings.Cut(a, "/")
-			if !sees(o, a) || r.GetTeam() != "" && team != r.GetTeam() {
+			if !maySee(o, a) || r.GetTeam() != "" && team != r.GetTeam() {
 				continue
 			}
 			if byName[a] == nil {
@@ -47,7 +47,7 @@
 	return out, nil
 }
 
-// declared reports whether the settings in force have an adapter.
+// declared reports whether the settings in force contain an adapter, given in its text form.
 func declared(t *snipetree.Tree, text string) bool {
 	var a snipecall.Adapter
 	if t == nil || a.UnmarshalText([]byte(text)) != nil {
--- a/snipeoperator/apply.go
+++ b/snipeoperator/apply.go
@@ -22,8 +22,8 @@
 	})
 }
 
-// apply makes an edit on behalf of an operator who has the right to it. An
-// edit without an identifier gets one; it cannot be sent again then.
+// apply applies an edit for an operator whose rights have been checked. An edit without an
+// identifier gets a random one, so repeating the request is not recognized as the same edit.
 func (s *Server) apply(ctx context.Context, edit snipetree.Edit) (*snipeproto.ApplySettingsResponse, error) {
 	if edit.ID == "" {
 		edit.ID = rand.Text()
--- a/snipeoperator/engines.go
+++ b/snipeoperator/engines.go
@@ -9,8 +9,9 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// sees reports whether an operator may see an adapter, team/name@version.
-func sees(o snipetree.Operator, adapter string) bool {
+// maySee reports whether an operator may see an adapter, given as team/name@version or as the name
+// of its team.
+func maySee(o snipetree.Operator, adapter string) bool {
 	team, _, _ := strings.Cut(adapter, "/")
 	return o.Platform || slices.Contains(o.Teams, team)
 }
@@ -36,7 +37,7 @@
 		}
 		state.InFlight = owned[name].GetInFlight()
 		for _, a := range owned[name].GetResident() {
-			if sees(o, a) {
+			if maySee(o, a) {
 				state.Resident = append(state.Resident, a)
 			}
 		}
--- a/snipeoperator/gather.go
+++ b/snipeoperator/gather.go
@@ -11,39 +11,40 @@
 )
 
 const (
-	// gatherAtOnce bounds the peers that are asked at once.
-	gatherAtOnce = 16
-	// peerTimeout bounds the question to one peer, gatherTimeout all of them.
+	// gatherConcurrency bounds the requests to peers that are in flight at once.
+	gatherConcurrency = 16
+	// peerTimeout bounds a request to one peer, gatherTimeout a whole gather.
 	peerTimeout   = time.Second
 	gatherTimeout = 10 * time.Second
 )
 
-// gathered is what the instances have told.
+// gathered holds the answers of instances by name, and the names of those that did not answer.
 type gathered struct {
 	answers map[string]*snipeproto.DescribeResponse
 	silent  []string
 }
 
-// peer returns the client of one peer. TLS, where there is any, is the dial's.
+// peer returns the client of one peer. The URL scheme is always http: the dial function of s.Peers
+// adds TLS where it is configured.
 func (s *Server) peer(address netip.AddrPort) snipeproto.Status {
 	return snipeproto.NewStatusProtobufClient("http://"+address.String(), s.Peers)
 }
 
-// gather asks the named instances, or all live ones when names is nil.
+// gather requests the status of the named instances in the view, or of all of them if names is nil.
 func (s *Server) gather(ctx context.Context, names map[string]bool) gathered {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
 	g := gathered{answers: map[string]*snipeproto.DescribeResponse{}}
 	var lock sync.Mutex // guards g
 	var all sync.WaitGroup
-	places := make(chan struct{}, gatherAtOnce)
+	semaphore := make(chan struct{}, gatherConcurrency)
 	for name, i := range s.View().Instances {
 		if names != nil && !names[name] {
 			continue
 		}
-		places <- struct{}{}
+		semaphore <- struct{}{}
 		all.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-semaphore }()
 			answer, err := s.describe(ctx, name, i.PeerAddress)
 			lock.Lock()
 			defer lock.Unlock()
@@ -59,6 +60,7 @@
 	return g
 }
 
+// describe returns the status of one instance; it calls this instance directly.
 func (s *Server) describe(ctx context.Context, name string, address netip.AddrPort) (*snipeproto.DescribeResponse, error) {
 	if name == s.Own.Name {
 		return s.Own.Describe(ctx, nil)
@@ -68,8 +70,8 @@
 	return s.peer(address).Describe(bounded, &snipeproto.DescribeRequest{})
 }
 
-// gatherOwners asks all instances that own an engine, and returns what they
-// tell of each engine.
+// gatherOwners requests the status of all instances that own an engine. It returns the state of
+// each engine by name and the names of the instances that did not answer.
 func (s *Server) gatherOwners(ctx context.Context) (map[string]*snipeproto.OwnedEngine, []string) {
 	owners := map[string]bool{}
 	for _, o := range s.View().Owners {
--- a/snipeoperator/history.go
+++ b/snipeoperator/history.go
@@ -28,8 +28,8 @@
 	return out, nil
 }
 
-// earlier returns a branch as it was at an earlier version.
-func (s *Server) earlier(ctx context.Context, r *snipeproto.GetSettingsRequest) (*snipeproto.GetSettingsResponse, error) {
+// previousSettings returns the document of a branch at a previous version.
+func (s *Server) previousSettings(ctx context.Context, r *snipeproto.GetSettingsRequest) (*snipeproto.GetSettingsResponse, error) {
 	document, err := s.Settings.Document(ctx, r.GetTeam(), r.GetVersion())
 	if err != nil {
 		return nil, documentError(err)
@@ -37,8 +37,8 @@
 	return &snipeproto.GetSettingsResponse{Version: r.GetVersion(), Document: document}, nil
 }
 
-// Rollback implements snipeproto.Operator. The old document is checked as any
-// other edit is, and becomes a new version: revisions never go back.
+// Rollback implements snipeproto.Operator. The previous document is checked like any other edit and
+// becomes a new version: revisions never decrease.
 func (s *Server) Rollback(ctx context.Context, r *snipeproto.RollbackRequest) (*snipeproto.ApplySettingsResponse, error) {
 	if err := s.authorize(ctx, r.GetTeam()); err != nil {
 		return nil, err
@@ -50,8 +50,8 @@
 	return s.apply(ctx, snipetree.Edit{Team: r.GetTeam(), Expect: r.GetExpectVersion(), Document: document})
 }
 
-// documentError tells a version that there is not from one that cannot be read
-// now.
+// documentError returns a NotFound error for a version that does not exist and an Unavailable error
+// for one that cannot be read now.
 func documentError(err error) error {
 	if errors.Is(err, snipetree.ErrUnknownVersion) {
 		return twirp.NotFoundError(err.Error())
--- a/snipeoperator/show.go
+++ b/snipeoperator/show.go
@@ -17,7 +17,7 @@
 		return nil, err
 	}
 	if r.GetVersion() > 0 {
-		return s.earlier(ctx, r)
+		return s.previousSettings(ctx, r)
 	}
 	t, version := s.branch(r.GetTeam())
 	if t == nil {
@@ -46,9 +46,9 @@
 	return out, nil
 }
 
-// branch returns the tree in force and the version of a branch in that very
-// tree. Were the version newer than the document, an operator could replace an
-// edit without having seen it.
+// branch returns the tree in force and the version of a branch in the same tree. If the version
+// were newer than the document, an operator could overwrite an edit that the document does not
+// contain.
 func (s *Server) branch(team string) (*snipetree.Tree, uint64) {
 	for {
 		t := s.Settings.Current()
--- a/snipeoperator/snipeoperator.go
+++ b/snipeoperator/snipeoperator.go
@@ -1,12 +1,11 @@
-// Package snipeoperator is the operators' side of an instance: the Twirp
-// service that snipectl calls, one command a file.
+// Package snipeoperator implements the Twirp service for operators that snipectl calls. Each
+// command has its own file.
 //
-// An operator shows a key as a bearer token; the settings tree says which
-// branches the key may see and edit. Rights are checked against the tree in
-// force on the called instance, before anything else. What only other
-// instances know, the called one asks them for on the peers' side (gather.go),
-// a bounded number at once and each within a bounded time; who does not answer
-// is named in the answer.
+// An operator sends a key as a bearer token; the settings tree defines which branches the key may
+// read and edit. Rights are checked first, against the tree in force on the called instance. State
+// that only other instances have is requested from them over the peers' listener (gather.go), with
+// a bounded number of requests at once and a timeout for each. The answer to the operator names the
+// instances that did not answer.
 package snipeoperator
 
 import (
@@ -25,18 +24,20 @@
 // Server implements snipeproto.Operator. Exported fields are set before the
 // first request.
 type Server struct {
-	// Settings are the settings of this instance.
+	// Settings is the settings store of this instance.
 	Settings *snipetree.Store
-	// BootstrapKeyHash may write the platform branch while it has no operators.
+	// BootstrapKeyHash is the hash of the key that has platform rights while the platform branch
+	// declares no operators.
 	BootstrapKeyHash snipetree.KeyHash
-	// View returns instances and owners.
+	// View returns the instances and the owners of engines.
 	View func() *snipelease.View
-	// Own tells what only this instance knows.
+	// Own provides the state that only this instance has.
 	Own *Own
-	// Peers sends requests to other instances; it shows the peer secret.
+	// Peers sends requests to other instances with the peer secret.
 	Peers snipeproto.HTTPClient
 }
 
+// keyContext is the context key of the operator key of a request.
 type keyContext struct{}
 
 // Handler returns the HTTP handler of the service.
@@ -48,10 +49,10 @@
 	})
 }
 
-// PathPrefix is where the handler is mounted.
+// PathPrefix is the path prefix at which Handler is mounted.
 const PathPrefix = snipeproto.OperatorPathPrefix
 
-// operator returns the rights of the request's key.
+// operator returns the rights of the request's operator key, or an Unauthenticated error.
 func (s *Server) operator(ctx context.Context) (snipetree.Operator, error) {
 	key, _ := ctx.Value(keyContext{}).(string)
 	hash := snipetree.HashKey(key)
@@ -70,6 +71,8 @@
 	return snipetree.Operator{}, twirp.Unauthenticated.Error("unknown operator key")
 }
 
+// authorize returns an error unless the request's operator key has rights to the branch of a team,
+// or to the platform branch if team is empty.
 func (s *Server) authorize(ctx context.Context, team string) error {
 	o, err := s.operator(ctx)
 	if err != nil {
--- a/snipeoperator/status.go
+++ b/snipeoperator/status.go
@@ -9,20 +9,19 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// StatusPathPrefix is where the peers' side of this package is mounted.
+// StatusPathPrefix is the path prefix at which the status service for peers is mounted.
 const StatusPathPrefix = snipeproto.StatusPathPrefix
 
-// Own is what only this instance knows. It serves peers as snipeproto.Status;
-// the peers' listener has checked their secret. Exported fields are set before
-// the first request.
+// Own provides the state that only this instance has. It implements snipeproto.Status for peers;
+// the peers' listener checks the peer secret. Exported fields are set before the first request.
 type Own struct {
 	// Name is the instance's name.
 	Name string
-	// Revision returns the revision in force.
+	// Revision returns the settings revision in force.
 	Revision func() uint64
-	// View returns instances and owners.
+	// View returns the instances and the owners of engines.
 	View func() *snipelease.View
-	// Resident returns the adapters at an owned engine and the calls in flight.
+	// Resident returns the adapters that an owned engine holds and its number of calls in flight.
 	Resident func(engine string) ([]snipecall.Adapter, int)
 	// Drain starts a graceful stop.
 	Drain func()
--- a/snipeoperator/upstreams.go
+++ b/snipeoperator/upstreams.go
@@ -8,7 +8,8 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// kindEngine is the kind of an engine among the upstreams.
+// kindEngine is the kind of engines in a list of upstreams; other upstreams have the name of their
+// plain service as kind.
 const kindEngine = "Engine"
 
 // ListUpstreams implements snipeproto.Operator.
