--- a/snipepolicy/fakes.go
+++ b/snipepolicy/fakes.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	stepTime = 20 * time.Millisecond // of a batch of one
-	stepMore = 2 * time.Millisecond  // for each further call in the batch
+	stepTime    = 20 * time.Millisecond // duration of a step with one call in the batch
+	stepPerCall = 2 * time.Millisecond  // additional duration for each further call in the batch
 )
 
 var errLoad = errors.New("load failed")
 
-// store is the weight store: loads share its speed beyond the number that run
-// at full speed, and start no faster than its rate.
+// store is a fake of the weight store. Loads start no faster than its rate. If more loads run than
+// the store serves at full speed, they share the speed.
 type store struct {
 	deployment deployment
-	lock       sync.Mutex
+	lock       sync.Mutex // guards the fields below
 	running    int
-	next       time.Time
-	loads      int
+	next       time.Time // earliest start of the next load
+	loads      int       // number of loads so far
 }
 
 func (s *store) load(ctx context.Context) error {
@@ -54,23 +54,23 @@
 	return nil
 }
 
-// engine is a model engine: slots, and a batch whose steps take longer the
-// fuller it is.
+// engine is a fake of a model engine. It has slots for adapters and a batch whose steps take longer
+// the more calls it contains.
 type engine struct {
 	capacity int
 	batch    chan struct{}
 	store    *store
 	fails    func(alias string) bool
-	parts    int // engines that are pooled here
+	pooled   int // number of engines that this fake stands for
 
-	lock    sync.Mutex
-	loaded  map[string]bool
-	evicted int
-	running int
-	busy    time.Duration // time with at least one call
-	since   time.Time
-	work    time.Duration // time of all calls
-	waits   time.Duration // for a place in the batch
+	lock       sync.Mutex // guards the fields below
+	loaded     map[string]bool
+	evicted    int
+	running    int
+	busy       time.Duration // time with at least one call in the batch
+	busySince  time.Time
+	callTime   time.Duration // sum of the execution times of all calls
+	batchWaits time.Duration // sum of the waits for a free slot in the batch
 }
 
 func (e *engine) load(ctx context.Context, alias, _ string) error {
@@ -107,35 +107,36 @@
 	return names, nil
 }
 
+// restart empties the slots, as a restart of the engine does.
 func (e *engine) restart() {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	clear(e.loaded)
 }
 
-// run answers a call and reports false when the alias is not there.
+// run executes a call. It returns false if the alias is not loaded.
 func (e *engine) run(alias string, tokens int) bool {
 	start := time.Now()
 	e.batch <- struct{}{}
 	defer func() { <-e.batch }()
 	e.lock.Lock()
-	e.waits += time.Since(start)
+	e.batchWaits += time.Since(start)
 	if !e.loaded[alias] {
 		e.lock.Unlock()
 		return false
 	}
 	if e.running == 0 {
-		e.since = time.Now()
+		e.busySince = time.Now()
 	}
 	e.running++
-	d := time.Duration(tokens) * (stepTime + time.Duration((e.running-1)/e.parts)*stepMore)
-	e.work += d
+	d := time.Duration(tokens) * (stepTime + time.Duration((e.running-1)/e.pooled)*stepPerCall)
+	e.callTime += d
 	e.lock.Unlock()
 	time.Sleep(d)
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	if e.running--; e.running == 0 {
-		e.busy += time.Since(e.since)
+		e.busy += time.Since(e.busySince)
 	}
 	return true
 }
--- a/snipepolicy/policy_test.go
+++ b/snipepolicy/policy_test.go
@@ -44,7 +44,8 @@
   reference, not a proven bound.
 `
 
-func play(t *testing.T, d deployment, s scenario) ([]string, []result) {
+// runPolicies runs the selected policies on the trace of a deployment and scenario.
+func runPolicies(t *testing.T, d deployment, s scenario) ([]string, []result) {
 	t.Helper()
 	var names []string
 	var all []result
@@ -61,7 +62,8 @@
 	return names, all
 }
 
-// TestToday holds the aim against the naive baseline on the steady trace.
+// TestToday guards against a change that makes the current policy too slow: on the steady trace its
+// sum of stalls must be below a third of the naive baseline's, and it must answer more tokens.
 func TestToday(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
@@ -75,20 +77,20 @@
 	}
 }
 
-// TestPage writes the page of make bench-policy.
+// TestPage writes the page of make bench-policy. Without -policy.page it does nothing.
 func TestPage(t *testing.T) {
 	if *page == "" {
 		return
 	}
 	var b bytes.Buffer
-	_, _ = fmt.Fprintf(&b, header, *seed, length)
+	_, _ = fmt.Fprintf(&b, header, *seed, traceLength)
 	for _, d := range deployments {
 		_, _ = fmt.Fprintf(&b, "\n## %s\n\n%d adapters, %d engines of %d slots and batch %d, %g loads/s with %d at once, %g calls/s, %d instances.\n",
 			d.name, d.adapters, d.engines, d.slots, d.batch, d.perSecond, d.concurrent, d.rate, d.instances)
 		for _, s := range scenarios {
-			names, all := play(t, d, s)
+			names, all := runPolicies(t, d, s)
 			_, _ = fmt.Fprintf(&b, "\n### %s, %s\n\n", d.name, s)
-			must.NoError(t, write(&b, names, all))
+			must.NoError(t, writeTable(&b, names, all))
 		}
 	}
 	must.NoError(t, os.WriteFile(*page, b.Bytes(), 0o600))
--- a/snipepolicy/previous.go
+++ b/snipepolicy/previous.go
@@ -9,28 +9,31 @@
 	"snipepitch.example/snipepitch/snipetime"
 )
 
-// previousSlots are the slots as they were before: least recently used goes
-// first, and it goes before the load has permission. With no budget and calls
-// spread in turn they are the naive baseline.
+// previousSlots are the slots of an engine in the previous version. They evict the least recently
+// used adapter, and they evict it before the load has a permit. Without a budget, and with calls
+// sent to the engines in turn, they are the naive baseline.
 type previousSlots struct {
 	capacity int
 	engine   *engine
-	budget   func(ctx context.Context) (func(), error) // nil loads as it likes
+	budget   func(ctx context.Context) (func(), error) // nil for loads without a budget
 
-	lock    sync.Mutex
+	lock    sync.Mutex // guards the fields below
 	entries map[snipecall.Adapter]*previousEntry
-	changed chan struct{}
+	changed chan struct{} // closed and replaced when an entry changes
 }
 
+// previousEntry is an adapter that occupies a slot.
 type previousEntry struct {
 	resident bool
 	leaving  bool
 	inFlight int
-	used     time.Time
-	done     chan struct{}
-	err      error
+	used     time.Time     // last use
+	done     chan struct{} // closed when the load has ended
+	err      error         // of the load
 }
 
+// acquire waits until a slot holds the adapter, loading it if necessary, and returns the function
+// that ends its use.
 func (s *previousSlots) acquire(ctx context.Context, a snipecall.Adapter) (func(), error) {
 	for {
 		e, wait := s.find(a)
@@ -48,6 +51,8 @@
 	}
 }
 
+// find returns the entry of a resident adapter, now in use. Otherwise it returns the channel to
+// wait for, which belongs to a started load of the entry or, without an entry, to the next change.
 func (s *previousSlots) find(a snipecall.Adapter) (*previousEntry, <-chan struct{}) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -74,16 +79,17 @@
 	return e, e.done
 }
 
-// evictOne evicts at once: orders to unload take no time here.
+// evictOne evicts the least recently used idle adapter, if there is one. The caller holds the lock,
+// also during the order to unload, which takes no time in the simulation.
 func (s *previousSlots) evictOne() {
 	var victim snipecall.Adapter
-	var least *previousEntry
+	var oldest *previousEntry
 	for a, e := range s.entries {
-		if e.resident && e.inFlight == 0 && (least == nil || e.used.Before(least.used)) {
-			victim, least = a, e
+		if e.resident && e.inFlight == 0 && (oldest == nil || e.used.Before(oldest.used)) {
+			victim, oldest = a, e
 		}
 	}
-	if least != nil {
+	if oldest != nil {
 		_ = s.engine.unload(context.Background(), victim.String())
 		delete(s.entries, victim)
 	}
@@ -101,7 +107,7 @@
 		delete(s.entries, a)
 	}
 	close(e.done)
-	s.wake()
+	s.notify()
 }
 
 func (s *previousSlots) tryLoad(ctx context.Context, a snipecall.Adapter) error {
@@ -120,30 +126,31 @@
 	defer s.lock.Unlock()
 	e.inFlight--
 	e.used = time.Now()
-	s.wake()
+	s.notify()
 }
 
-func (s *previousSlots) wake() {
+// notify wakes the calls that wait for a change. The caller holds the lock.
+func (s *previousSlots) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// forget drops an adapter that the engine has lost.
+// forget removes an adapter that the engine no longer holds.
 func (s *previousSlots) forget(a snipecall.Adapter) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if e, ok := s.entries[a]; ok && e.resident {
 		delete(s.entries, a)
-		s.wake()
+		s.notify()
 	}
 }
 
-// previousBudget is an instance's fixed part of the store's budget.
+// previousBudget is an instance's fixed share of the store's budget.
 type previousBudget struct {
 	perSecond float64
 	running   chan struct{}
-	lock      sync.Mutex
-	next      time.Time
+	lock      sync.Mutex // guards next
+	next      time.Time  // earliest start of the next load
 }
 
 func (b *previousBudget) acquire(ctx context.Context) (func(), error) {
--- a/snipepolicy/snipepolicy.go
+++ b/snipepolicy/snipepolicy.go
@@ -1,13 +1,12 @@
-// Package snipepolicy measures the decisions about adapters: which engine, what
-// to load next, what to evict.
+// Package snipepolicy simulates the policies for adapters and measures their decisions: which
+// engine executes a call, which adapter is loaded next, and which one is evicted.
 //
-// Design. The product's own slices (sniperoute, snipeslot, snipeweight) are
-// driven by a drawn trace on a paused clock, against fakes of engine and weight
-// store (fakes.go). There is no network and no cluster: an instance is its part
-// of the queue. The same seed gives the same trace. Beside the policy of today
-// stand a naive baseline, the previous version (previous.go), a clairvoyant
-// policy on the same trace and budget, and the policy of today with each
-// mechanism switched off. Used by make bench-policy alone.
+// The packages of the product (sniperoute, snipeslot, snipeweight) run on a random trace and a fake
+// clock, with fakes of the engines and the weight store (fakes.go). There is no network and no
+// cluster: an instance consists only of its permits in the queue for the weight store. The same
+// seed gives the same trace. The current policy is compared with a naive baseline, the previous
+// version (previous.go), a clairvoyant policy on the same trace and budget, and the current policy
+// with each mechanism switched off. Only make bench-policy uses this package.
 package snipepolicy
 
 import (
@@ -27,137 +26,139 @@
 )
 
 const (
-	hop    = time.Millisecond // between instances, one way
-	digest = time.Second      // between two looks at what engines announce
-	// reloads bounds how often a call finds its adapter gone.
-	reloads = 3
+	hopTime          = time.Millisecond // one way between two instances
+	replicasInterval = time.Second      // between two updates of the replicas of adapters
+	// maxAttempts bounds the attempts of a call whose adapter is missing at the engine.
+	maxAttempts = 3
 )
 
-// policy is one way to decide.
+// policy is a combination of mechanisms that decide on adapters.
 type policy struct {
 	name string
-	// previous uses the slots of before; turns spreads calls in turn.
-	previous, turns bool
-	// budgeted gives each instance a fixed part of the store's budget.
-	budgeted bool
-	// clairvoyant evicts what is needed last, from one pool of all slots.
+	// previous uses the slots of the previous version; roundRobin sends calls to the engines in
+	// turn.
+	previous, roundRobin bool
+	// fixedBudget gives each instance a fixed share of the store's budget; without it, the previous
+	// slots load without a budget.
+	fixedBudget bool
+	// clairvoyant evicts the adapter whose next use is latest, from one pool of all slots.
 	clairvoyant bool
-	// What is switched off.
-	noWorth, noClasses, noTeams, noQueue, noReplicas bool
+	// The mechanisms of the current policy that are switched off.
+	noValue, noClasses, noTeams, noQueue, noReplicas bool
 }
 
 var policies = []policy{
-	{name: "Naive (a)", previous: true, turns: true},
-	{name: "Previous (b)", previous: true, budgeted: true},
+	{name: "Naive (a)", previous: true, roundRobin: true},
+	{name: "Previous (b)", previous: true, fixedBudget: true},
 	{name: "Clairvoyant (c)", clairvoyant: true},
 	{name: "Today"},
-	{name: "without worth (least recently used)", noWorth: true},
+	{name: "without worth (least recently used)", noValue: true},
 	{name: "without classes in the queue", noClasses: true},
 	{name: "without team shares in the queue", noTeams: true},
 	{name: "without the shared queue", noQueue: true},
 	{name: "without replicas", noReplicas: true},
 }
 
-// world is one run.
-type world struct {
-	deployment deployment
-	policy     policy
-	trace      *trace
-	start      time.Time
-	store      *store
-	engines    []*engine
-	slots      []*snipeslot.Slots
-	before     []*previousSlots
-	candidates []sniperoute.Candidate
+// simulation is one run of a trace under a policy.
+type simulation struct {
+	deployment    deployment
+	policy        policy
+	trace         *trace
+	start         time.Time
+	store         *store
+	engines       []*engine
+	slots         []*snipeslot.Slots
+	previousSlots []*previousSlots
+	candidates    []sniperoute.Candidate
 
 	lock     sync.Mutex // guards the fields below
-	turn     int
+	routed   int        // number of routed calls
 	replicas map[snipecall.Adapter]*sniperoute.Replicas
 	result   result
 }
 
-// run plays a trace under a policy. It runs in a bubble of testing/synctest.
+// run simulates a trace under a policy. The caller runs it in a bubble of testing/synctest.
 func run(d deployment, p policy, t *trace) result {
-	w := &world{deployment: d, policy: p, trace: t, start: time.Now(), store: &store{deployment: d}, replicas: map[snipecall.Adapter]*sniperoute.Replicas{}}
-	w.result.team = make([]time.Duration, teams)
-	w.build()
+	sm := &simulation{deployment: d, policy: p, trace: t, start: time.Now(), store: &store{deployment: d}, replicas: map[snipecall.Adapter]*sniperoute.Replicas{}}
+	sm.result.teamStalls = make([]time.Duration, teams)
+	sm.build()
 	stop := make(chan struct{})
-	go w.refresh(stop)
+	go sm.updateReplicas(stop)
 	if t.restart > 0 {
-		time.AfterFunc(t.restart, w.engines[0].restart)
+		time.AfterFunc(t.restart, sm.engines[0].restart)
 	}
 	var all sync.WaitGroup
 	for _, c := range t.calls {
-		time.Sleep(c.at - time.Since(w.start))
-		all.Go(func() { w.call(c) })
+		time.Sleep(c.at - time.Since(sm.start))
+		all.Go(func() { sm.execute(c) })
 	}
 	all.Wait()
 	close(stop)
-	for _, s := range w.slots {
+	for _, s := range sm.slots {
 		s.Close()
 	}
 	time.Sleep(time.Minute)
-	w.finish()
-	return w.result
+	sm.summarize()
+	return sm.result
 }
 
-func (w *world) build() {
-	d := w.deployment
-	engines, slots, batch, parts := d.engines, d.slots, d.batch, 1
-	if w.policy.clairvoyant {
-		parts = d.engines
+func (sm *simulation) build() {
+	d := sm.deployment
+	engines, slots, batch, pooled := d.engines, d.slots, d.batch, 1
+	if sm.policy.clairvoyant {
+		pooled = d.engines
 		engines, slots, batch = 1, d.engines*d.slots, d.engines*d.batch
 	}
 	for n := range engines {
 		e := &engine{
-			capacity: slots, batch: make(chan struct{}, batch), store: w.store,
-			loaded: map[string]bool{}, fails: w.fails, parts: parts,
+			capacity: slots, batch: make(chan struct{}, batch), store: sm.store,
+			loaded: map[string]bool{}, fails: sm.fails, pooled: pooled,
 		}
-		w.engines = append(w.engines, e)
+		sm.engines = append(sm.engines, e)
 		name := "engine-" + strconv.Itoa(n)
-		w.candidates = append(w.candidates, sniperoute.Candidate{Name: name, Hash: sniperoute.Hash(name), Usable: true})
+		sm.candidates = append(sm.candidates, sniperoute.Candidate{Name: name, Hash: sniperoute.Hash(name), Usable: true})
 	}
-	if w.policy.previous {
-		w.buildPrevious()
+	if sm.policy.previous {
+		sm.buildPrevious()
 		return
 	}
-	w.buildToday()
+	sm.buildCurrent()
 }
 
-func (w *world) buildPrevious() {
-	d := w.deployment
+func (sm *simulation) buildPrevious() {
+	d := sm.deployment
 	var budgets []*previousBudget
 	for range d.instances {
 		budgets = append(budgets, &previousBudget{
 			perSecond: d.perSecond / float64(d.instances), running: make(chan struct{}, max(d.concurrent/d.instances, 1)),
 		})
 	}
-	for n, e := range w.engines {
+	for n, e := range sm.engines {
 		s := &previousSlots{capacity: e.capacity, engine: e, entries: map[snipecall.Adapter]*previousEntry{}, changed: make(chan struct{})}
-		if w.policy.budgeted {
+		if sm.policy.fixedBudget {
 			s.budget = budgets[n%d.instances].acquire
 		}
-		w.before = append(w.before, s)
+		sm.previousSlots = append(sm.previousSlots, s)
 	}
 }
 
-func (w *world) buildToday() {
-	d := w.deployment
-	shared := w.queue(1)
+func (sm *simulation) buildCurrent() {
+	d := sm.deployment
+	shared := sm.queue(1)
 	var permits []*snipeweight.Permits
 	for n := range d.instances {
 		q := shared
-		if w.policy.noQueue {
-			q = w.queue(d.instances)
+		if sm.policy.noQueue {
+			q = sm.queue(d.instances)
 		}
-		h := w.holder(q)
+		h := sm.holder(q)
 		permits = append(permits, &snipeweight.Permits{
 			Self: strconv.Itoa(n), Holders: func() []snipeweight.Holder { return []snipeweight.Holder{h} },
 		})
 	}
 	number := uint64(0)
 	var lock sync.Mutex
-	for n, e := range w.engines {
+	for n, e := range sm.engines {
 		s := &snipeslot.Slots{
 			Engine: strconv.Itoa(n), Capacity: e.capacity, Fence: 1,
 			Number: func() uint64 { lock.Lock(); defer lock.Unlock(); number++; return number },
@@ -165,45 +166,48 @@
 			Budget: permits[n%d.instances].Acquire, Timeout: time.Minute, Log: snipelog.Discard(),
 		}
 		switch {
-		case w.policy.clairvoyant:
-			s.Worth = w.nextUse
-		case w.policy.noWorth:
+		case sm.policy.clairvoyant:
+			s.Worth = sm.nextUse
+		case sm.policy.noValue:
 			s.Worth = func(snipecall.Adapter) float64 { return 0 }
 		}
-		w.slots = append(w.slots, s)
+		sm.slots = append(sm.slots, s)
 	}
 }
 
-func (w *world) queue(parts int) *snipeweight.Queue {
-	d := w.deployment
+// queue returns a queue with an equal share of the store's budget for one of so many queues.
+func (sm *simulation) queue(shares int) *snipeweight.Queue {
+	d := sm.deployment
 	return &snipeweight.Queue{Limits: func() (float64, int) {
-		return d.perSecond / float64(parts), max(d.concurrent/parts, 1)
+		return d.perSecond / float64(shares), max(d.concurrent/shares, 1)
 	}}
 }
 
-// holder is the queue as seen over the network between instances.
-func (w *world) holder(q *snipeweight.Queue) snipeweight.Holder {
+// holder returns a queue's holder whose answers take the time of a hop in each direction. It
+// removes what the policy switches off from the requests.
+func (sm *simulation) holder(q *snipeweight.Queue) snipeweight.Holder {
 	h := snipeweight.Local("holder", q)
 	ask := h.Ask
 	h.Ask = func(ctx context.Context, a snipeweight.Ask) (snipeweight.Answer, error) {
-		if w.policy.noClasses {
+		if sm.policy.noClasses {
 			a.Weight = 1
 		}
-		if w.policy.noTeams {
+		if sm.policy.noTeams {
 			a.Team = ""
 		}
-		time.Sleep(hop)
-		defer time.Sleep(hop)
+		time.Sleep(hopTime)
+		defer time.Sleep(hopTime)
 		return ask(ctx, a)
 	}
 	return h
 }
 
-// nextUse is the worth of an adapter to who knows the trace.
-func (w *world) nextUse(a snipecall.Adapter) float64 {
+// nextUse returns the value of keeping an adapter for the clairvoyant policy: the earlier the trace
+// uses the adapter again, the higher the value. An adapter that is not used again has the lowest.
+func (sm *simulation) nextUse(a snipecall.Adapter) float64 {
 	n, _ := strconv.Atoi(a.Name)
-	uses := w.trace.uses[n]
-	now := time.Since(w.start)
+	uses := sm.trace.uses[n]
+	now := time.Since(sm.start)
 	i, _ := slices.BinarySearch(uses, now)
 	if i == len(uses) {
 		return math.Inf(-1)
@@ -211,35 +215,37 @@
 	return -float64(uses[i])
 }
 
-func (w *world) fails(alias string) bool {
+// fails reports whether loads of an alias fail in the trace.
+func (sm *simulation) fails(alias string) bool {
 	_, rest, _ := strings.Cut(alias, "/")
 	name, _, _ := strings.Cut(rest, "@")
 	n, _ := strconv.Atoi(name)
-	return w.trace.fails[n]
+	return sm.trace.fails[n]
 }
 
-// route chooses an engine.
-func (w *world) route(a snipecall.Adapter) int {
-	if w.policy.clairvoyant {
+// route returns the index of the engine for the next call of an adapter.
+func (sm *simulation) route(a snipecall.Adapter) int {
+	if sm.policy.clairvoyant {
 		return 0
 	}
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	if w.policy.turns {
-		w.turn++
-		return w.turn % len(w.engines)
+	sm.lock.Lock()
+	defer sm.lock.Unlock()
+	if sm.policy.roundRobin {
+		sm.routed++
+		return sm.routed % len(sm.engines)
 	}
-	w.turn++
+	sm.routed++
 	count := 1
-	if r := w.replicas[a]; r != nil {
+	if r := sm.replicas[a]; r != nil {
 		count = r.Count()
 	}
-	return sniperoute.PickReplica(sniperoute.AdapterHash(a), sniperoute.Hash(strconv.Itoa(w.turn)), count, w.candidates)
+	return sniperoute.PickReplica(sniperoute.AdapterHash(a), sniperoute.Hash(strconv.Itoa(sm.routed)), count, sm.candidates)
 }
 
-// refresh lets homes decide on replicas, and all instances hear of it.
-func (w *world) refresh(stop <-chan struct{}) {
-	t := time.NewTicker(digest)
+// updateReplicas updates the number of replicas of each adapter, as its home decides, until stop is
+// closed. All instances use the new number at once.
+func (sm *simulation) updateReplicas(stop <-chan struct{}) {
+	t := time.NewTicker(replicasInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -247,73 +253,75 @@
 			return
 		case <-t.C:
 		}
-		if w.policy.noReplicas || w.policy.clairvoyant {
+		if sm.policy.noReplicas || sm.policy.clairvoyant {
 			continue
 		}
-		for n, s := range w.slots {
-			s.Uses(func(a snipecall.Adapter, inFlight int) { w.observe(n, a, inFlight) })
+		for n, s := range sm.slots {
+			s.Uses(func(a snipecall.Adapter, inFlight int) { sm.observe(n, a, inFlight) })
 		}
 	}
 }
 
-func (w *world) observe(n int, a snipecall.Adapter, inFlight int) {
-	if sniperoute.Pick(sniperoute.AdapterHash(a), w.candidates) != n {
+// observe updates the replicas of an adapter with its calls in flight at engine n, if that is the
+// adapter's home.
+func (sm *simulation) observe(n int, a snipecall.Adapter, inFlight int) {
+	if sniperoute.Pick(sniperoute.AdapterHash(a), sm.candidates) != n {
 		return
 	}
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	r := w.replicas[a]
+	sm.lock.Lock()
+	defer sm.lock.Unlock()
+	r := sm.replicas[a]
 	if r == nil {
 		r = &sniperoute.Replicas{}
-		w.replicas[a] = r
+		sm.replicas[a] = r
 	}
-	r.Step(time.Now(), inFlight, w.deployment.batch)
+	r.Step(time.Now(), inFlight, sm.deployment.batch)
 }
 
-// call plays one call.
-func (w *world) call(c call) {
+// execute simulates one call.
+func (sm *simulation) execute(c call) {
 	a := adapterName(c.adapter)
 	ctx, cancel := context.WithTimeout(context.Background(), deadlines[c.class])
 	defer cancel()
-	time.Sleep(hop)
+	time.Sleep(hopTime)
 	start := time.Now()
-	n := w.route(a)
-	for range reloads {
-		alias, release, err := w.acquire(ctx, n, a, c.class)
+	n := sm.route(a)
+	for range maxAttempts {
+		alias, release, err := sm.acquire(ctx, n, a, c.class)
 		if err != nil {
-			w.lost(c)
+			sm.recordLost(c)
 			return
 		}
 		stall := time.Since(start)
-		ok := w.engines[n].run(alias, c.tokens)
+		ok := sm.engines[n].run(alias, c.tokens)
 		if !ok {
-			w.forget(n, a, alias)
+			sm.forget(n, a, alias)
 		}
 		release()
 		if ok {
-			w.served(c, stall)
+			sm.recordServed(c, stall)
 			return
 		}
 	}
-	w.lost(c)
+	sm.recordLost(c)
 }
 
-func (w *world) acquire(ctx context.Context, n int, a snipecall.Adapter, c snipecall.Class) (string, func(), error) {
-	if w.policy.previous {
-		release, err := w.before[n].acquire(ctx, a)
+func (sm *simulation) acquire(ctx context.Context, n int, a snipecall.Adapter, c snipecall.Class) (string, func(), error) {
+	if sm.policy.previous {
+		release, err := sm.previousSlots[n].acquire(ctx, a)
 		return a.String(), release, err
 	}
-	u, err := w.slots[n].Acquire(ctx, snipeslot.Request{Adapter: a, Path: a.Name, Class: c})
+	u, err := sm.slots[n].Acquire(ctx, snipeslot.Request{Adapter: a, Path: a.Name, Class: c})
 	if err != nil {
 		return "", nil, err
 	}
 	return u.Alias, u.Release, nil
 }
 
-func (w *world) forget(n int, a snipecall.Adapter, alias string) {
-	if w.policy.previous {
-		w.before[n].forget(a)
+func (sm *simulation) forget(n int, a snipecall.Adapter, alias string) {
+	if sm.policy.previous {
+		sm.previousSlots[n].forget(a)
 		return
 	}
-	w.slots[n].Forget(alias)
+	sm.slots[n].Forget(alias)
 }
--- a/snipepolicy/trace.go
+++ b/snipepolicy/trace.go
@@ -11,47 +11,47 @@
 )
 
 const (
-	teams      = 10
-	length     = 10 * time.Minute
-	skew       = 1.1  // exponent of the popularity
-	driftHour  = 0.35 // part of the adapters that wake up or fall idle in an hour
-	stormTimes = 4    // how often a storming team sends what it usually sends
-	hotTimes   = 1.0  // of the usual rate, what goes to one adapter on top
-	failing    = 0.03 // part of the adapters whose loads fail, in that scenario
+	teams           = 10
+	traceLength     = 10 * time.Minute
+	zipfExponent    = 1.1  // exponent of the popularity of adapters
+	driftPerHour    = 0.35 // fraction of the adapters that become active or idle in an hour
+	stormFactor     = 4    // rate of the team that causes the storm, as a multiple of its usual rate
+	hotFactor       = 1.0  // extra rate for the hot adapter, as a multiple of the usual total
+	failingFraction = 0.03 // fraction of the adapters whose loads fail in scenario fails
 )
 
-// deadlines are those of the classes.
+// deadlines is the deadline of a call by class.
 var deadlines = [snipecall.Classes]time.Duration{15 * time.Second, 30 * time.Second, 2 * time.Minute}
 
 // call is one call of a trace.
 type call struct {
-	at      time.Duration
+	at      time.Duration // since the start of the trace
 	adapter int
 	class   snipecall.Class
 	tokens  int
 }
 
-// trace is what is replayed: the same seed gives the same trace.
+// trace is a random sequence of calls; the same seed gives the same trace.
 type trace struct {
 	calls   []call
-	restart time.Duration // when an engine restarts empty; 0 is never
-	fails   map[int]bool  // adapters whose loads fail
-	uses    map[int][]time.Duration
+	restart time.Duration           // when an engine restarts with empty slots; 0 for never
+	fails   map[int]bool            // adapters whose loads fail
+	uses    map[int][]time.Duration // times of the calls for each adapter, ascending
 }
 
-// deployment is one of the two that the project is for.
+// deployment describes one of the deployments that the project targets.
 type deployment struct {
 	name       string
 	adapters   int
 	engines    int
 	slots      int // of each engine
-	batch      int
+	batch      int // of each engine
 	instances  int
-	perSecond  float64 // of the weight store
-	concurrent int
-	rate       float64       // calls in a second
-	load       time.Duration // of one load at full speed
-	classes    [snipecall.Classes]float64
+	perSecond  float64                    // loads per second that the weight store starts
+	concurrent int                        // loads that the weight store runs at full speed
+	rate       float64                    // calls per second
+	load       time.Duration              // duration of one load at full speed
+	classes    [snipecall.Classes]float64 // share of each class in the calls
 }
 
 var deployments = []deployment{
@@ -65,7 +65,7 @@
 	},
 }
 
-// scenario is what happens during a trace.
+// scenario names the change of load or the fault that happens during a trace.
 type scenario string
 
 const (
@@ -80,50 +80,50 @@
 
 var scenarios = []scenario{steady, shift, drift, restart, storm, fails, hot}
 
-// popularity draws adapters by rank.
+// popularity draws random adapters; the probability of an adapter depends on its rank.
 type popularity struct {
-	sums []float64
-	rank []int // adapter by rank
+	cumulative []float64 // sums of the weights up to each rank
+	rank       []int     // adapter by rank
 }
 
 func newPopularity(n int, r *rand.Rand) *popularity {
-	p := &popularity{sums: make([]float64, n), rank: r.Perm(n)}
+	p := &popularity{cumulative: make([]float64, n), rank: r.Perm(n)}
 	sum := 0.0
 	for i := range n {
-		sum += 1 / math.Pow(float64(i+1), skew)
-		p.sums[i] = sum
+		sum += 1 / math.Pow(float64(i+1), zipfExponent)
+		p.cumulative[i] = sum
 	}
 	return p
 }
 
 func (p *popularity) draw(r *rand.Rand) int {
-	x := r.Float64() * p.sums[len(p.sums)-1]
-	return p.rank[sort.SearchFloat64s(p.sums, x)]
+	x := r.Float64() * p.cumulative[len(p.cumulative)-1]
+	return p.rank[sort.SearchFloat64s(p.cumulative, x)]
 }
 
-// newTrace draws a trace.
+// newTrace generates the trace of a deployment and scenario from a seed.
 func newTrace(d deployment, s scenario, seed uint64) *trace {
 	r := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // a trace must be the same on every run
 	p := newPopularity(d.adapters, r)
 	t := &trace{fails: map[int]bool{}, uses: map[int][]time.Duration{}}
 	if s == fails {
-		for range int(failing * float64(d.adapters)) {
+		for range int(failingFraction * float64(d.adapters)) {
 			t.fails[r.IntN(d.adapters)] = true
 		}
 	}
 	if s == restart {
-		t.restart = length / 2
+		t.restart = traceLength / 2
 	}
-	for at := time.Duration(0); at < length; {
-		more := d.more(s, at)
-		gap := time.Duration(r.ExpFloat64() / (d.rate + more) * float64(time.Second))
-		p.change(r, s, at, gap)
+	for at := time.Duration(0); at < traceLength; {
+		extra := d.extraRate(s, at)
+		gap := time.Duration(r.ExpFloat64() / (d.rate + extra) * float64(time.Second))
+		p.update(r, s, at, gap)
 		at += gap
 		c := call{at: at, adapter: p.draw(r), class: drawClass(d, r), tokens: 20 + r.IntN(80)}
-		if more > 0 && r.Float64() < more/(d.rate+more) {
+		if extra > 0 && r.Float64() < extra/(d.rate+extra) {
 			c.adapter = 0
 			if s == storm {
-				c.adapter = r.IntN(d.adapters/teams) * teams // of team 0
+				c.adapter = r.IntN(d.adapters/teams) * teams // any adapter of team 0
 			}
 		}
 		t.calls = append(t.calls, c)
@@ -132,39 +132,41 @@
 	return t
 }
 
-// more returns the calls a second on top of the usual ones.
-func (d deployment) more(s scenario, at time.Duration) float64 {
-	if at <= length/3 || at >= 2*length/3 {
+// extraRate returns the calls per second in addition to the usual rate.
+func (d deployment) extraRate(s scenario, at time.Duration) float64 {
+	if at <= traceLength/3 || at >= 2*traceLength/3 {
 		return 0
 	}
 	switch s {
 	case storm:
-		return d.rate / teams * (stormTimes - 1)
+		return d.rate / teams * (stormFactor - 1)
 	case hot:
-		return d.rate * hotTimes
+		return d.rate * hotFactor
 	}
 	return 0
 }
 
-// change changes the popularity between at and the next call.
-func (p *popularity) change(r *rand.Rand, s scenario, at, gap time.Duration) {
+// update changes the popularity as the scenario requires between at and the next call, gap later.
+func (p *popularity) update(r *rand.Rand, s scenario, at, gap time.Duration) {
 	switch {
 	case s == drift:
-		p.wander(r, gap)
-	case s == shift && at <= length/2 && at+gap > length/2:
+		p.swapRanks(r, gap)
+	case s == shift && at <= traceLength/2 && at+gap > traceLength/2:
 		p.rank = r.Perm(len(p.rank))
 	}
 }
 
-// wander lets the part of the adapters that changes in gap swap their ranks.
-func (p *popularity) wander(r *rand.Rand, gap time.Duration) {
-	expected := driftHour * float64(len(p.rank)) * gap.Hours()
+// swapRanks swaps the ranks of random pairs of adapters. The mean number of pairs is the number of
+// adapters times driftPerHour times the hours in gap.
+func (p *popularity) swapRanks(r *rand.Rand, gap time.Duration) {
+	expected := driftPerHour * float64(len(p.rank)) * gap.Hours()
 	for n := expected; n > 0 && r.Float64() < n; n-- {
 		i, j := r.IntN(len(p.rank)), r.IntN(len(p.rank))
 		p.rank[i], p.rank[j] = p.rank[j], p.rank[i]
 	}
 }
 
+// drawClass draws a class by the deployment's share of each class.
 func drawClass(d deployment, r *rand.Rand) snipecall.Class {
 	x := r.Float64()
 	for c, share := range d.classes {
@@ -175,6 +177,7 @@
 	return snipecall.Bulk
 }
 
+// adapterName returns the name of adapter n, which belongs to team n%teams.
 func adapterName(n int) snipecall.Adapter {
 	return snipecall.Adapter{Team: "t" + strconv.Itoa(n%teams), Name: strconv.Itoa(n), Version: "1"}
 }
