--- a/snipecaller/fuzz_test.go
+++ b/snipecaller/fuzz_test.go
@@ -14,8 +14,9 @@
 	"snipepitch.example/snipepitch/snipeerror"
 )
 
-// FuzzCall: whatever a caller sends, it is either refused as not run with a
-// body that states it, or it is a call that names one adapter or service.
+// FuzzCall guards against requests that pass the checks with invalid fields:
+// each request is either refused with a body that states NotRun, or it becomes
+// a call that names exactly one adapter or service.
 func FuzzCall(f *testing.F) {
 	f.Add("POST", "/v1/completions", goodBody, "Bulk", "5s", "true", "k")
 	f.Add("POST", "/v1/chat/completions", `{"model":"plume@2","messages":[],"stream":true}`, "", "", "", "")
@@ -36,9 +37,9 @@
 		s := newServer(nil)
 		c, err := s.parse(httptest.NewRecorder(), r, "id-1")
 		if err != nil {
-			again, err := snipeerror.Decode(snipeerror.From(err).Encode("id-1"))
+			decoded, err := snipeerror.Decode(snipeerror.From(err).Encode("id-1"))
 			must.NoError(t, err)
-			must.Eq(t, snipeerror.NotRun, again.Outcome)
+			must.Eq(t, snipeerror.NotRun, decoded.Outcome)
 			return
 		}
 		must.Eq(t, "ash", c.Team)
@@ -47,7 +48,7 @@
 		must.True(t, c.Adapter.IsZero() || c.Adapter.Team == "ash")
 		must.True(t, strings.HasPrefix(c.Path, "/"))
 		must.True(t, time.Until(c.Deadline) <= MaxTimeout)
-		must.LessEq(t, maxKey, len(c.Key))
+		must.LessEq(t, maxKeyBytes, len(c.Key))
 		fields, err := json.Marshal(c)
 		must.NoError(t, err)
 		must.NoError(t, json.Unmarshal(fields, &snipecall.Call{}))
--- a/snipecaller/model.go
+++ b/snipecaller/model.go
@@ -15,14 +15,14 @@
 // maxDepth bounds how deeply the body of a model call may be nested.
 const maxDepth = 128
 
-// modelBody are the fields of a model call's body that matter here.
+// modelBody holds the fields of a model call's body that snipecaller reads.
 type modelBody struct {
-	model   string
-	stream  bool
-	options bool
+	model            string
+	stream           bool
+	hasStreamOptions bool
 }
 
-// parseModelBody checks the body of a model call. Its errors are CallErrors.
+// parseModelBody parses and checks the body of a model call. Its errors are CallErrors.
 func parseModelBody(body []byte) (modelBody, error) {
 	var m modelBody
 	if snipejson.Depth(body) > maxDepth {
@@ -33,26 +33,27 @@
 		return m, refused(snipeerror.ErrBadRequest, "body is not a JSON object")
 	}
 	var err error
-	seen := map[string]bool{}
+	names := map[string]bool{}
 	parsed.ForEach(func(key, value gjson.Result) bool {
-		// Decoders differ in which of two names they take, and whether they
-		// care for case.
+		// JSON decoders differ in which of two equal names they use and in
+		// whether they compare names case-insensitively.
 		name := strings.ToLower(key.String())
-		if seen[name] {
+		if names[name] {
 			err = refused(snipeerror.ErrBadRequest, strconv.Quote(name)+" is given twice")
 			return false
 		}
-		seen[name] = true
-		err = m.field(key.String(), value)
+		names[name] = true
+		err = m.setField(key.String(), value)
 		return err == nil
 	})
-	if err == nil && m.options && !m.stream {
+	if err == nil && m.hasStreamOptions && !m.stream {
 		err = refused(snipeerror.ErrBadRequest, `"stream_options" goes with "stream": true only`)
 	}
 	return m, err
 }
 
-func (m *modelBody) field(name string, value gjson.Result) error {
+// setField checks one field of the body and stores it if snipecaller needs it.
+func (m *modelBody) setField(name string, value gjson.Result) error {
 	if value.Type == gjson.Null {
 		return nil
 	}
@@ -75,15 +76,15 @@
 		if !value.IsObject() {
 			return refused(snipeerror.ErrBadRequest, `"stream_options" must be an object`)
 		}
-		m.options = true
+		m.hasStreamOptions = true
 	case "prompt":
 		return checkPrompt(value)
 	}
 	return nil
 }
 
-// checkPrompt refuses several prompts in one call: they would have several
-// answers. A list of token numbers is one prompt.
+// checkPrompt refuses several prompts in one call, because each would get an
+// answer of its own. A list of token numbers is one prompt.
 func checkPrompt(value gjson.Result) error {
 	if !value.IsArray() {
 		return nil
@@ -101,6 +102,7 @@
 	return nil
 }
 
+// readModel fills in the adapter fields of a model call from its body.
 func readModel(c *snipecall.Call, tree *snipetree.Tree) error {
 	m, err := parseModelBody(c.Body)
 	if err != nil {
--- a/snipecaller/reply.go
+++ b/snipecaller/reply.go
@@ -12,24 +12,27 @@
 	"snipepitch.example/snipepitch/snipestream"
 )
 
-// errCallerGone is returned to whoever produces an answer that nobody reads.
+// errCallerGone is returned to the producer of an answer whose caller has
+// disconnected.
 var errCallerGone = errors.New("caller has gone away")
 
-// reply sends the one answer of a call. It belongs to the call's goroutine.
+// reply sends the one answer of a call. Only the call's goroutine uses it.
 type reply struct {
 	response   http.ResponseWriter
 	controller *http.ResponseController
 	call       *snipecall.Call
+	// firstChunk is called before the first chunk is sent.
 	firstChunk func()
-	sequence   uint64
-	ended      bool
-	buffer     []byte
+	// sequence is the number of the last chunk sent.
+	sequence uint64
+	ended    bool
+	buffer   []byte
 }
 
-// started reports that a part of the answer has gone out.
+// started reports whether a part of the answer has been sent.
 func (o *reply) started() bool { return o.sequence > 0 }
 
-// chunk sends the next chunk. It refuses one out of order.
+// chunk sends the next chunk. It refuses a chunk that is out of order.
 func (o *reply) chunk(c snipecall.Chunk) error {
 	if o.ended || c.Sequence != o.sequence+1 {
 		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun,
@@ -40,7 +43,7 @@
 	}
 	if !o.started() {
 		o.firstChunk()
-		o.header(c)
+		o.sendHeader(c)
 	}
 	o.sequence = c.Sequence
 	o.ended = c.Last
@@ -59,8 +62,9 @@
 	return nil
 }
 
-// checkAdapter refuses a part of an answer by another adapter. Whoever talked to
-// the engine has checked it too; this check is behind the hop.
+// checkAdapter refuses a chunk that comes from another adapter than the call's.
+// The instance that called the engine has made the same check; this one also
+// covers the hop between instances.
 func (o *reply) checkAdapter(c snipecall.Chunk) error {
 	if o.call.Adapter.IsZero() || c.Last && c.Status == 0 {
 		return nil
@@ -71,7 +75,7 @@
 	return nil
 }
 
-func (o *reply) header(c snipecall.Chunk) {
+func (o *reply) sendHeader(c snipecall.Chunk) {
 	h := o.response.Header()
 	if !o.call.Adapter.IsZero() {
 		h.Set(AdapterHeader, o.call.Adapter.Model())
@@ -87,8 +91,8 @@
 	o.response.WriteHeader(c.Status)
 }
 
-// fail sends the failure: as the whole answer, or as the last event of a
-// stream that has begun.
+// fail sends the failure as the whole answer, or as the last event if a part
+// of the answer has been sent.
 func (o *reply) fail(f *snipeerror.CallError, id string) {
 	if o.ended {
 		return
@@ -98,12 +102,14 @@
 		f.Write(o.response, id)
 		return
 	}
-	begun := *f
-	// What has begun to answer has run, whatever the failure says.
-	begun.Outcome = snipeerror.MayHaveRun
-	f = &begun
+	partial := *f
+	// A call that has produced a part of an answer has run, whatever outcome
+	// the failure states.
+	partial.Outcome = snipeerror.MayHaveRun
+	f = &partial
 	e := snipestream.Event{ID: o.sequence + 1, Name: "error", Data: f.Encode(id)}
-	// The caller may be gone; there is nobody to tell.
+	// The caller may have disconnected, and there is no other receiver for a
+	// write error.
 	_, _ = o.response.Write(snipestream.Append(nil, e))
 	_ = o.controller.Flush()
 }
--- a/snipecaller/snipecaller.go
+++ b/snipecaller/snipecaller.go
@@ -1,11 +1,12 @@
-// Package snipecaller is the callers' side of an instance: it authenticates
-// the team, admits the call, chooses an upstream, retries where that is safe,
-// and gives the one final answer.
+// Package snipecaller implements the API that an instance serves to callers: it
+// authenticates the team, admits the call, passes it to Server.Serve, which
+// chooses an upstream and retries where that is safe, and sends the one final
+// answer.
 //
-// Invariants: a caller gets at most one final answer; once a chunk has gone
-// out the call is never started again; a call that is not idempotent is
+// Invariants: a caller gets at most one final answer; once a chunk has been
+// sent, the call is never started again; a call that is not idempotent is
 // started again only after a failure whose outcome is NotRun; the final answer
-// of a call that has been given up on goes out at once.
+// of a call that has failed for good is sent at once.
 package snipecaller
 
 import (
@@ -27,7 +28,7 @@
 	"snipepitch.example/snipepitch/snipeupstream"
 )
 
-// Headers of a call, beside those that HTTP and the OpenAI API define.
+// Headers of calls and answers, besides those that HTTP and the OpenAI API define.
 const (
 	ClassHeader      = "Snipe-Class"
 	TimeoutHeader    = "Snipe-Timeout"
@@ -38,10 +39,12 @@
 )
 
 const (
-	// writeGrace is how long after its deadline a call may still be written to.
+	// writeGrace is how long after a call's deadline its answer may still be
+	// written.
 	writeGrace     = 5 * time.Second
 	servicesPrefix = "/services/"
-	maxKey         = 256
+	// maxKeyBytes bounds the length of a call's idempotency key.
+	maxKeyBytes = 256
 	// DefaultTimeout is the deadline of a call when neither the call nor the
 	// team's settings state one.
 	DefaultTimeout = 60 * time.Second
@@ -49,22 +52,23 @@
 	MaxTimeout = 30 * time.Minute
 )
 
-// Server is the callers' side. Exported fields are set before the first call.
+// Server serves the callers' API. Exported fields are set before the first call.
 type Server struct {
-	// Tree returns the settings in force; nil before the first read.
+	// Tree returns the settings in force, or nil before they are first read.
 	Tree func() *snipetree.Tree
 	// Serve executes an admitted call with its retries.
 	Serve func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
-	// Admit counts a call against its team's limits; release ends it.
+	// Admit counts a call against its team's limits until release is called.
 	Admit func(c *snipecall.Call) (release func(), err error)
 	// NewID returns an identifier for a call.
 	NewID func() string
-	// MaxBody bounds the body of a call in bytes, MaxHeader its header.
+	// MaxBody bounds the body of a call in bytes, MaxHeader its request line
+	// and header.
 	MaxBody   int64
 	MaxHeader int
 	// BodyTimeout bounds the time in which the body must arrive.
 	BodyTimeout time.Duration
-	// Meter and Log take metrics and events.
+	// Meter records metrics, Log events.
 	Meter *snipemeter.Meter
 	Log   *snipelog.Logger
 
@@ -78,7 +82,7 @@
 // InFlight returns the number of calls that have no final answer yet.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Handler returns the routes of the callers' side.
+// Handler returns the routes of the callers' API.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+snipeupstream.CompletionsPath, s.handle)
@@ -104,8 +108,8 @@
 	ctx, cancel := context.WithDeadline(r.Context(), c.Deadline)
 	defer cancel()
 	controller := http.NewResponseController(w)
-	// A caller that takes nothing must not hold the call for ever. Connections
-	// without deadlines are those of tests.
+	// A caller that reads nothing must not keep the call open without bound.
+	// Only connections in tests do not support deadlines.
 	_ = controller.SetWriteDeadline(c.Deadline.Add(writeGrace))
 	defer func() { _ = controller.SetWriteDeadline(time.Time{}) }()
 	release, err := s.Admit(c)
@@ -120,14 +124,15 @@
 	s.observe(snipemeter.CallDuration, c, start)
 	if err != nil {
 		f := snipeerror.From(err)
-		// The caller first: a failure goes out at once.
+		// The failure is sent before it is counted and logged, so that the
+		// caller receives it at once.
 		out.fail(f, id)
 		s.countFailure(f)
 		s.Log.Error(failureEvent(f), f, snipelog.Fields{"Call": id, "Team": c.Team, "Class": c.Class.String()})
 	}
 }
 
-// failureEvent returns the event that a failure is logged as.
+// failureEvent returns the log event of a failure.
 func failureEvent(f *snipeerror.CallError) snipelog.Event {
 	switch {
 	case errors.Is(f, snipeerror.ErrMismatch):
@@ -167,21 +172,22 @@
 	return n
 }
 
-// stoppingRetry is what a caller is told to wait when the instance stops: the
-// balancer sends the repetition elsewhere.
-const stoppingRetry = time.Second
+// notReadyRetryAfter is the Retry-After of calls that are refused because the
+// instance is stopping or has no settings yet. The load balancer sends the
+// retry to another instance.
+const notReadyRetryAfter = time.Second
 
 // parse authenticates the caller and reads the call.
 func (s *Server) parse(w http.ResponseWriter, r *http.Request, id string) (*snipecall.Call, error) {
 	if s.stopping.Load() {
-		return nil, snipeerror.New(snipeerror.ErrStopping, snipeerror.NotRun, "use another instance").After(stoppingRetry)
+		return nil, snipeerror.New(snipeerror.ErrStopping, snipeerror.NotRun, "use another instance").After(notReadyRetryAfter)
 	}
 	if headerSize(r) > s.MaxHeader {
 		return nil, refused(snipeerror.ErrHeaderTooLarge, "header above "+strconv.Itoa(s.MaxHeader)+" bytes")
 	}
 	tree := s.Tree()
 	if tree == nil {
-		return nil, snipeerror.New(snipeerror.ErrUnavailable, snipeerror.NotRun, "no settings yet").After(stoppingRetry)
+		return nil, snipeerror.New(snipeerror.ErrUnavailable, snipeerror.NotRun, "no settings yet").After(notReadyRetryAfter)
 	}
 	key, ok := snipecall.BearerKey(r.Header)
 	if !ok {
@@ -205,10 +211,10 @@
 	return c, readModel(c, tree)
 }
 
-// readBody reads the body within its bounds of size and time.
+// readBody reads the body of a request, bounded by MaxBody and BodyTimeout.
 func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	// net/http clears the deadline when it begins to watch for a caller that
-	// goes away, after the body.
+	// net/http clears this deadline once the body has been read, when it starts
+	// to detect that the caller disconnects.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(s.BodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, s.MaxBody))
 	if err != nil {
@@ -217,6 +223,7 @@
 	return body, nil
 }
 
+// bodyError returns the refusal for an error from reading a body.
 func bodyError(err error) error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -225,6 +232,8 @@
 	return refused(snipeerror.ErrBadRequest, "body: "+err.Error())
 }
 
+// readHeaders fills in the class, deadline, idempotency and key of a call from
+// its headers, the team's settings and the defaults.
 func readHeaders(c *snipecall.Call, r *http.Request, tree *snipetree.Tree) error {
 	c.Class = snipecall.Standard
 	if v := r.Header.Get(ClassHeader); v != "" {
@@ -232,15 +241,15 @@
 			return refused(snipeerror.ErrBadRequest, ClassHeader+": "+err.Error())
 		}
 	}
-	wait := tree.Deadline(c.Team, c.Class, DefaultTimeout)
+	timeout := tree.Deadline(c.Team, c.Class, DefaultTimeout)
 	if v := r.Header.Get(TimeoutHeader); v != "" {
 		d, err := time.ParseDuration(v)
 		if err != nil || d <= 0 || d > MaxTimeout {
 			return refused(snipeerror.ErrBadRequest, TimeoutHeader+" must be a duration up to "+MaxTimeout.String())
 		}
-		wait = d
+		timeout = d
 	}
-	c.Deadline = time.Now().Add(wait)
+	c.Deadline = time.Now().Add(timeout)
 	c.Idempotent = defaultIdempotent(c)
 	if v := r.Header.Get(IdempotentHeader); v != "" {
 		b, err := strconv.ParseBool(v)
@@ -250,14 +259,15 @@
 		c.Idempotent = b
 	}
 	c.Key = r.Header.Get(KeyHeader)
-	if len(c.Key) > maxKey {
-		return refused(snipeerror.ErrBadRequest, KeyHeader+" above "+strconv.Itoa(maxKey)+" bytes")
+	if len(c.Key) > maxKeyBytes {
+		return refused(snipeerror.ErrBadRequest, KeyHeader+" above "+strconv.Itoa(maxKeyBytes)+" bytes")
 	}
 	return nil
 }
 
-// defaultIdempotent is used for a call that does not say: model calls are
-// idempotent, service calls as HTTP defines their method.
+// defaultIdempotent reports whether a call without IdempotentHeader counts as
+// idempotent: model calls do, service calls do if HTTP defines their method as
+// idempotent, that is all but POST and PATCH.
 func defaultIdempotent(c *snipecall.Call) bool {
 	if !strings.HasPrefix(c.Path, servicesPrefix) {
 		return true
@@ -269,6 +279,7 @@
 	return true
 }
 
+// readService fills in the service and path of a service call from its URL.
 func readService(c *snipecall.Call, r *http.Request, tree *snipetree.Tree) error {
 	name, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), servicesPrefix), "/")
 	for _, s := range tree.Teams[c.Team].Services {
--- a/snipecaller/snipecaller_test.go
+++ b/snipecaller/snipecaller_test.go
@@ -53,8 +53,8 @@
 
 const goodBody = `{"model":"plume@2","prompt":"p"}`
 
-// whole answers with one chunk.
-func whole(data string) func(context.Context, *snipecall.Call, snipecall.Sink) error {
+// answerWhole returns a Serve function that answers with one chunk.
+func answerWhole(data string) func(context.Context, *snipecall.Call, snipecall.Sink) error {
 	return func(_ context.Context, _ *snipecall.Call, sink snipecall.Sink) error {
 		return sink(snipecall.Chunk{Sequence: 1, Status: http.StatusOK, Data: []byte(data), Last: true})
 	}
@@ -102,11 +102,11 @@
 		"stopping":      {goodBody, func(s *Server, _ *http.Request) { s.Stop() }, 503, snipeerror.ErrStopping, "another instance"},
 		"no settings":   {goodBody, func(s *Server, _ *http.Request) { s.Tree = func() *snipetree.Tree { return nil } }, 503, snipeerror.ErrUnavailable, "settings"},
 		"not admitted":  {goodBody, func(s *Server, _ *http.Request) { s.Admit = refuseAll }, 429, snipeerror.ErrLimited, "full"},
-		"other adapter": {goodBody, func(s *Server, _ *http.Request) { s.Serve = whole(`{"model":"plume@1"}`) }, 502, snipeerror.ErrMismatch, "plume@1"},
+		"other adapter": {goodBody, func(s *Server, _ *http.Request) { s.Serve = answerWhole(`{"model":"plume@1"}`) }, 502, snipeerror.ErrMismatch, "plume@1"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			s := newServer(whole(`{"model":"plume@2"}`))
+			s := newServer(answerWhole(`{"model":"plume@2"}`))
 			r := request(c.body)
 			if c.change != nil {
 				c.change(s, r)
@@ -133,8 +133,9 @@
 	return nil, snipeerror.New(snipeerror.ErrLimited, snipeerror.NotRun, "full").After(time.Second)
 }
 
-// TestStreamEnds: whatever happens in the middle, the caller gets either the
-// end mark or one typed error event, and nothing of another adapter.
+// TestStreamEnds guards against streams without a proper end: after a failure,
+// a gap, a duplicate or another adapter's chunk the caller gets one typed error
+// event, otherwise the end mark, and no chunk of another adapter.
 func TestStreamEnds(t *testing.T) {
 	chunk := func(n uint64, model string) snipecall.Chunk {
 		return snipecall.Chunk{Sequence: n, Data: []byte(`{"model":"` + model + `"}`)}
@@ -184,7 +185,7 @@
 	}
 }
 
-// TestNoKeyInLog: neither a key nor a prompt is logged, whatever fails.
+// TestNoKeyInLog guards against API keys and prompts in the log of failed calls.
 func TestNoKeyInLog(t *testing.T) {
 	var log strings.Builder
 	s := newServer(func(context.Context, *snipecall.Call, snipecall.Sink) error {
@@ -203,7 +204,7 @@
 	must.StrNotContains(t, log.String(), "secret-prompt")
 }
 
-// onNetwork runs f against the server over a network in memory.
+// onNetwork runs f against the server over an in-memory network.
 func onNetwork(t *testing.T, s *Server, f func(n *snipestand.Network, dial func() net.Conn)) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &snipestand.Network{}
@@ -221,12 +222,14 @@
 	})
 }
 
-func head(length string) string {
+// requestHeader returns the header of a model call with the given Content-Length.
+func requestHeader(length string) string {
 	return "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + testKey + "\r\nContent-Length: " + length + "\r\n\r\n"
 }
 
-// TestCallerGone: the call's context ends as soon as its caller has gone, also
-// after the time in which the body had to arrive.
+// TestCallerGone guards against calls that go on after their caller has
+// disconnected: the call's context ends at once, also after the body's read
+// deadline has passed.
 func TestCallerGone(t *testing.T) {
 	for name, wait := range map[string]time.Duration{"soon": time.Second, "after the body's time": 15 * time.Second} {
 		t.Run(name, func(t *testing.T) {
@@ -239,7 +242,7 @@
 			})
 			onNetwork(t, s, func(_ *snipestand.Network, dial func() net.Conn) {
 				c := dial()
-				_, _ = io.WriteString(c, head("32")+goodBody)
+				_, _ = io.WriteString(c, requestHeader("32")+goodBody)
 				time.Sleep(wait)
 				_ = c.Close()
 				synctest.Wait()
@@ -250,8 +253,8 @@
 	}
 }
 
-// TestSlowCallers: a caller that does not send its body, or does not take its
-// answer, holds a call no longer than its bound.
+// TestSlowCallers guards against calls that stay open without bound because the
+// caller does not send its body or does not read its answer.
 func TestSlowCallers(t *testing.T) {
 	s := newServer(func(_ context.Context, _ *snipecall.Call, sink snipecall.Sink) error {
 		for n := uint64(1); ; n++ {
@@ -265,8 +268,8 @@
 		read bool
 		held time.Duration
 	}{
-		"body never comes":   {head("32"), true, s.BodyTimeout},
-		"answer never taken": {head("32") + goodBody, false, DefaultTimeout + writeGrace},
+		"body never comes":   {requestHeader("32"), true, s.BodyTimeout},
+		"answer never taken": {requestHeader("32") + goodBody, false, DefaultTimeout + writeGrace},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
