--- a/cmd/snipepitchd/entry.go
+++ b/cmd/snipepitchd/entry.go
@@ -19,20 +19,23 @@
 
 const (
 	// storeTimeout bounds one call to the platform's store, which answers within
-	// milliseconds, and within half a second when it is slow.
+	// milliseconds, or within half a second when it is slow.
 	storeTimeout = 1200 * time.Millisecond
-	// orderIdle is how long an idle connection for orders is kept.
-	orderIdle = 4 * time.Second
-	// ordersKept bounds the idle connections for orders to one engine.
-	ordersKept = 2
-	// orderDial bounds a connection for orders.
-	orderDial = 300 * time.Millisecond
-	// memoryShare is the share of its memory from which on a process collects
-	// garbage more often, so that a burst does not end it.
-	memoryShare = 0.7
+	// orderIdleTimeout is how long an idle connection for orders is kept if the
+	// engine does not say how long it keeps the connection.
+	orderIdleTimeout = 4 * time.Second
+	// maxIdleOrderConns bounds the idle connections for orders to one engine.
+	maxIdleOrderConns = 2
+	// orderDialTimeout bounds the time to open a connection for orders.
+	orderDialTimeout = 300 * time.Millisecond
+	// memoryLimitShare is the share of the instance's memory at which the Go
+	// memory limit is set. Near the limit garbage is collected more often, so
+	// that a burst does not exhaust the memory and end the process.
+	memoryLimitShare = 0.7
 )
 
-// serveEntry runs an entry instance on the co-operative platform.
+// serveEntry runs an entry instance on the co-operative platform and returns the
+// exit code.
 func serveEntry(arguments []string) int {
 	flags := flag.NewFlagSet("entry", flag.ContinueOnError)
 	path := flags.String("settings", platform.SettingsPath(), "the instance's settings `file`")
@@ -59,14 +62,15 @@
 	return 0
 }
 
+// runEntry runs an entry instance with checked settings, which it reloads from path.
 func runEntry(s snipeentry.Settings, path string) error {
 	level, err := logrus.ParseLevel(s.LogLevel)
 	if err != nil {
-		// The settings file has been checked.
+		// Does not happen: LoadSettings has checked the level.
 		level = logrus.InfoLevel
 	}
 	if s.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(s.MemoryBytes)))
 	}
 	buffer := snipelog.NewBuffer(os.Stdout)
 	defer buffer.Start()()
@@ -74,7 +78,7 @@
 	store := &platform.Store{Address: s.Table, Timeout: storeTimeout, Dial: dial}
 	store.Open()
 	engines := &platform.Engines{Links: &snipelink.Pool{
-		Dial: dial, DialTimeout: orderDial, Idle: orderIdle, Kept: ordersKept,
+		Dial: dial, DialTimeout: orderDialTimeout, Idle: orderIdleTimeout, Kept: maxIdleOrderConns,
 		Belongs: platform.AnyAnswer, KeepAlive: platform.KeepAlive,
 	}}
 	i := &snipeentry.Instance{
--- a/cmd/snipepitchd/main.go
+++ b/cmd/snipepitchd/main.go
@@ -1,15 +1,16 @@
-// Command snipepitchd is one instance of the serving layer.
+// Command snipepitchd runs one instance of the serving layer.
 //
 // Usage:
 //
 //	snipepitchd -settings FILE [-check]
 //	snipepitchd entry [-settings FILE] [-check]
 //
-// With entry it passes requests on as an entry instance of the co-operative
-// platform, which names the settings file itself.
+// With entry the process is an entry instance on the co-operative platform: it
+// forwards requests to upstreams, and the platform names the settings file
+// unless -settings is given.
 //
-// Exit codes: 0 after a planned stop or a successful check, 1 when it could
-// not serve, 2 for bad arguments or a bad settings file.
+// Exit codes: 0 after a planned stop or a successful check, 1 when the instance
+// could not serve, 2 for bad arguments or a bad settings file.
 package main
 
 import (
@@ -34,6 +35,8 @@
 	os.Exit(serve())
 }
 
+// serve runs the instance that the command line describes and returns the exit
+// code.
 func serve() int {
 	if len(os.Args) > 1 && os.Args[1] == "entry" {
 		return serveEntry(os.Args[2:])
@@ -55,7 +58,7 @@
 	}
 	level, err := logrus.ParseLevel(c.LogLevel)
 	if err != nil {
-		// The settings file has been checked.
+		// Does not happen: Load has checked the level.
 		level = logrus.InfoLevel
 	}
 	buffer := snipelog.NewBuffer(os.Stderr)
