--- a/cmd/snipectl/apply.go
+++ b/cmd/snipectl/apply.go
@@ -14,15 +14,16 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// waitPoll is the time between two looks at the instances.
-const waitPoll = 250 * time.Millisecond
+// waitInterval is the time between two polls of the instances' revisions.
+const waitInterval = 250 * time.Millisecond
 
+// prepareApply declares the flags of apply.
 func prepareApply(f *flag.FlagSet) action {
 	team := f.String("team", "", "the branch; the platform's when empty")
 	version := f.Uint64("version", 0, "version that the branch must have, as show prints it; 0 for a new branch")
 	wait := f.Duration("wait", 0, "wait until the edit is in force on every live instance, at most this `time`")
 	return func(ctx context.Context, c *client, arguments []string) error {
-		data, err := c.input(arguments)
+		data, err := c.readInput(arguments)
 		if err != nil {
 			return err
 		}
@@ -32,27 +33,29 @@
 		if err != nil {
 			return err
 		}
-		return c.accepted(ctx, out.GetRevision(), *wait)
+		return c.reportAccepted(ctx, out.GetRevision(), *wait)
 	}
 }
 
-// apply sends an edit, and sends it again while its outcome is unknown: the
-// same edit is never made twice.
+// apply sends an edit, and sends it again while its outcome is unknown, at most
+// three times in all. The server recognizes the edit by its identifier and never
+// makes it twice.
 func (c *client) apply(ctx context.Context, in *snipeproto.ApplySettingsRequest) (*snipeproto.ApplySettingsResponse, error) {
-	const tries = 3
+	const maxAttempts = 3
 	for n := 1; ; n++ {
 		out, err := c.operator.ApplySettings(ctx, in)
 		if err == nil {
 			return out, nil
 		}
-		if err = editError(err); n == tries || !errors.Is(err, errUnknown) {
+		if err = editError(err); n == maxAttempts || !errors.Is(err, errUnknown) {
 			return nil, err
 		}
 	}
 }
 
-// editError tells an edit that was refused, or never sent, from one whose
-// answer did not arrive: that one may have taken effect.
+// editError wraps the error of an edit in errUnknown if the edit may have taken
+// effect, for example because its answer did not arrive. The error of an edit that
+// was refused or never sent is returned as it is.
 func editError(err error) error {
 	var dial *net.OpError
 	if errors.As(err, &dial) && dial.Op == "dial" {
@@ -68,9 +71,9 @@
 	return err
 }
 
-// accepted waits until an accepted edit is in force everywhere, if that is
-// asked for, and prints its revision.
-func (c *client) accepted(ctx context.Context, revision uint64, wait time.Duration) error {
+// reportAccepted prints the revision of an accepted edit. With a wait above zero
+// it first waits until the edit is in force on every live instance.
+func (c *client) reportAccepted(ctx context.Context, revision uint64, wait time.Duration) error {
 	if wait > 0 {
 		if err := c.waitInForce(ctx, revision, wait); err != nil {
 			return err
@@ -88,12 +91,13 @@
 // edit is an accepted edit as -json prints it.
 type edit struct {
 	Revision uint64
-	// InForce tells that the revision is in force on every live instance.
+	// InForce is set if the revision is in force on every live instance.
 	InForce bool
 }
 
-// waitInForce waits until every live instance has the revision in force. The
-// instances are asked themselves: their lease rows may be older.
+// waitInForce waits until the revision is in force on every live instance, and
+// returns errNotInForce after limit. It requests the revisions from the instances
+// themselves, because the revisions in their lease rows may be older.
 func (c *client) waitInForce(ctx context.Context, revision uint64, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -108,12 +112,13 @@
 		select {
 		case <-ctx.Done():
 			return errors.Wrapf(errNotInForce, "revision %d: %s", revision, strings.Join(behind, ", "))
-		case <-time.After(waitPoll):
+		case <-time.After(waitInterval):
 		}
 	}
 }
 
-// lagging returns the instances without the revision.
+// lagging returns the names of the instances that have an older revision than
+// the given one, or a placeholder if there are no instances.
 func lagging(all []*snipeproto.InstanceState, revision uint64) []string {
 	var names []string
 	for _, i := range all {
--- a/cmd/snipectl/client.go
+++ b/cmd/snipectl/client.go
@@ -17,20 +17,26 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
+// requestTimeout bounds one request to the instance.
 const requestTimeout = 30 * time.Second
 
-// errNoCertificate is returned for a file of -ca without a certificate.
+// errNoCertificate is returned for a -ca file without a certificate.
 var errNoCertificate = errors.New("no certificate in the file")
 
-// client calls the operators' side of one instance and prints its answers.
+// client calls the operators' API of one instance and prints its answers.
 type client struct {
 	operator snipeproto.Operator
-	json     bool
-	in       io.Reader
-	out      io.Writer
+	// json selects JSON output instead of tables.
+	json bool
+	in   io.Reader
+	out  io.Writer
+	// messages takes warnings and errors.
 	messages io.Writer
 }
 
+// newClient returns a client for the instance at address, which authenticates
+// with key. If authority is not empty, the client uses TLS and trusts the
+// certificates in that file.
 func newClient(address, key, authority string) (*client, error) {
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -39,7 +45,7 @@
 	transport := &http.Transport{}
 	scheme := "http://"
 	if authority != "" {
-		if transport.TLSClientConfig, err = trust(authority); err != nil {
+		if transport.TLSClientConfig, err = authorityConfig(authority); err != nil {
 			return nil, errors.Wrap(err, "-ca")
 		}
 		scheme = "https://"
@@ -48,8 +54,9 @@
 	return &client{operator: snipeproto.NewOperatorProtobufClient(scheme+a.String(), h)}, nil
 }
 
-// trust reads the certificates that an instance's one must come from.
-func trust(file string) (*tls.Config, error) {
+// authorityConfig returns a TLS configuration that trusts only the authorities whose
+// certificates are in the file.
+func authorityConfig(file string) (*tls.Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -61,7 +68,7 @@
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}, nil
 }
 
-// keyTransport puts the operator's key into each request.
+// keyTransport adds the operator's key to each request.
 type keyTransport struct {
 	key  string
 	next http.RoundTripper
@@ -85,19 +92,20 @@
 	return err
 }
 
-// table prints rows in columns under a head.
-func (c *client) table(head string, rows []string) error {
+// printTable prints a header and rows of tab-separated cells in aligned columns.
+func (c *client) printTable(header string, rows []string) error {
 	t := tabwriter.NewWriter(c.out, 0, 0, 2, ' ', 0)
-	// The writer keeps its error until Flush.
-	_, _ = fmt.Fprintln(t, head)
+	// A write error stays in the writer and is returned by Flush.
+	_, _ = fmt.Fprintln(t, header)
 	for _, r := range rows {
 		_, _ = fmt.Fprintln(t, r)
 	}
 	return t.Flush()
 }
 
-// input reads the named file, or standard input.
-func (c *client) input(arguments []string) ([]byte, error) {
+// readInput reads the file that the arguments name, or standard input if they
+// name none or "-".
+func (c *client) readInput(arguments []string) ([]byte, error) {
 	switch {
 	case len(arguments) > 1:
 		return nil, errors.Wrap(errUsage, "one file at most")
@@ -107,8 +115,8 @@
 	return os.ReadFile(arguments[0])
 }
 
-// optional returns the one argument that may be given.
-func optional(arguments []string) (string, error) {
+// optionalArgument returns the only argument, or "" if there is none.
+func optionalArgument(arguments []string) (string, error) {
 	switch len(arguments) {
 	case 0:
 		return "", nil
--- a/cmd/snipectl/diff.go
+++ b/cmd/snipectl/diff.go
@@ -20,10 +20,11 @@
 	Teams             []string        `json:",omitempty"`
 }
 
+// prepareDiff declares the flags of diff.
 func prepareDiff(f *flag.FlagSet) action {
 	team := f.String("team", "", "the branch; the platform's when empty")
 	return func(ctx context.Context, c *client, arguments []string) error {
-		data, err := c.input(arguments)
+		data, err := c.readInput(arguments)
 		if err != nil {
 			return err
 		}
@@ -49,7 +50,8 @@
 
 // difference is one value that differs between two branches.
 type difference struct {
-	// Path names the value, Old and New are its JSON; empty for none.
+	// Path names the value. Old and New are its JSON in both branches, empty
+	// where the branch has no such value.
 	Path     string
 	Old, New string `json:",omitempty"`
 }
@@ -70,8 +72,8 @@
 	return nil
 }
 
-// compare returns the values that differ between two documents, by path. An
-// empty document has none.
+// compare returns the values that differ between two documents, in the order of
+// their paths. An empty document has no values.
 func compare(before, after []byte) ([]difference, error) {
 	a, err := values(before)
 	if err != nil {
@@ -92,7 +94,7 @@
 	return all, nil
 }
 
-// values returns the JSON of each value of a document by its path.
+// values returns the JSON of each leaf value of a document by its path.
 func values(data []byte) (map[string]string, error) {
 	all := map[string]string{}
 	if len(data) == 0 {
@@ -105,8 +107,9 @@
 	return all, flatten(all, "", document)
 }
 
+// flatten adds the JSON of each leaf under value to all, by its path.
 func flatten(all map[string]string, path string, value any) error {
-	below := func(name string) string {
+	join := func(name string) string {
 		if path == "" {
 			return name
 		}
@@ -115,14 +118,14 @@
 	switch v := value.(type) {
 	case map[string]any:
 		for name, inner := range v {
-			if err := flatten(all, below(name), inner); err != nil {
+			if err := flatten(all, join(name), inner); err != nil {
 				return err
 			}
 		}
 		return nil
 	case []any:
 		for n, inner := range v {
-			if err := flatten(all, below(strconv.Itoa(n)), inner); err != nil {
+			if err := flatten(all, join(strconv.Itoa(n)), inner); err != nil {
 				return err
 			}
 		}
--- a/cmd/snipectl/drain.go
+++ b/cmd/snipectl/drain.go
@@ -6,8 +6,9 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
+// drain stops the named instance gracefully, or the called one without a name.
 func drain(ctx context.Context, c *client, arguments []string) error {
-	name, err := optional(arguments)
+	name, err := optionalArgument(arguments)
 	if err != nil {
 		return err
 	}
--- a/cmd/snipectl/explain.go
+++ b/cmd/snipectl/explain.go
@@ -25,7 +25,7 @@
 			return err
 		}
 		if log.Unread > 0 {
-			// The story may lack what stood there.
+			// The explanation may be incomplete without the skipped lines.
 			_, _ = fmt.Fprintf(c.messages, "snipectl: %d lines are none of an instance's log\n", log.Unread)
 		}
 		story, err := log.Tell()
@@ -39,7 +39,7 @@
 	}
 }
 
-// readLogs reads the files, or standard input when there are none.
+// readLogs reads the files into log, or standard input if there are none.
 func readLogs(log *snipestory.Log, files []string, in io.Reader) error {
 	if len(files) == 0 {
 		return log.Read(in)
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// printStory prints the cause and the lines that speak for it, as they were logged.
+// printStory prints how the request ended, the cause, and the log lines that are
+// evidence for the cause; with all, every log line that concerns the request.
 func (c *client) printStory(s *snipestory.Story, all bool) error {
 	lines := s.Evidence
 	if all {
--- a/cmd/snipectl/explain_test.go
+++ b/cmd/snipectl/explain_test.go
@@ -10,14 +10,16 @@
 	"github.com/shoenig/test/must"
 )
 
-const explained = `{"time":"2026-03-01T10:00:01.500Z","Instance":"i3","Event":510,"Name":"OrderGiven","Action":"Unload","Adapter":"a5","Engine":"u1"}
+// evictionLog is the log of a request that was refused after its adapter was evicted.
+const evictionLog = `{"time":"2026-03-01T10:00:01.500Z","Instance":"i3","Event":510,"Name":"OrderGiven","Action":"Unload","Adapter":"a5","Engine":"u1"}
 {"time":"2026-03-01T10:00:02.000Z","Instance":"i1","Event":211,"Name":"RequestRefused","Request":"q1","Status":503,"Milliseconds":9,"Adapter":"a5","Tried":["u1"],"Error":"status 421"}
 `
 
-// TestExplain leads from an identifier to the cause, over files and standard input.
+// TestExplain guards against a wrong or missing cause for a request identifier,
+// with logs from files and from standard input.
 func TestExplain(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "i1.log")
-	must.NoError(t, os.WriteFile(file, []byte(explained), 0o600))
+	must.NoError(t, os.WriteFile(file, []byte(evictionLog), 0o600))
 	tests := map[string]struct {
 		line []string
 		in   string
@@ -25,10 +27,10 @@
 		want []string
 	}{
 		"File":    {[]string{"explain", "q1", file}, "", 0, []string{"AdapterEvicted", "RequestRefused, status 503", `"Action":"Unload"`}},
-		"Input":   {[]string{"explain", "q1"}, explained, 0, []string{"AdapterEvicted"}},
+		"Input":   {[]string{"explain", "q1"}, evictionLog, 0, []string{"AdapterEvicted"}},
 		"JSON":    {[]string{"-json", "explain", "q1", file}, "", 0, []string{`"Kind": "AdapterEvicted"`}},
 		"All":     {[]string{"explain", "-all", "q1", file}, "", 0, []string{"AdapterEvicted", "OrderGiven"}},
-		"Foreign": {[]string{"explain", "q1"}, "panic: x\n" + explained, 0, []string{"AdapterEvicted", "1 lines are none"}},
+		"Foreign": {[]string{"explain", "q1"}, "panic: x\n" + evictionLog, 0, []string{"AdapterEvicted", "1 lines are none"}},
 		"Unknown": {[]string{"explain", "q2", file}, "", exitFailed, []string{"no line of this request"}},
 		"NoFile":  {[]string{"explain", "q1", file + "x"}, "", exitFailed, []string{"no such file"}},
 		"NoID":    {[]string{"explain"}, "", exitUsage, []string{"identifier"}},
--- a/cmd/snipectl/hash.go
+++ b/cmd/snipectl/hash.go
@@ -8,6 +8,7 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
+// hash prints the hash of the key on standard input, without surrounding space.
 func hash(_ context.Context, c *client, _ []string) error {
 	data, err := io.ReadAll(c.in)
 	if err != nil {
--- a/cmd/snipectl/history.go
+++ b/cmd/snipectl/history.go
@@ -11,8 +11,9 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
+// history prints the accepted edits of a branch.
 func history(ctx context.Context, c *client, arguments []string) error {
-	team, err := optional(arguments)
+	team, err := optionalArgument(arguments)
 	if err != nil {
 		return err
 	}
@@ -28,9 +29,10 @@
 		accepted := time.UnixMilli(e.GetAccepted()).UTC().Format(time.RFC3339)
 		rows = append(rows, fmt.Sprintf("%d\t%d\t%s", e.GetVersion(), e.GetRevision(), accepted))
 	}
-	return c.table("VERSION\tREVISION\tACCEPTED", rows)
+	return c.printTable("VERSION\tREVISION\tACCEPTED", rows)
 }
 
+// prepareRollback declares the flags of rollback.
 func prepareRollback(f *flag.FlagSet) action {
 	team := f.String("team", "", "the branch; the platform's when empty")
 	version := f.Uint64("version", 0, "version that the branch must have, as show prints it")
@@ -46,6 +48,6 @@
 		if err != nil {
 			return editError(err)
 		}
-		return c.accepted(ctx, out.GetRevision(), *wait)
+		return c.reportAccepted(ctx, out.GetRevision(), *wait)
 	}
 }
--- a/cmd/snipectl/main.go
+++ b/cmd/snipectl/main.go
@@ -1,4 +1,4 @@
-// Command snipectl is the operators' command line.
+// Command snipectl is the operators' command-line client of an instance.
 //
 // Usage:
 //
@@ -35,7 +35,7 @@
 	exitDiffers    = 7
 )
 
-// Errors with exit codes of their own.
+// Errors that have their own exit code.
 var (
 	errUsage      = errors.New("bad arguments")
 	errNotInForce = errors.New("accepted, but not in force everywhere yet")
@@ -43,20 +43,22 @@
 	errUnknown    = errors.New("outcome unknown: the edit may have taken effect")
 )
 
-// action is a command with its flags parsed.
+// action runs a command whose flags have been parsed.
 type action func(ctx context.Context, c *client, arguments []string) error
 
-// command is one command of the line.
+// command describes a subcommand.
 type command struct {
-	// name is the command, arguments what follows it.
+	// name is the command's name; arguments are its flags and arguments as the
+	// usage text shows them.
 	name, arguments string
-	// about says what it does.
+	// about describes the command in the usage text.
 	about string
-	// prepare declares the command's flags and returns what it does.
+	// prepare declares the command's flags and returns its action.
 	prepare func(f *flag.FlagSet) action
 }
 
-// teamArgument names a branch; the platform's without it.
+// teamArgument is the usage text of an optional team, which names a branch; without
+// it the command concerns the platform's branch.
 const teamArgument = "[TEAM]"
 
 var commands = []command{
@@ -64,20 +66,20 @@
 	{"diff", "[-team TEAM] [FILE]", "compare a branch in force with a file", prepareDiff},
 	{"apply", "[-team TEAM] [-version N] [-wait D] [FILE]", "replace one branch", prepareApply},
 	{"watch", teamArgument, "print each change of a branch as it comes into force", prepareWatch},
-	{"history", teamArgument, "list the accepted edits of a branch, the last one first", plain(history)},
+	{"history", teamArgument, "list the accepted edits of a branch, the last one first", withoutFlags(history)},
 	{"rollback", "-version N -to N [-team TEAM] [-wait D]", "give a branch an earlier document, as a new version", prepareRollback},
-	{"instances", "", "list the live instances with the revision in force on each", plain(instances)},
-	{"engines", "", "list the engines, their owners and resident adapters", plain(engines)},
-	{"upstreams", "", "list engines and services' upstreams", plain(upstreams)},
-	{"adapters", teamArgument, "list the resident adapters and where they are", plain(adapters)},
-	{"leases", "", "list the leases and what is owned under each", plain(leases)},
-	{"drain", "[INSTANCE]", "make an instance stop gracefully; the called one without INSTANCE", plain(drain)},
+	{"instances", "", "list the live instances with the revision in force on each", withoutFlags(instances)},
+	{"engines", "", "list the engines, their owners and resident adapters", withoutFlags(engines)},
+	{"upstreams", "", "list engines and services' upstreams", withoutFlags(upstreams)},
+	{"adapters", teamArgument, "list the resident adapters and where they are", withoutFlags(adapters)},
+	{"leases", "", "list the leases and what is owned under each", withoutFlags(leases)},
+	{"drain", "[INSTANCE]", "make an instance stop gracefully; the called one without INSTANCE", withoutFlags(drain)},
 	{"explain", "[-all] ID [FILE...]", "tell what became of a request from instances' logs, or standard input", prepareExplain},
-	{"hash", "", "print the hash of the key on standard input", plain(hash)},
+	{"hash", "", "print the hash of the key on standard input", withoutFlags(hash)},
 }
 
-// plain is a command without flags.
-func plain(a action) func(*flag.FlagSet) action {
+// withoutFlags returns a prepare function for a command without flags.
+func withoutFlags(a action) func(*flag.FlagSet) action {
 	return func(*flag.FlagSet) action { return a }
 }
 
@@ -88,7 +90,7 @@
 	os.Exit(code)
 }
 
-// runLine carries out one command line and returns the exit code.
+// runLine runs one command line and returns the exit code.
 func runLine(ctx context.Context, line []string, in io.Reader, out, messages io.Writer) int {
 	f := flag.NewFlagSet("snipectl", flag.ContinueOnError)
 	f.SetOutput(messages)
@@ -98,9 +100,9 @@
 	asJSON := f.Bool("json", false, "print JSON instead of a table")
 	f.Usage = func() { usage(f) }
 	if err := f.Parse(line); err != nil {
-		return helpOr(err)
+		return parseExitCode(err)
 	}
-	c, ok := find(f.Arg(0))
+	c, ok := findCommand(f.Arg(0))
 	if !ok {
 		usage(f)
 		return exitUsage
@@ -108,9 +110,9 @@
 	inner := flag.NewFlagSet("snipectl "+c.name, flag.ContinueOnError)
 	inner.SetOutput(messages)
 	inner.Usage = func() { commandUsage(inner, c) }
-	act := c.prepare(inner)
+	run := c.prepare(inner)
 	if err := inner.Parse(f.Args()[1:]); err != nil {
-		return helpOr(err)
+		return parseExitCode(err)
 	}
 	key, err := readKey(*keyFile)
 	if err != nil {
@@ -123,22 +125,23 @@
 		return exitUsage
 	}
 	api.json, api.in, api.out, api.messages = *asJSON, in, out, messages
-	if err := act(ctx, api, inner.Args()); err != nil {
+	if err := run(ctx, api, inner.Args()); err != nil {
 		_, _ = fmt.Fprintln(messages, "snipectl:", err)
 		return exitCode(err)
 	}
 	return 0
 }
 
-// helpOr returns 0 for a line that asked for help.
-func helpOr(err error) int {
+// parseExitCode returns the exit code for an error of flag parsing: 0 if the
+// command line requests help.
+func parseExitCode(err error) int {
 	if errors.Is(err, flag.ErrHelp) {
 		return 0
 	}
 	return exitUsage
 }
 
-func find(name string) (command, bool) {
+func findCommand(name string) (command, bool) {
 	for _, c := range commands {
 		if c.name == name {
 			return c, true
@@ -165,6 +168,8 @@
 	f.PrintDefaults()
 }
 
+// readKey returns the operator's key from the file, or from the environment if
+// file is empty.
 func readKey(file string) (string, error) {
 	if file == "" {
 		return os.Getenv("SNIPECTL_KEY"), nil
@@ -173,6 +178,7 @@
 	return strings.TrimSpace(string(data)), err
 }
 
+// exitCode returns the exit code for an error of a command.
 func exitCode(err error) int {
 	switch {
 	case errors.Is(err, errUsage):
--- a/cmd/snipectl/main_test.go
+++ b/cmd/snipectl/main_test.go
@@ -27,18 +27,21 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// system is the operators' side of two instances with one table. The second
-// one owns engine "e" and stays at a revision of its own.
-type system struct {
-	address  string
-	handler  http.Handler
+// cluster is two instances with one table and the operators' API of the first. The
+// second instance owns engine "e" and has its own revision.
+type cluster struct {
+	// address and handler are those of the first instance's API.
+	address string
+	handler http.Handler
+	// revision is that of the second instance.
 	revision uint64
-	drained  string
+	// drained is the name of the instance that was drained last.
+	drained string
 }
 
-func newSystem(t *testing.T) *system {
+func newCluster(t *testing.T) *cluster {
 	t.Helper()
-	s := &system{}
+	s := &cluster{}
 	store := &snipetree.Store{Table: snipestand.NewTable().Client(), Log: snipelog.Discard(), Operation: rand.Text}
 	other := &snipeoperator.Own{Name: "two", Revision: func() uint64 { return s.revision }, Drain: func() { s.drained = "two" }}
 	peer := httptest.NewServer(snipeproto.NewStatusServer(other))
@@ -61,20 +64,20 @@
 	server := &snipeoperator.Server{
 		Settings: store, BootstrapKeyHash: snipetree.HashKey("boot"), View: other.View, Own: own, Peers: http.DefaultClient,
 	}
-	refreshed := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// There is no duty that follows the table here.
+	refreshing := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		// No background task refreshes the store from the table in this test.
 		_ = store.Refresh(r.Context())
 		server.Handler().ServeHTTP(w, r)
 	})
-	s.handler = refreshed
-	front := httptest.NewServer(refreshed)
+	s.handler = refreshing
+	front := httptest.NewServer(refreshing)
 	t.Cleanup(front.Close)
 	s.address = front.Listener.Addr().String()
 	return s
 }
 
-// run carries out one command line with a key.
-func (s *system) run(t *testing.T, key, in string, line ...string) (int, string) {
+// run runs one command line with a key and returns the exit code and all output.
+func (s *cluster) run(t *testing.T, key, in string, line ...string) (int, string) {
 	t.Helper()
 	t.Setenv("SNIPECTL_KEY", key)
 	var out bytes.Buffer
@@ -98,9 +101,10 @@
 		"a": {"KeyHash": "` + hash("key-a") + `", "Teams": ["a"]}}}`
 }
 
-// TestCommandLine holds exit codes, rights and output of one session, in order.
+// TestCommandLine guards against wrong exit codes, rights and output. The steps of
+// the session build on each other.
 func TestCommandLine(t *testing.T) {
-	s := newSystem(t)
+	s := newCluster(t)
 	steps := []struct {
 		name, key, in string
 		line          []string
@@ -156,9 +160,10 @@
 	must.Eq(t, "two", s.drained)
 }
 
-// TestTeamSeesOnlyItsAdapters: residency of other teams' adapters stays hidden.
+// TestTeamSeesOnlyItsAdapters guards against showing a team which adapters of other
+// teams are resident.
 func TestTeamSeesOnlyItsAdapters(t *testing.T) {
-	s := newSystem(t)
+	s := newCluster(t)
 	code, _ := s.run(t, "boot", platformBranch(t), "apply")
 	must.Zero(t, code)
 	for _, command := range []string{"adapters", "engines"} {
@@ -168,19 +173,20 @@
 	}
 }
 
-// TestWaitInForce holds that -wait ends once every instance has the revision.
+// TestWaitInForce guards against a -wait that goes on although every instance has
+// the revision.
 func TestWaitInForce(t *testing.T) {
-	s := newSystem(t)
+	s := newCluster(t)
 	s.revision = 1
 	code, text := s.run(t, "boot", platformBranch(t), "apply", "-wait", "1m")
 	must.Zero(t, code)
 	must.StrContains(t, text, "in force everywhere as revision 1")
 }
 
-// TestKeyFile holds that the key may come from a file, and that another error
-// is named.
+// TestKeyFile guards against a key file that is not read, or whose error is not
+// reported.
 func TestKeyFile(t *testing.T) {
-	s := newSystem(t)
+	s := newCluster(t)
 	file := filepath.Join(t.TempDir(), "key")
 	must.NoError(t, os.WriteFile(file, []byte("boot\n"), 0o600))
 	code, _ := s.run(t, "", platformBranch(t), "-key-file", file, "apply")
@@ -190,9 +196,11 @@
 	must.StrContains(t, text, "no such file")
 }
 
-// TestTLS holds that -ca makes the connection trust only what the file names.
+// TestTLS guards against a -ca file that is not used: the client trusts the server
+// whose certificate the file holds, refuses a file without a certificate, and does
+// not reach a TLS server without -ca.
 func TestTLS(t *testing.T) {
-	s := newSystem(t)
+	s := newCluster(t)
 	front := httptest.NewTLSServer(s.handler)
 	t.Cleanup(front.Close)
 	front.Config.ErrorLog = log.New(io.Discard, "", 0)
@@ -211,11 +219,11 @@
 	must.Eq(t, exitFailed, code)
 }
 
-// TestEditWithoutAnswer: an edit whose answer did not arrive may have taken
-// effect; one that was never sent has not.
+// TestEditWithoutAnswer guards against a wrong outcome for an edit without an answer:
+// it is unknown if the edit was sent, and failed if the connection was refused.
 func TestEditWithoutAnswer(t *testing.T) {
 	cut := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
-	s := &system{address: cut.Listener.Addr().String()}
+	s := &cluster{address: cut.Listener.Addr().String()}
 	for _, line := range [][]string{{"apply"}, {"rollback", "-version", "2", "-to", "1"}} {
 		code, text := s.run(t, "boot", "{}", line...)
 		must.Eq(t, exitUnknown, code)
@@ -226,10 +234,10 @@
 	must.Eq(t, exitFailed, code)
 }
 
-// TestReplyOfEditLost: an edit that took effect though its answer was lost is
-// found out and not made twice.
+// TestReplyOfEditLost guards against making an edit twice: the first answer is lost
+// after the edit took effect, and the repetition must report the same revision.
 func TestReplyOfEditLost(t *testing.T) {
-	s := newSystem(t)
+	s := newCluster(t)
 	var requests atomic.Int32
 	front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if requests.Add(1) == 1 {
--- a/cmd/snipectl/page_test.go
+++ b/cmd/snipectl/page_test.go
@@ -9,7 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestPage holds the operators' page against the commands and exit codes.
+// TestPage guards against an operators' page that lacks a command or an exit code,
+// or lists a command that does not exist.
 func TestPage(t *testing.T) {
 	data, err := os.ReadFile("../../docs/operators/snipectl.md")
 	must.NoError(t, err)
--- a/cmd/snipectl/show.go
+++ b/cmd/snipectl/show.go
@@ -7,11 +7,12 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
+// prepareShow declares the flags of show.
 func prepareShow(f *flag.FlagSet) action {
 	documentOnly := f.Bool("document", false, "print only the branch, as a file for apply")
 	version := f.Uint64("version", 0, "print an earlier version, as history lists it")
 	return func(ctx context.Context, c *client, arguments []string) error {
-		team, err := optional(arguments)
+		team, err := optionalArgument(arguments)
 		if err != nil {
 			return err
 		}
--- a/cmd/snipectl/watch.go
+++ b/cmd/snipectl/watch.go
@@ -15,20 +15,21 @@
 	Changes           []difference
 }
 
+// prepareWatch declares the flags of watch.
 func prepareWatch(f *flag.FlagSet) action {
 	interval := f.Duration("interval", time.Second, "`time` between two looks")
 	count := f.Int("count", 0, "end after so many changes; 0 for never")
 	return func(ctx context.Context, c *client, arguments []string) error {
-		team, err := optional(arguments)
+		team, err := optionalArgument(arguments)
 		if err != nil {
 			return err
 		}
 		t := time.NewTicker(*interval)
 		defer t.Stop()
 		w := &watch{client: c, team: team}
-		for *count == 0 || w.seen < *count {
-			if err := w.look(ctx); err != nil && ctx.Err() == nil {
-				// The instance may come back: the watch goes on.
+		for *count == 0 || w.changes < *count {
+			if err := w.poll(ctx); err != nil && ctx.Err() == nil {
+				// Polling continues, because the instance may answer again later.
 				_, _ = fmt.Fprintln(c.messages, "snipectl:", err)
 			}
 			select {
@@ -41,18 +42,20 @@
 	}
 }
 
-// watch is the state of one watch.
+// watch polls one branch for changes.
 type watch struct {
-	client   *client
-	team     string
+	client *client
+	team   string
+	// version and document are those of the last poll.
 	version  uint64
 	document []byte
-	seen     int
+	// changes counts the changes printed.
+	changes int
 }
 
-// look prints the change since the last look; the first one prints the branch
-// as it is.
-func (w *watch) look(ctx context.Context) error {
+// poll prints the change since the previous poll. The first poll prints the whole
+// branch as a change from an empty one.
+func (w *watch) poll(ctx context.Context) error {
 	out, err := w.client.operator.GetSettings(ctx, &snipeproto.GetSettingsRequest{Team: w.team})
 	if err != nil {
 		return err
@@ -65,7 +68,7 @@
 		return err
 	}
 	w.version, w.document = out.GetVersion(), out.GetDocument()
-	w.seen++
+	w.changes++
 	if w.client.json {
 		return w.client.printJSON(change{out.GetRevision(), out.GetVersion(), lines})
 	}
