--- a/cmd/snipesoak/main.go
+++ b/cmd/snipesoak/main.go
@@ -1,12 +1,12 @@
-// Command snipesoak plays entry instances as processes under load and faults drawn
-// from a seed, and prints what was broken.
+// Command snipesoak runs entry instances as processes under load and faults drawn
+// from a seed, and prints which promises were broken.
 //
 // Usage:
 //
 //	snipesoak -program FILE [-seed N] [-seeds N] [-length D] [-instances N] [-logs DIR]
 //
-// Exit codes: 0 when nothing was broken, 1 when something was or a run could not be
-// made, 2 for bad arguments. The logs of a run that broke something are kept.
+// Exit codes: 0 when no promise was broken, 1 when one was broken or a run failed,
+// 2 for bad arguments. The logs of a run that did not pass are kept.
 package main
 
 import (
@@ -39,7 +39,7 @@
 	}
 	passed, failed := 0, 0
 	for n := *seed; n < *seed+*seeds; n++ {
-		if play(n, *program, *logs, *length, *instances) {
+		if runSeed(n, *program, *logs, *length, *instances) {
 			passed++
 		} else {
 			failed++
@@ -51,21 +51,22 @@
 	}
 }
 
-// play plays one seed and reports whether nothing was broken.
-func play(seed uint64, program, logs string, length time.Duration, instances int) bool {
+// runSeed runs the soak with one seed, prints the result, and reports whether no promise
+// was broken.
+func runSeed(seed uint64, program, logs string, length time.Duration, instances int) bool {
 	folder, err := os.MkdirTemp(logs, fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "snipesoak:", err)
 		return false
 	}
-	plan, err := os.Create(filepath.Join(folder, "faults.log"))
+	faultLog, err := os.Create(filepath.Join(folder, "faults.log"))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "snipesoak:", err)
 		return false
 	}
-	defer func() { _ = plan.Close() }()
+	defer func() { _ = faultLog.Close() }()
 	s := &snipesoak.Soak{
-		Seed: seed, Program: program, Folder: folder, Length: length, Instances: instances, Out: plan,
+		Seed: seed, Program: program, Folder: folder, Length: length, Instances: instances, Out: faultLog,
 	}
 	breaches, answered, err := s.Run(context.Background())
 	if err != nil {
@@ -80,6 +81,6 @@
 		fmt.Println("logs in", folder)
 		return false
 	}
-	_ = os.RemoveAll(folder) // what stays costs space only
+	_ = os.RemoveAll(folder) // files that could not be removed only take up space
 	return true
 }
--- a/snipesoak/caller.go
+++ b/snipesoak/caller.go
@@ -13,55 +13,58 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// kind is a kind of request.
-type kind struct {
+// requestKind is a kind of request, named by its route's path prefix.
+type requestKind struct {
 	prefix string
-	// once requests may run once at most.
-	once   bool
+	// once is set for requests that may run at most once.
+	once bool
+	// stream is set for requests to an engine whose answer is a stream of events.
 	stream bool
 }
 
-func (k kind) String() string { return k.prefix }
+func (k requestKind) String() string { return k.prefix }
 
-var kinds = []kind{
+var requestKinds = []requestKind{
 	{"/once/", true, false}, {"/often/", false, false}, {"/draft/", false, true}, {"/final/", true, true},
 }
 
-// The callers' workspace and its key. One request in strangers comes with another key.
+// The callers' workspace and its key. One request in wrongKeyOneIn is sent with wrongKey,
+// which no workspace declares.
 const (
-	workspace = "soaked"
-	key       = "key-of-the-soak"
-	wrongKey  = "key-of-nobody"
-	strangers = 25
+	workspace     = "soaked"
+	key           = "key-of-the-soak"
+	wrongKey      = "key-of-nobody"
+	wrongKeyOneIn = 25
 )
 
-// call is what a caller has seen of a request.
-type call struct {
-	kind kind
-	// stranger tells that its key was declared by nobody.
-	stranger bool
-	status   int
-	// refused tells that the caller was told that the request has not run.
+// outcome is what a caller has observed of a request.
+type outcome struct {
+	kind requestKind
+	// unknownKey is set if the request was sent with wrongKey.
+	unknownKey bool
+	status     int
+	// refused is set if the answer states that the request has not run.
 	refused bool
 }
 
-// patience is how long a caller waits for an answer.
-const patience = 4 * time.Second
+// requestTimeout is how long a caller waits for an answer, and the deadline that it states.
+const requestTimeout = 4 * time.Second
 
-// caller sends requests one after another, over connections that it keeps.
-func (s *Soak) caller(ctx context.Context, n int) {
+// runCaller sends requests one after another over kept connections until ctx ends. The number n
+// makes the random source of each caller different.
+func (s *Soak) runCaller(ctx context.Context, n int) {
 	r := random.New(random.NewPCG(s.Seed, uint64(n)+1)) //nolint:gosec // the same calls for the same seed
 	for ctx.Err() == nil {
-		i, k := s.instances[r.IntN(len(s.instances))], kinds[r.IntN(len(kinds))]
-		s.ask(ctx, i, k, r, r.IntN(strangers) == 0)
+		i, k := s.instances[r.IntN(len(s.instances))], requestKinds[r.IntN(len(requestKinds))]
+		s.send(ctx, i, k, r, r.IntN(wrongKeyOneIn) == 0)
 	}
 }
 
-var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers, DisableCompression: true}}
+var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callerCount, DisableCompression: true}}
 
-// ask sends a request, checks its answer and reports whether it was served.
-func (s *Soak) ask(ctx context.Context, i *instance, k kind, r *random.Rand, stranger bool) bool {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// send sends a request, checks its answer and reports whether it was served.
+func (s *Soak) send(ctx context.Context, i *instance, k requestKind, r *random.Rand, unknownKey bool) bool {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	id := rand.Text()
 	body := "order " + id
@@ -70,17 +73,17 @@
 		s.breach("the soak itself", "%v", err)
 		return false
 	}
-	q.GetBody = nil // so that net/http sends nothing again by itself
+	q.GetBody = nil // prevents retries by net/http
 	q.Host = host
 	model := ""
 	if k.stream {
 		model = fmt.Sprint("base/a", r.IntN(adapters))
 	}
 	callerKey := key
-	if stranger {
+	if unknownKey {
 		callerKey = wrongKey
 	}
-	snipestand.CallerHeader(q.Header, id, callerKey, patience, model)
+	snipestand.CallerHeader(q.Header, id, callerKey, requestTimeout, model)
 	s.lock.Lock()
 	s.senders[id] = i.name
 	s.lock.Unlock()
@@ -90,22 +93,22 @@
 	}
 	defer func() { _ = answer.Body.Close() }()
 	data, err := io.ReadAll(answer.Body)
-	s.judge(id, call{kind: k, stranger: stranger}, answer, string(data), err)
+	s.checkAnswer(id, outcome{kind: k, unknownKey: unknownKey}, answer, string(data), err)
 	return err == nil && answer.StatusCode == http.StatusOK
 }
 
-// judge checks one answer.
-func (s *Soak) judge(id string, c call, answer *http.Response, body string, broken error) {
-	c.status = answer.StatusCode
+// checkAnswer checks one answer and records its outcome. readErr is the error from reading the body.
+func (s *Soak) checkAnswer(id string, o outcome, answer *http.Response, body string, readErr error) {
+	o.status = answer.StatusCode
 	switch answer.StatusCode {
 	case http.StatusOK:
-		s.judgeBody(id, c.kind, body, broken)
+		s.checkBody(id, o.kind, body, readErr)
 	case http.StatusUnauthorized:
-		if !c.stranger {
+		if !o.unknownKey {
 			s.breach("declared keys are known", "%s: %s", id, body)
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest:
-		c.refused = true
+		o.refused = true
 		if answer.Header.Get("Retry-After") == "" {
 			s.breach("a refusal tells when to come back", "%s: %s", id, body)
 		}
@@ -115,27 +118,29 @@
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.calls[id] = c
-	if c.status == http.StatusOK && broken == nil {
+	s.outcomes[id] = o
+	if o.status == http.StatusOK && readErr == nil {
 		s.answered++
 	}
 }
 
-// judgeBody checks the body of an answer to a request that was run.
-func (s *Soak) judgeBody(id string, k kind, body string, broken error) {
+// checkBody checks the body of an answer with status 200. If the body could not be read to its
+// end, what was read must be the beginning of the right answer.
+func (s *Soak) checkBody(id string, k requestKind, body string, readErr error) {
 	want := "POST " + k.prefix + id + " order " + id
 	if k.stream {
-		want = stream()
+		want = streamBody()
 	}
-	if broken == nil && body != want {
+	if readErr == nil && body != want {
 		s.breach("own and whole answer", "%s: %q", id, body)
 	}
-	if broken != nil && !strings.HasPrefix(want, body) {
+	if readErr != nil && !strings.HasPrefix(want, body) {
 		s.breach("what breaks off is the answer's beginning", "%s: %q", id, body)
 	}
 }
 
-func stream() string {
+// streamBody returns the whole body of a streamed answer.
+func streamBody() string {
 	var b strings.Builder
 	for n := 1; n <= events; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: token %d\n\n", n, n)
@@ -143,7 +148,7 @@
 	return b.String()
 }
 
-// audit checks what upstreams have run and who has ordered them.
+// audit checks which requests the upstreams have run and which orders they have received.
 func (s *Soak) audit() {
 	ran := map[string]int{}
 	for _, r := range s.runners {
@@ -154,20 +159,21 @@
 		s.auditSignals(r)
 		s.auditOrders(r.ID, r)
 	}
-	for id, c := range s.calls {
-		if c.stranger && ran[id] > 0 {
-			s.breach("nothing runs without a key", "%s %s ran", c.kind, id)
+	for id, o := range s.outcomes {
+		if o.unknownKey && ran[id] > 0 {
+			s.breach("nothing runs without a key", "%s %s ran", o.kind, id)
 		}
-		if c.kind.once && ran[id] > 1 {
-			s.breach("at most once", "%s %s ran %d times", c.kind, id, ran[id])
+		if o.kind.once && ran[id] > 1 {
+			s.breach("at most once", "%s %s ran %d times", o.kind, id, ran[id])
 		}
-		if c.refused && c.kind.once && ran[id] > 0 {
-			s.breach("told not run, was not run", "%s %s: status %d", c.kind, id, c.status)
+		if o.refused && o.kind.once && ran[id] > 0 {
+			s.breach("told not run, was not run", "%s %s: status %d", o.kind, id, o.status)
 		}
 	}
 }
 
-// auditKeys checks that requests came for the callers' workspace, and no key with them.
+// auditKeys checks that the upstream ran requests of the callers' workspace only and received no
+// keys.
 func (s *Soak) auditKeys(r *runner) {
 	runs, keys := r.Workspaces()
 	if keys > 0 {
@@ -180,8 +186,9 @@
 	}
 }
 
-// auditOrders checks that no more was ordered than fits, that fencing numbers grow,
-// and that no two instances took turns.
+// auditOrders checks that no more adapters were ordered than fit, that fencing numbers do not
+// fall, and that instances did not alternate in sending orders to an engine. Orders of a process
+// that has just been resumed do not count.
 func (s *Soak) auditOrders(engine string, r *runner) {
 	orders, overfull := r.Taken()
 	if overfull > 0 {
@@ -189,7 +196,7 @@
 	}
 	last := map[string]time.Time{}
 	for n, o := range orders {
-		if s.justThawed(o.Holder, o.At) {
+		if s.justResumed(o.Holder, o.At) {
 			continue
 		}
 		if n > 0 && o.Fence < orders[n-1].Fence {
@@ -202,12 +209,12 @@
 	}
 }
 
-// justThawed reports whether a process had gone on a moment before.
-func (s *Soak) justThawed(name string, at time.Time) bool {
+// justResumed reports whether a frozen process was resumed less than resumeGrace before at.
+func (s *Soak) justResumed(name string, at time.Time) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	for _, t := range s.thawed[name] {
-		if d := at.Sub(t); d >= 0 && d < thawSlack {
+	for _, t := range s.resumed[name] {
+		if d := at.Sub(t); d >= 0 && d < resumeGrace {
 			return true
 		}
 	}
--- a/snipesoak/faults.go
+++ b/snipesoak/faults.go
@@ -11,25 +11,27 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// runner is an upstream of the soak.
+// runner is a simulated upstream.
 type runner = snipestand.Runner
 
-// fault begins a fault and ends it after a while.
+// fault is a kind of fault.
 type fault struct {
 	name string
-	play func(s *Soak, r *rand.Rand, d time.Duration) string
+	// inject begins the fault, ends it after d where it has a length, and returns what it
+	// concerned, for the log of faults.
+	inject func(s *Soak, r *rand.Rand, d time.Duration) string
 }
 
 const (
-	// shortest and longest bound the length of a fault: below and above all leases
-	// and timeouts.
-	shortest = 200 * time.Millisecond
-	longest  = 7 * time.Second
-	// betweenMost bounds the time between the beginnings of two faults, so that they
-	// overlap.
-	betweenMost = 2500 * time.Millisecond
-	// mostSpoiled bounds the requests that one fault of upstreams spoils.
-	mostSpoiled = 25
+	// minFaultLength and maxFaultLength bound the length of a fault. They lie below and above
+	// all leases and timeouts.
+	minFaultLength = 200 * time.Millisecond
+	maxFaultLength = 7 * time.Second
+	// maxFaultGap bounds the time between the beginnings of two faults. It is shorter than
+	// maxFaultLength, so that faults overlap.
+	maxFaultGap = 2500 * time.Millisecond
+	// maxFaultyRequests bounds the requests or orders that one fault of the upstreams affects.
+	maxFaultyRequests = 25
 )
 
 var faults = []fault{
@@ -39,31 +41,33 @@
 	{"reload", reloadInstance},
 	{"cut the store off", cutStore},
 	{"cut an upstream off", cutUpstream},
-	{"the store misbehaves", spoilStore},
-	{"upstreams misbehave", spoilUpstreams},
+	{"the store misbehaves", disruptStore},
+	{"upstreams misbehave", disruptUpstreams},
 	{"history lost", loseHistory},
 	{"settings change", changeSettings},
 	{"new version", newVersion},
 	{"kill all", killAll},
-	{"an upstream starts again", startAgain},
-	{"an entry is nonsense", writeNonsense},
-	{"an upstream names a limit", nameLimit},
-	{"an upstream says that it leaves", sayLeaving},
-	{"an upstream asks for rest", askRest},
+	{"an upstream starts again", restartUpstream},
+	{"an entry is nonsense", writeInvalidEntry},
+	{"an upstream names a limit", announceLimit},
+	{"an upstream says that it leaves", announceLeaving},
+	{"an upstream asks for rest", requestBackoff},
 }
 
-// Seeds below some numbers draw from the faults and the spoils that came first in their lists, so
-// that those that once showed a fault still draw what they drew then.
+// Seeds below firstSeeds draw only from the first firstFaults and firstUpstreamFaults entries of
+// the lists, and seeds below secondSeeds from the first secondFaults faults. These entries were
+// in the lists before the others, so that a seed that once revealed a defect still draws the
+// same faults.
 const (
-	firstSeeds   = 1000
-	firstFaults  = 12
-	firstSpoils  = 7
-	secondSeeds  = 4000
-	secondFaults = 14
+	firstSeeds          = 1000
+	firstFaults         = 12
+	firstUpstreamFaults = 7
+	secondSeeds         = 4000
+	secondFaults        = 14
 )
 
-// drawnFaults returns the faults that a seed draws from.
-func drawnFaults(seed uint64) []fault {
+// faultsForSeed returns the faults that a seed draws from.
+func faultsForSeed(seed uint64) []fault {
 	switch {
 	case seed < firstSeeds:
 		return faults[:firstFaults]
@@ -74,50 +78,51 @@
 	}
 }
 
-// drawnSpoils returns the spoils that a seed draws from.
-func drawnSpoils(seed uint64) []snipestand.RunnerFault {
+// upstreamFaultsForSeed returns the faults of upstreams that a seed draws from.
+func upstreamFaultsForSeed(seed uint64) []snipestand.RunnerFault {
 	if seed < firstSeeds {
-		return spoils[:firstSpoils]
+		return upstreamFaults[:firstUpstreamFaults]
 	}
-	return spoils
+	return upstreamFaults
 }
 
-// play begins faults, drawn from the seed, and waits until all have ended.
-func (s *Soak) play(ctx context.Context) {
+// injectFaults begins faults drawn from the seed until Length has passed or ctx ends, and waits
+// until all have ended.
+func (s *Soak) injectFaults(ctx context.Context) {
 	r := rand.New(rand.NewPCG(s.Seed, 77)) //nolint:gosec // the same faults for the same seed
 	var running sync.WaitGroup
-	all := drawnFaults(s.Seed)
+	all := faultsForSeed(s.Seed)
 	for end := time.Now().Add(s.Length); time.Now().Before(end) && ctx.Err() == nil; {
 		f := all[r.IntN(len(all))]
-		d := shortest + time.Duration(r.Int64N(int64(longest-shortest)))
-		own := rand.New(rand.NewPCG(r.Uint64(), 1)) //nolint:gosec // as above
+		d := minFaultLength + time.Duration(r.Int64N(int64(maxFaultLength-minFaultLength)))
+		random := rand.New(rand.NewPCG(r.Uint64(), 1)) //nolint:gosec // as above
 		running.Go(func() {
-			detail := f.play(s, own, d)
-			// A plan that cannot be written changes nothing for the run.
+			detail := f.inject(s, random, d)
+			// An error from writing the log of faults does not affect the run.
 			_, _ = fmt.Fprintf(s.Out, "%s: %s for %s\n", f.name, detail, d.Round(time.Millisecond))
 		})
-		time.Sleep(time.Duration(r.Int64N(int64(betweenMost))))
+		time.Sleep(time.Duration(r.Int64N(int64(maxFaultGap))))
 	}
 	running.Wait()
 }
 
-func (s *Soak) pick(r *rand.Rand) *instance { return s.instances[r.IntN(len(s.instances))] }
+func (s *Soak) pickInstance(r *rand.Rand) *instance { return s.instances[r.IntN(len(s.instances))] }
 
-// again starts an instance that has ended.
-func (s *Soak) again(i *instance) {
+// restart starts an instance whose process has ended.
+func (s *Soak) restart(i *instance) {
 	if err := i.start(); err != nil {
 		s.breach("the soak itself", "start %s: %v", i.name, err)
 	}
 }
 
 func killInstance(s *Soak, r *rand.Rand, d time.Duration) string {
-	i := s.pick(r)
-	i.turn.Lock()
-	defer i.turn.Unlock()
+	i := s.pickInstance(r)
+	i.faultLock.Lock()
+	defer i.faultLock.Unlock()
 	defer s.disturb(i.name)()
 	i.kill()
 	time.Sleep(d / 4)
-	s.again(i)
+	s.restart(i)
 	return i.name
 }
 
@@ -125,12 +130,12 @@
 	var all sync.WaitGroup
 	for _, i := range s.instances {
 		all.Go(func() {
-			i.turn.Lock()
-			defer i.turn.Unlock()
+			i.faultLock.Lock()
+			defer i.faultLock.Unlock()
 			defer s.disturb(i.name)()
 			i.kill()
 			time.Sleep(d / 4)
-			s.again(i)
+			s.restart(i)
 		})
 	}
 	all.Wait()
@@ -138,44 +143,44 @@
 }
 
 func stopInstance(s *Soak, r *rand.Rand, _ time.Duration) string {
-	i := s.pick(r)
-	i.turn.Lock()
-	defer i.turn.Unlock()
+	i := s.pickInstance(r)
+	i.faultLock.Lock()
+	defer i.faultLock.Unlock()
 	defer s.disturb(i.name)()
 	i.signal(syscall.SIGTERM)
 	i.wait()
-	s.again(i)
+	s.restart(i)
 	return i.name
 }
 
 func freezeInstance(s *Soak, r *rand.Rand, d time.Duration) string {
-	i := s.pick(r)
-	i.turn.Lock()
-	defer i.turn.Unlock()
+	i := s.pickInstance(r)
+	i.faultLock.Lock()
+	defer i.faultLock.Unlock()
 	defer s.disturb(i.name)()
 	i.signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	s.lock.Lock()
-	s.thawed[i.name] = append(s.thawed[i.name], time.Now())
+	s.resumed[i.name] = append(s.resumed[i.name], time.Now())
 	s.lock.Unlock()
 	i.signal(syscall.SIGCONT)
 	return i.name
 }
 
 func reloadInstance(s *Soak, r *rand.Rand, _ time.Duration) string {
-	i := s.pick(r)
+	i := s.pickInstance(r)
 	i.signal(syscall.SIGHUP)
 	return i.name
 }
 
-var cuts = []snipestand.CutMode{
+var cutModes = []snipestand.CutMode{
 	snipestand.CutBoth, snipestand.CutForward, snipestand.CutBack, snipestand.CutStale, snipestand.CutRefuse,
 }
 
-// cut cuts one of the links and mends it.
-func (s *Soak) cut(r *rand.Rand, link int, d time.Duration) string {
+// cutLink cuts a link in a random mode and restores it after d.
+func (s *Soak) cutLink(r *rand.Rand, link int, d time.Duration) string {
 	l := s.cutter.Links[link].Listen
-	mode := cuts[r.IntN(len(cuts))]
+	mode := cutModes[r.IntN(len(cutModes))]
 	if err := s.cutter.Cut(l, mode); err != nil {
 		s.breach("the soak itself", "cut: %v", err)
 	}
@@ -189,16 +194,17 @@
 func cutStore(s *Soak, r *rand.Rand, d time.Duration) string {
 	n := r.IntN(s.Instances)
 	defer s.disturb(s.instances[n].name)()
-	return s.cut(r, n, d)
+	return s.cutLink(r, n, d)
 }
 
 func cutUpstream(s *Soak, r *rand.Rand, d time.Duration) string {
 	n := r.IntN(len(s.runners))
 	defer s.disturb(s.runners[n].ID)()
-	return s.cut(r, s.Instances+n, d)
+	return s.cutLink(r, s.Instances+n, d)
 }
 
-func spoilStore(s *Soak, r *rand.Rand, d time.Duration) string {
+// disruptStore makes the store refuse calls, leave them unanswered or lose its answers.
+func disruptStore(s *Soak, r *rand.Rand, d time.Duration) string {
 	modes := []snipestand.StoreMode{snipestand.StoreRefuses, snipestand.StoreSilent, snipestand.StoreLosesAnswers}
 	mode := modes[r.IntN(len(modes))]
 	s.store.SetMode(mode)
@@ -207,26 +213,30 @@
 	return fmt.Sprint("mode ", mode)
 }
 
-var spoils = []snipestand.RunnerFault{
+var upstreamFaults = []snipestand.RunnerFault{
 	snipestand.RunnerErrors, snipestand.RunnerSheds, snipestand.RunnerResets, snipestand.RunnerTears,
 	snipestand.RunnerForeign, snipestand.RunnerUnsealed, snipestand.RunnerLosesOrders, snipestand.RunnerLateOrders,
 }
 
-func spoilUpstreams(s *Soak, r *rand.Rand, d time.Duration) string {
-	all := drawnSpoils(s.Seed)
+// disruptUpstreams makes the upstreams fail a random number of requests or orders.
+func disruptUpstreams(s *Soak, r *rand.Rand, d time.Duration) string {
+	all := upstreamFaultsForSeed(s.Seed)
 	f := all[r.IntN(len(all))]
-	n := 1 + r.IntN(mostSpoiled)
+	n := 1 + r.IntN(maxFaultyRequests)
 	s.faults.Set(f, n)
 	time.Sleep(d)
 	s.faults.Set(snipestand.RunnerWorks, 0)
 	return fmt.Sprint("fault ", f, " of ", n)
 }
 
+// loseHistory makes the store discard its change history, so that readers must read the tables
+// anew.
 func loseHistory(s *Soak, _ *rand.Rand, _ time.Duration) string {
 	s.store.Compact()
 	return "all"
 }
 
+// changeSettings writes the next version of the catalog.
 func changeSettings(s *Soak, _ *rand.Rand, _ time.Duration) string {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -236,6 +246,7 @@
 	return fmt.Sprint("version ", s.version)
 }
 
+// newVersion announces a new version of a random adapter at the upstreams and in the store.
 func newVersion(s *Soak, r *rand.Rand, _ time.Duration) string {
 	adapter := fmt.Sprint("a", r.IntN(adapters))
 	version := time.Now().UnixMilli()
@@ -248,15 +259,15 @@
 	return adapter
 }
 
-// startAgain has an upstream start again under its identifier.
-func startAgain(s *Soak, r *rand.Rand, _ time.Duration) string {
+// restartUpstream simulates a restart of an upstream, which keeps its identifier.
+func restartUpstream(s *Soak, r *rand.Rand, _ time.Duration) string {
 	u := s.runners[r.IntN(len(s.runners))]
 	u.StartAgain()
 	return u.ID
 }
 
-// writeNonsense has an upstream's entry be one that cannot be understood.
-func writeNonsense(s *Soak, r *rand.Rand, d time.Duration) string {
+// writeInvalidEntry makes an upstream's entry in the registry invalid for d.
+func writeInvalidEntry(s *Soak, r *rand.Rand, d time.Duration) string {
 	u := s.runners[r.IntN(len(s.runners))]
 	u.WriteNonsense(true)
 	time.Sleep(d)
--- a/snipesoak/instance.go
+++ b/snipesoak/instance.go
@@ -18,10 +18,10 @@
 	"snipepitch.example/snipepitch/snipejson"
 )
 
-// stopTimeout is the instances' bound for a planned stop.
+// stopTimeout is the instances' StopTimeout setting, which bounds a planned stop.
 const stopTimeout = 6 * time.Second
 
-// instance is one process of the program.
+// instance is one process of the program under test.
 type instance struct {
 	soak  *Soak
 	name  string
@@ -29,28 +29,29 @@
 
 	callers, ready, peers, metrics netip.AddrPort
 
-	// turn is held by the fault that has the process in hand.
-	turn sync.Mutex
+	// faultLock is held by the fault that currently stops, kills or freezes the process.
+	faultLock sync.Mutex
 
 	lock    sync.Mutex // guards the fields below
 	process *os.Process
-	ended   chan struct{}
+	// ended is closed when the process has ended.
+	ended chan struct{}
 }
 
-// The ports of instances are below those that the system gives to outgoing
-// connections, one of which could take a port while its process is down.
-const lowestPort, ports = 12000, 18000
+// The ports of instances lie below the ephemeral range, because the system could give a port in
+// that range to an outgoing connection while the instance's process is down.
+const lowestPort, portCount = 12000, 18000
 
-// portTries bounds the search for a free port.
-const portTries = 100
+// maxPortAttempts bounds the search for a free port.
+const maxPortAttempts = 100
 
-// reserve finds free ports for all instances. They are released when all are found, before
-// the processes take them: freed one instance after the other, the same port can be drawn
-// for two of them.
-func reserve(all []*instance, draw func() uint16) error {
+// reservePorts finds free ports for all instances. It keeps every port open until all are found,
+// because the same port could be drawn for two instances if the first released it early. All are
+// released on return, before the processes take them.
+func reservePorts(all []*instance, draw func() uint16) error {
 	for _, i := range all {
 		for _, a := range []*netip.AddrPort{&i.callers, &i.ready, &i.peers, &i.metrics} {
-			l, err := listenLow(draw)
+			l, err := listenOnDrawnPort(draw)
 			if err != nil {
 				return err
 			}
@@ -61,14 +62,15 @@
 	return nil
 }
 
-// drawPort draws a port anew for each run: several soaks may run at once.
+// drawPort returns a random port. Ports differ from run to run, because several soaks may run at
+// once on one machine.
 func drawPort() uint16 {
-	return uint16(lowestPort + rand.Uint32N(ports)) //nolint:gosec // any free port will do, at most 30,000
+	return uint16(lowestPort + rand.Uint32N(portCount)) //nolint:gosec // any free port will do, at most 30,000
 }
 
-// listenLow listens on a drawn port that is free.
-func listenLow(draw func() uint16) (net.Listener, error) {
-	for range portTries {
+// listenOnDrawnPort draws ports until it can listen on one.
+func listenOnDrawnPort(draw func() uint16) (net.Listener, error) {
+	for range maxPortAttempts {
 		address := netip.AddrPortFrom(loopback.Addr(), draw())
 		if l, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(address)); err == nil {
 			return l, nil
@@ -77,7 +79,7 @@
 	return nil, errors.New("no free port was found")
 }
 
-// start starts the process.
+// start writes the settings file and starts the process, which appends to the instance's log.
 func (i *instance) start() error {
 	settings := snipeentry.Settings{
 		Name: i.name, Domain: "here", Callers: i.callers, Ready: i.ready, Peers: i.peers, Metrics: i.metrics,
@@ -97,11 +99,11 @@
 	if err := os.WriteFile(path, data, 0o600); err != nil {
 		return err
 	}
-	log, err := os.OpenFile(i.soak.log(i.name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(i.soak.logPath(i.name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }()                            // the process has its own
+	defer func() { _ = log.Close() }()                            // the process has its own descriptor
 	c := exec.Command(i.soak.Program, "entry", "-settings", path) //nolint:gosec // the program under test
 	c.Stdout, c.Stderr = log, log
 	if err := c.Start(); err != nil {
@@ -110,7 +112,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		// How it ended shows in its log.
+		// The process's log shows how it ended.
 		_ = c.Wait()
 	}()
 	i.lock.Lock()
@@ -119,12 +121,12 @@
 	return nil
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process if it has been started.
 func (i *instance) signal(s syscall.Signal) {
 	i.lock.Lock()
 	defer i.lock.Unlock()
 	if i.process != nil {
-		// It may have ended by itself.
+		// The process may have ended by itself.
 		_ = i.process.Signal(s)
 	}
 }
@@ -135,6 +137,7 @@
 	i.wait()
 }
 
+// wait waits for the end of the process.
 func (i *instance) wait() {
 	i.lock.Lock()
 	ended := i.ended
--- a/snipesoak/instance_test.go
+++ b/snipesoak/instance_test.go
@@ -7,12 +7,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestPortsDiffer: no two instances are given the same port, though each is drawn as often as
-// there are instances.
+// TestPortsDiffer guards against giving two instances the same port, which could happen if a port
+// was released before the others were drawn. Each port is drawn as often as there are instances.
 func TestPortsDiffer(t *testing.T) {
 	all := []*instance{{}, {}, {}}
 	draws := 0
-	must.NoError(t, reserve(all, func() uint16 {
+	must.NoError(t, reservePorts(all, func() uint16 {
 		draws++
 		return uint16(lowestPort + draws/len(all))
 	}))
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestNoPort: a port that is never free is an error.
+// TestNoPort guards against an endless search when no free port can be drawn.
 func TestNoPort(t *testing.T) {
 	all := []*instance{{}}
-	must.Error(t, reserve(all, func() uint16 { return lowestPort }))
+	must.Error(t, reservePorts(all, func() uint16 { return lowestPort }))
 }
--- a/snipesoak/signal.go
+++ b/snipesoak/signal.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// mostLimit bounds the limits that upstreams name, in halves of requests a second; they stand
-	// for limitLength longer than other faults, so that the bound on them can be judged.
-	mostLimit   = 20
-	limitLength = 6 * time.Second
-	// mostRest bounds the rest that upstreams ask for, in tenths of a second.
-	mostRest = 40
-	// drainBound is how long after an instance was told that an upstream leaves its requests may
-	// reach that.
-	drainBound = 2 * time.Second
+	// maxLimitHalves bounds the limits that upstreams announce, in halves of a request a second. A
+	// limit lasts extraLimitLength longer than other faults, so that the audit can check it.
+	maxLimitHalves   = 20
+	extraLimitLength = 6 * time.Second
+	// maxBackoffTenths bounds the backoff that upstreams request, in tenths of a second.
+	maxBackoffTenths = 40
+	// maxDrainDelay is how long an instance's requests may still reach an upstream after the
+	// upstream has signaled to the instance that it leaves.
+	maxDrainDelay = 2 * time.Second
 )
 
-// nameLimit has an upstream name how many requests a second it takes.
-func nameLimit(s *Soak, r *rand.Rand, d time.Duration) string {
+// announceLimit makes an upstream signal in its answers how many requests a second it takes.
+func announceLimit(s *Soak, r *rand.Rand, d time.Duration) string {
 	u := s.runners[r.IntN(len(s.runners))]
-	limit := float64(1+r.IntN(mostLimit)) / 2
+	limit := float64(1+r.IntN(maxLimitHalves)) / 2
 	u.NameLimit(limit)
-	time.Sleep(d + limitLength)
+	time.Sleep(d + extraLimitLength)
 	u.NameNoLimit()
 	return fmt.Sprint(u.ID, " ", limit, " a second")
 }
 
-// sayLeaving has an upstream say in its answers that it leaves, and then start again.
-func sayLeaving(s *Soak, r *rand.Rand, d time.Duration) string {
+// announceLeaving makes an upstream signal in its answers that it leaves, and restarts it after d.
+func announceLeaving(s *Soak, r *rand.Rand, d time.Duration) string {
 	u := s.runners[r.IntN(len(s.runners))]
 	u.SayLeaving()
 	time.Sleep(d)
@@ -39,27 +39,28 @@
 	return u.ID
 }
 
-// askRest has an upstream turn all requests away and ask for rest.
-func askRest(s *Soak, r *rand.Rand, d time.Duration) string {
+// requestBackoff makes an upstream refuse all requests for d and request a backoff in its answers.
+func requestBackoff(s *Soak, r *rand.Rand, d time.Duration) string {
 	u := s.runners[r.IntN(len(s.runners))]
-	rest := time.Duration(1+r.IntN(mostRest)) * time.Second / 10
-	u.AskRest(rest)
+	backoff := time.Duration(1+r.IntN(maxBackoffTenths)) * time.Second / 10
+	u.AskRest(backoff)
 	time.Sleep(d)
 	u.AskRest(0)
-	return fmt.Sprint(u.ID, " ", rest)
+	return fmt.Sprint(u.ID, " ", backoff)
 }
 
-// disturbance is the time in which an instance did not run or was cut off, or an upstream was.
+// disturbance is a time in which an instance did not run or was cut off from the store, or in
+// which an upstream was cut off.
 type disturbance struct {
 	begin, end time.Time
 }
 
-// disturbedFor is for how long after a disturbance requests do not count for what upstreams say of
-// themselves: what was held up comes late, and what was known may be lost.
-const disturbedFor = 3 * time.Second
+// disturbanceGrace is how long after a disturbance the audit of signals ignores requests: delayed
+// requests arrive late, and an instance may have lost what an upstream had signaled.
+const disturbanceGrace = 3 * time.Second
 
-// disturb notes that an instance or an upstream is disturbed, until the returned function is
-// called.
+// disturb begins a disturbance of an instance or an upstream. The returned function ends and
+// records it.
 func (s *Soak) disturb(name string) (end func()) {
 	begin := time.Now()
 	return func() {
@@ -69,27 +70,28 @@
 	}
 }
 
-// disturbed reports whether an instance or an upstream was disturbed at a moment, or shortly before.
+// disturbed reports whether an instance or an upstream was disturbed at a time, or less than
+// disturbanceGrace before.
 func (s *Soak) disturbed(name string, at time.Time) bool {
 	for _, d := range s.disturbances[name] {
-		if at.After(d.begin) && at.Before(d.end.Add(disturbedFor)) {
+		if at.After(d.begin) && at.Before(d.end.Add(disturbanceGrace)) {
 			return true
 		}
 	}
 	return false
 }
 
-// auditSignals checks that an upstream got what it said that it takes, and no more.
+// auditSignals checks that an upstream received no more requests than its signals allow.
 func (s *Soak) auditSignals(r *runner) {
-	sender := func(id string) string { return s.senders[id] }
+	senderOf := func(id string) string { return s.senders[id] }
 	excused := func(instance string, at time.Time) bool {
 		return s.disturbed(instance, at) || s.disturbed(r.ID, at)
 	}
-	all := r.Arrivals()
+	arrivals := r.Arrivals()
 	for promise, breaches := range map[string][]string{
-		"no more than an upstream takes": snipestand.LimitBreaches(all, sender, excused),
-		"nothing for one that leaves":    snipestand.LeavingBreaches(all, drainBound, sender, excused),
-		"nothing for one that rests":     snipestand.RestBreaches(all, sender, excused),
+		"no more than an upstream takes": snipestand.LimitBreaches(arrivals, senderOf, excused),
+		"nothing for one that leaves":    snipestand.LeavingBreaches(arrivals, maxDrainDelay, senderOf, excused),
+		"nothing for one that rests":     snipestand.RestBreaches(arrivals, senderOf, excused),
 	} {
 		for _, breach := range breaches {
 			s.breach(promise, "%s: %s", r.ID, breach)
--- a/snipesoak/snipesoak.go
+++ b/snipesoak/snipesoak.go
@@ -1,12 +1,14 @@
 // Package snipesoak runs entry instances as processes on one machine under load and
-// faults from a seed, and checks the promises by what callers and upstreams see.
+// faults drawn from a seed, and checks the system's promises by what callers and
+// upstreams observe.
 //
-// The store, the upstreams and the callers live in the soak's own process; each
-// instance reaches the store, and all reach each upstream, through links that can be
-// cut. Faults are drawn from the seed and overlap. When the last one has ended every
-// instance must serve every kind of request again.
+// The store, the upstreams and the callers run in the soak's own process. Each instance
+// has a link to the store that can be cut, and each upstream has one that all instances
+// use. Faults overlap. When the last fault has ended, every instance must serve every
+// kind of request again.
 //
-// The same seed draws the same faults; what they meet depends on the machine.
+// The same seed draws the same faults; the state of the system in which they occur
+// depends on the machine.
 package snipesoak
 
 import (
@@ -26,7 +28,7 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// Breach is a broken promise.
+// Breach describes a violation of one of the promises that the soak checks.
 type Breach struct {
 	Promise string
 	Detail  string
@@ -35,89 +37,94 @@
 // Soak is one run. Exported fields are set before Run.
 type Soak struct {
 	Seed uint64
-	// Program is the instance's program, Folder takes settings and logs.
+	// Program is the path of the instance's executable; Folder takes settings and logs.
 	Program string
 	Folder  string
-	// Length is the time in which faults begin.
+	// Length is how long new faults are begun.
 	Length    time.Duration
 	Instances int
-	// Out takes a line for each fault.
+	// Out takes a line for each fault and for each stall of the soak's own process.
 	Out io.Writer
 
-	store     *snipestand.RowStore
-	runners   []*snipestand.Runner
-	faults    snipestand.RunnerFaults
-	cutter    snipestand.Cutter
-	links     map[string]netip.AddrPort
-	instances []*instance
-	callers   sync.WaitGroup
-	pulse     *pulse
-	version   int
+	store       *snipestand.RowStore
+	runners     []*snipestand.Runner
+	faults      snipestand.RunnerFaults
+	cutter      snipestand.Cutter
+	links       map[string]netip.AddrPort
+	instances   []*instance
+	callerLoops sync.WaitGroup
+	stalls      *stallMonitor
+	version     int
 
 	lock     sync.Mutex // guards the fields below
 	breaches []Breach
-	calls    map[string]call // answered calls by identifier
-	thawed   map[string][]time.Time
-	// senders are the instances that were asked, by the requests' identifiers, disturbances what
-	// was done to instances and upstreams, by their names.
+	outcomes map[string]outcome // answered requests by identifier
+	// resumed holds the times at which frozen instances were resumed, by their names.
+	resumed map[string][]time.Time
+	// senders holds the name of the instance that forwards a request to upstreams, by the
+	// request's identifier. disturbances is keyed by the names of instances and upstreams.
 	senders      map[string]string
 	disturbances map[string][]disturbance
-	answered     int
+	// answered counts the requests that were answered in full with status 200.
+	answered int
 }
 
 const (
 	host = "calls.example"
-	// engines and plains are how many upstreams there are of both kinds.
-	engines, plains = 3, 2
-	// events is how many events an answer has.
+	// engines and plainUpstreams are the numbers of upstreams of the two services.
+	engines, plainUpstreams = 3, 2
+	// events is the number of events in a streamed answer.
 	events = 6
-	// adapters is how many adapters are asked for, places how many an engine holds:
-	// loads and evictions go on all the time.
-	adapters, places = 30, 5
-	// settle bounds the time until all is served again after the last fault.
-	settle = 40 * time.Second
-	// beatEvery is the time between two entries of an upstream in the registry.
-	beatEvery = 500 * time.Millisecond
-	// callers is how many callers send requests, one after another.
-	callers = 12
-	// lateOrder is how late an order is carried out that comes late: long enough for its
-	// engine to have started again.
-	lateOrder = 3 * time.Second
-	// orderGap is the least time between two turns of an instance at an engine.
+	// adapters is the number of adapters that callers request, slots how many of them an
+	// engine holds. The difference keeps loads and evictions going on all the time.
+	adapters, slots = 30, 5
+	// recoveryTimeout bounds the time until every kind of request is served after the start
+	// and after the last fault.
+	recoveryTimeout = 40 * time.Second
+	// heartbeatInterval is the time between two writes of an upstream's entry in the registry.
+	heartbeatInterval = 500 * time.Millisecond
+	// callerCount is the number of concurrent callers; each sends one request at a time.
+	callerCount = 12
+	// lateOrderDelay is how much later an engine executes an order under RunnerLateOrders. It is
+	// long enough for the engine to have restarted in between.
+	lateOrderDelay = 3 * time.Second
+	// orderGap is the instances' OrderGap setting: the least time between orders of two
+	// instances to one engine.
 	orderGap = 3 * time.Second
 	// maxBody bounds the bodies of requests in bytes.
 	maxBody = 1 << 20
-	// thawSlack is how long after a process goes on an order of it does not count: it
-	// had passed its check before.
-	thawSlack = 300 * time.Millisecond
+	// resumeGrace is how long after a process is resumed its orders are not audited, because
+	// it may have checked its right to order before it was frozen.
+	resumeGrace = 300 * time.Millisecond
 )
 
-// Run plays the soak and returns what was broken and how many requests were
-// answered as they should.
+// Run runs the soak. It returns the breaches and how many requests were answered in
+// full with status 200. An error means that the soak could not be set up, or that not
+// every instance served every kind of request before the first fault.
 func (s *Soak) Run(ctx context.Context) ([]Breach, int, error) {
-	s.calls, s.thawed, s.links = map[string]call{}, map[string][]time.Time{}, map[string]netip.AddrPort{}
+	s.outcomes, s.resumed, s.links = map[string]outcome{}, map[string][]time.Time{}, map[string]netip.AddrPort{}
 	s.senders, s.disturbances = map[string]string{}, map[string][]disturbance{}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.pulse = &pulse{Out: s.Out}
-	go s.pulse.run(ctx)
-	if err := s.stage(ctx); err != nil {
+	s.stalls = &stallMonitor{Out: s.Out}
+	go s.stalls.run(ctx)
+	if err := s.setUp(ctx); err != nil {
 		return nil, 0, err
 	}
-	defer s.end()
-	if err := s.recover(ctx); err != nil {
+	defer s.killInstances()
+	if err := s.awaitRecovery(ctx); err != nil {
 		return nil, 0, errors.Wrap(err, "before the first fault")
 	}
 	calling, stop := context.WithCancel(ctx)
-	for n := range callers {
-		s.callers.Go(func() { s.caller(calling, n) })
+	for n := range callerCount {
+		s.callerLoops.Go(func() { s.runCaller(calling, n) })
 	}
-	s.play(ctx)
-	if err := s.recover(ctx); err != nil {
+	s.injectFaults(ctx)
+	if err := s.awaitRecovery(ctx); err != nil {
 		s.breach("served again after the last fault", "%v", err)
 	}
 	stop()
-	s.callers.Wait()
+	s.callerLoops.Wait()
 	s.audit()
 	return s.breaches, s.answered, nil
 }
@@ -128,8 +135,8 @@
 	s.breaches = append(s.breaches, Breach{promise, fmt.Sprintf(format, a...)})
 }
 
-// stage starts the store, the upstreams and the instances.
-func (s *Soak) stage(ctx context.Context) error {
+// setUp starts the store, the upstreams and the instances.
+func (s *Soak) setUp(ctx context.Context) error {
 	s.store = snipestand.NewRowStore()
 	store, err := serve(ctx, s.store.Handler())
 	if err != nil {
@@ -139,11 +146,11 @@
 		s.cutter.Links = append(s.cutter.Links, snipestand.Link{Listen: loopback, Target: store})
 		s.instances = append(s.instances, &instance{soak: s, name: fmt.Sprint("one", n)})
 	}
-	for n := range engines + plains {
+	for n := range engines + plainUpstreams {
 		r := &snipestand.Runner{
-			ID: fmt.Sprint("e", n), Service: "engines", Model: "base", Slots: places, Faults: &s.faults,
+			ID: fmt.Sprint("e", n), Service: "engines", Model: "base", Slots: slots, Faults: &s.faults,
 			Load: 60 * time.Millisecond, Event: 5 * time.Millisecond, Events: events,
-			Late: lateOrder,
+			Late: lateOrderDelay,
 		}
 		if n >= engines {
 			r.ID, r.Service, r.Model = fmt.Sprint("p", n), "plain", ""
@@ -161,7 +168,7 @@
 	for n, r := range s.runners {
 		r.Address = s.cutter.Links[s.Instances+n].Listen.String()
 	}
-	go s.beat(ctx)
+	go s.sendHeartbeats(ctx)
 	if err := s.declare(); err != nil {
 		return err
 	}
@@ -170,9 +177,9 @@
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// start writes the instances' settings and starts them.
+// start reserves ports for the instances and starts them.
 func (s *Soak) start() error {
-	if err := reserve(s.instances, drawPort); err != nil {
+	if err := reservePorts(s.instances, drawPort); err != nil {
 		return err
 	}
 	for n, i := range s.instances {
@@ -184,13 +191,13 @@
 	return nil
 }
 
-func (s *Soak) end() {
+func (s *Soak) killInstances() {
 	for _, i := range s.instances {
 		i.kill()
 	}
 }
 
-// serve serves a handler on loopback until ctx ends.
+// serve serves a handler on a loopback port until ctx ends, and returns its address.
 func serve(ctx context.Context, h http.Handler) (netip.AddrPort, error) {
 	var config net.ListenConfig
 	l, err := config.Listen(ctx, "tcp", loopback.String())
@@ -203,8 +210,8 @@
 	return netip.ParseAddrPort(l.Addr().String())
 }
 
-// beat writes the upstreams' entries.
-func (s *Soak) beat(ctx context.Context) {
+// sendHeartbeats writes the upstreams' entries in the registry at intervals until ctx ends.
+func (s *Soak) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, r := range s.runners {
 			if err := r.Beat(s.store); err != nil {
@@ -213,7 +220,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(beatEvery):
+		case <-time.After(heartbeatInterval):
 		}
 	}
 }
@@ -236,7 +243,7 @@
 		Services: []snipestand.DeclaredService{
 			{Name: "plain"},
 			{Name: "engines", Engine: &snipestand.DeclaredEngine{
-				AdapterSlots: places, Models: []snipestand.DeclaredModel{{Name: "base"}},
+				AdapterSlots: slots, Models: []snipestand.DeclaredModel{{Name: "base"}},
 			}},
 		},
 		Workspaces: []snipestand.DeclaredWorkspace{{Name: workspace, Keys: []string{key}}},
@@ -244,16 +251,16 @@
 	})
 }
 
-// recover waits until each instance serves each kind of request.
-func (s *Soak) recover(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, settle)
+// awaitRecovery waits until each instance serves each kind of request.
+func (s *Soak) awaitRecovery(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	random := rand.New(rand.NewPCG(s.Seed, 0)) //nolint:gosec // the same calls for the same seed
 	for _, i := range s.instances {
-		for _, kind := range kinds {
-			for !s.ask(ctx, i, kind, random, false) {
+		for _, kind := range requestKinds {
+			for !s.send(ctx, i, kind, random, false) {
 				if ctx.Err() != nil {
-					return errors.Errorf("%s does not serve %s; %s", i.name, kind.prefix, s.pulse)
+					return errors.Errorf("%s does not serve %s; %s", i.name, kind.prefix, s.stalls)
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -263,4 +270,4 @@
 }
 
 // log returns the path of an instance's log.
-func (s *Soak) log(name string) string { return filepath.Join(s.Folder, name+".log") }
+func (s *Soak) logPath(name string) string { return filepath.Join(s.Folder, name+".log") }
