--- a/cmd/snipereplay/main.go
+++ b/cmd/snipereplay/main.go
@@ -1,5 +1,5 @@
-// Command snipereplay replays a trace against a running system, prints
-// histograms and judges every answer and refusal.
+// Command snipereplay replays a trace against a running system, checks every
+// answer and refusal, and prints the times and the breaches.
 //
 // Usage:
 //
@@ -8,9 +8,9 @@
 //	snipereplay -generate -seed N -calls N -length D -teams A,B -adapters N [-popularity P] [-service S]
 //	snipereplay -compare FILE,FILE
 //
-// -load generates a trace as -generate does and replays it at once: an open
-// loop of -calls calls over -length. -upstreams are all engines and services:
-// without them nothing is said about executions.
+// -load generates a trace as -generate does and replays it at once, as an open
+// loop of -calls calls over -length. -upstreams names all engines and services;
+// without it executions are not checked.
 //
 // Exit codes: 0 when no promise was broken, 1 on a breach, when executions
 // cannot be audited or when fewer calls than -min-answered ended as stated,
@@ -36,44 +36,46 @@
 	os.Exit(replay())
 }
 
+// replay runs the command line and returns the exit code.
 func replay() int {
 	generate := flag.Bool("generate", false, "write a trace to standard output")
 	load := flag.Bool("load", false, "replay a generated trace")
 	compare := flag.String("compare", "", "compare two results of -json, `FILE,FILE`")
 	trace := flag.String("trace", "", "trace `file`")
 	teams := flag.String("teams", "", "teams of a generated trace, `A,B`; those of -keys when empty")
-	s := &snipetrace.Shape{Popularity: snipetrace.Steady}
-	shapeFlags(s)
+	shape := &snipetrace.Shape{Popularity: snipetrace.Steady}
+	shapeFlags(shape)
 	r := &runner{}
 	r.flags()
 	flag.Parse()
 	if *teams == "" {
 		*teams = r.teams()
 	}
-	s.Teams = strings.Split(*teams, ",")
+	shape.Teams = strings.Split(*teams, ",")
 	switch {
 	case *compare != "":
-		return report(writeComparison(*compare))
+		return finish(writeComparison(*compare))
 	case *generate:
-		records, err := snipetrace.Generate(*s)
+		records, err := snipetrace.Generate(*shape)
 		if err == nil {
 			err = snipetrace.Write(os.Stdout, records)
 		}
-		return report(err)
+		return finish(err)
 	case *load:
-		records, err := snipetrace.Generate(*s)
+		records, err := snipetrace.Generate(*shape)
 		if err != nil {
-			return report(err)
+			return finish(err)
 		}
 		return r.run(records)
 	}
 	records, err := readTrace(*trace)
 	if err != nil {
-		return report(err)
+		return finish(err)
 	}
 	return r.run(records)
 }
 
+// shapeFlags declares the flags of generated traces.
 func shapeFlags(s *snipetrace.Shape) {
 	flag.Uint64Var(&s.Seed, "seed", 1, "seed of a generated trace")
 	flag.IntVar(&s.Calls, "calls", 500, "calls of a generated trace")
@@ -97,7 +99,8 @@
 	return snipetrace.Read(f)
 }
 
-func report(err error) int {
+// finish prints an error and returns the exit code: exitUsage for an error, else 0.
+func finish(err error) int {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "snipereplay:", err)
 		return exitUsage
--- a/cmd/snipereplay/run.go
+++ b/cmd/snipereplay/run.go
@@ -20,15 +20,17 @@
 )
 
 const (
-	idleConnections = 256
-	dialTimeout     = time.Second
-	auditTimeout    = 10 * time.Second
+	// maxIdleConns bounds the idle connections to one instance.
+	maxIdleConns = 256
+	dialTimeout  = time.Second
+	// auditTimeout bounds reading the records of all upstreams.
+	auditTimeout = 10 * time.Second
 )
 
 // errTwoFiles is returned for a bad argument of -compare.
 var errTwoFiles = errors.New("-compare needs two files")
 
-// runner is the settings of one run.
+// runner holds the flags of one run; see flags for their meaning.
 type runner struct {
 	entries, keys, upstreams string
 	jsonFile, svgFile        string
@@ -39,6 +41,7 @@
 	planned                  bool
 }
 
+// flags declares the flags of a run.
 func (r *runner) flags() {
 	flag.StringVar(&r.entries, "entries", "", "callers' addresses of the instances, `IP:PORT,...`")
 	flag.StringVar(&r.keys, "keys", "", "keys of the teams, `TEAM=KEY,...`")
@@ -53,7 +56,7 @@
 	flag.DurationVar(&r.settle, "settle", time.Second, "pause between the last answer and the audit")
 }
 
-// teams returns the teams that have a key.
+// teams returns the teams that have a key, separated by commas.
 func (r *runner) teams() string {
 	var names []string
 	for _, s := range strings.Split(r.keys, ",") {
@@ -63,6 +66,7 @@
 	return strings.Join(names, ",")
 }
 
+// addresses parses a list of addresses that are separated by commas.
 func addresses(text string) ([]netip.AddrPort, error) {
 	var all []netip.AddrPort
 	for _, s := range strings.Split(text, ",") {
@@ -78,22 +82,22 @@
 	return all, nil
 }
 
-// run replays records and returns the exit code.
+// run replays the records, prints the results and returns the exit code.
 func (r *runner) run(records []snipetrace.Record) int {
 	p := &snipereplay.Replay{
 		Keys: map[string]string{}, KeyedRepeats: r.keyedRepeats, Planned: r.planned, MaxInFlight: r.maxInFlight,
 		Client: &http.Client{Transport: &http.Transport{
-			MaxIdleConnsPerHost: idleConnections,
+			MaxIdleConnsPerHost: maxIdleConns,
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		}},
 	}
 	var err error
 	if p.Entries, err = addresses(r.entries); err != nil || len(p.Entries) == 0 {
-		return report(errors.Errorf("-entries %q: %v", r.entries, err))
+		return finish(errors.Errorf("-entries %q: %v", r.entries, err))
 	}
 	upstreams, err := addresses(r.upstreams)
 	if err != nil {
-		return report(errors.Wrap(err, "-upstreams"))
+		return finish(errors.Wrap(err, "-upstreams"))
 	}
 	for _, s := range strings.Split(r.keys, ",") {
 		team, key, _ := strings.Cut(s, "=")
@@ -101,13 +105,15 @@
 	}
 	results := p.Run(context.Background(), records)
 	auditErr := r.audit(upstreams, results)
-	out := snipereplay.NewReport(results)
-	if err := r.write(out); err != nil {
-		return report(err)
+	report := snipereplay.NewReport(results)
+	if err := r.write(report); err != nil {
+		return finish(err)
 	}
-	return r.verdict(out, auditErr)
+	return r.verdict(report, auditErr)
 }
 
+// audit adds to the results the breaches that the records of the upstreams show. It
+// first pauses for -settle, so that late executions are in the records.
 func (r *runner) audit(upstreams []netip.AddrPort, results []snipereplay.Result) error {
 	time.Sleep(r.settle)
 	ctx, cancel := context.WithTimeout(context.Background(), auditTimeout)
@@ -120,25 +126,27 @@
 	return nil
 }
 
-func (r *runner) write(out *snipereplay.Report) error {
-	if err := out.Write(os.Stdout); err != nil {
+// write prints the report and writes the files that the flags name.
+func (r *runner) write(report *snipereplay.Report) error {
+	if err := report.Write(os.Stdout); err != nil {
 		return err
 	}
 	if r.plot {
-		if err := out.WritePlot(os.Stdout); err != nil {
+		if err := report.WritePlot(os.Stdout); err != nil {
 			return err
 		}
 	}
-	if err := writeFile(r.svgFile, out.WriteSVG); err != nil {
+	if err := writeFile(r.svgFile, report.WriteSVG); err != nil {
 		return err
 	}
 	return writeFile(r.jsonFile, func(w io.Writer) error {
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
-		return e.Encode(out)
+		return e.Encode(report)
 	})
 }
 
+// writeFile creates the named file and writes it; without a name it does nothing.
 func writeFile(name string, write func(io.Writer) error) error {
 	if name == "" {
 		return nil
@@ -154,14 +162,15 @@
 	return f.Close()
 }
 
-func (r *runner) verdict(out *snipereplay.Report, auditErr error) int {
+// verdict prints whether the promises were kept and returns the exit code.
+func (r *runner) verdict(report *snipereplay.Report, auditErr error) int {
 	switch {
 	case auditErr != nil:
 		fmt.Println("verdict: BROKEN,", auditErr)
-	case out.Breaches > 0:
+	case report.Breaches > 0:
 		fmt.Println("verdict: BROKEN")
-	case out.AnsweredShare() < r.minAnswered:
-		fmt.Printf("verdict: TOO FEW ANSWERS, %.3f of the calls ended as stated, not %.3f\n", out.AnsweredShare(), r.minAnswered)
+	case report.AnsweredShare() < r.minAnswered:
+		fmt.Printf("verdict: TOO FEW ANSWERS, %.3f of the calls ended as stated, not %.3f\n", report.AnsweredShare(), r.minAnswered)
 	default:
 		fmt.Println("verdict: kept")
 		return 0
@@ -169,6 +178,8 @@
 	return exitBreach
 }
 
+// writeComparison prints the comparison of the two JSON reports whose files names lists,
+// separated by a comma.
 func writeComparison(names string) error {
 	first, second, ok := strings.Cut(names, ",")
 	if !ok {
--- a/snipereplay/audit.go
+++ b/snipereplay/audit.go
@@ -14,24 +14,27 @@
 )
 
 // ErrAudit is returned when an upstream's record of executions cannot be read
-// or is not whole: nothing can be said about executions then.
+// or is incomplete, so that executions cannot be checked.
 var ErrAudit = errors.New("cannot audit")
 
-// Audit is what upstreams have recorded.
+// Audit holds the executions that the upstreams have recorded.
 type Audit struct {
+	// requests counts executions by request identifier, calls by callIdentity.
 	requests map[string]int
 	calls    map[string]int
 }
 
-// identity is what tells one call to a service from all others.
-func identity(key, body string) string {
+// callIdentity returns a string that identifies a call: its request key, or its
+// body if it has no key.
+func callIdentity(key, body string) string {
 	if key != "" {
 		return "key " + key
 	}
 	return "body " + body
 }
 
-// ReadAudit asks all upstreams what they have executed.
+// ReadAudit reads the records of executions of all upstreams. Its errors wrap
+// ErrAudit.
 func ReadAudit(ctx context.Context, client *http.Client, upstreams []netip.AddrPort) (*Audit, error) {
 	a := &Audit{requests: map[string]int{}, calls: map[string]int{}}
 	for _, u := range upstreams {
@@ -45,13 +48,14 @@
 		for _, e := range list.Executions {
 			a.requests[e.Request]++
 			if e.Body != "" {
-				a.calls[identity(e.Key, e.Body)]++
+				a.calls[callIdentity(e.Key, e.Body)]++
 			}
 		}
 	}
 	return a, nil
 }
 
+// readExecuted reads one upstream's record of executions.
 func readExecuted(ctx context.Context, client *http.Client, u netip.AddrPort) (*snipestand.ExecutedList, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+u.String()+"/Executed", http.NoBody)
 	if err != nil {
@@ -69,7 +73,7 @@
 	return list, json.NewDecoder(response.Body).Decode(list)
 }
 
-// Check adds the breaches that the record of executions shows.
+// Check adds to the results the breaches that the record of executions shows.
 func (a *Audit) Check(results []Result) {
 	for n := range results {
 		a.check(&results[n])
@@ -82,7 +86,7 @@
 			r.breach("refused with " + t.Code + " as not run, but was executed")
 		}
 	}
-	if n := a.calls[identity("", r.Record.Prompt)]; r.Record.Crashes && n > snipetrace.MaxCrashes {
+	if n := a.calls[callIdentity("", r.Record.Prompt)]; r.Record.Crashes && n > snipetrace.MaxCrashes {
 		r.breach("crashed " + strconv.Itoa(n) + " engines")
 	}
 	if r.Record.Service == "" {
@@ -92,24 +96,25 @@
 		}
 		return
 	}
-	a.checkCount(r, r.Record)
+	a.checkExecutions(r, r.Record)
 }
 
-// checkCount judges how often a call to a service was executed.
-func (a *Audit) checkCount(r *Result, c snipetrace.Record) {
-	n := a.calls[identity(c.Key, c.Prompt)]
+// checkExecutions checks how often a call to a service was executed.
+func (a *Audit) checkExecutions(r *Result, c snipetrace.Record) {
+	n := a.calls[callIdentity(c.Key, c.Prompt)]
 	switch {
 	case n > 1 && !c.Idempotent:
 		r.breach("executed " + strconv.Itoa(n) + " times")
 	case n == 0 && r.Answered:
 		r.breach("answered, but was never executed")
-	case n > 0 && neverRan(r.Tries):
+	case n > 0 && noneMayHaveRun(r.Tries):
 		r.breach("every try was said to be not run, but it was executed")
 	}
 }
 
-// neverRan reports that no try may have been executed, as the caller was told.
-func neverRan(tries []Try) bool {
+// noneMayHaveRun reports whether, by what the caller was told, no try can have been
+// executed.
+func noneMayHaveRun(tries []Try) bool {
 	for _, t := range tries {
 		if t.Outcome == MayHaveRun || t.Outcome == Done {
 			return false
--- a/snipereplay/caller.go
+++ b/snipereplay/caller.go
@@ -18,18 +18,21 @@
 )
 
 const (
-	// tryPause is the pause before a repetition when the system asked for none.
-	tryPause = 100 * time.Millisecond
-	// trySlices is the part of the deadline after which a call that may be
-	// repeated is given up on a silent instance.
-	trySlices = 3
-	// slackParts: a caller states a deadline that is this part shorter than
-	// what it waits, so that the final answer still reaches it.
-	slackParts = 10
+	// minRetryPause is the least pause before a retry. It applies also when the
+	// answer states no Retry-After.
+	minRetryPause = 100 * time.Millisecond
+	// tryTimeoutDivisor divides the caller's timeout into the time after which a
+	// call that may be repeated is abandoned at an instance that does not answer.
+	tryTimeoutDivisor = 3
+	// deadlineMarginDivisor divides the time that the caller waits into the margin
+	// by which the deadline that it states is earlier, so that the final answer
+	// still reaches it.
+	deadlineMarginDivisor = 10
 )
 
-// one carries out one record with its repetitions.
-func (p *Replay) one(ctx context.Context, r snipetrace.Record) Result {
+// replayRecord sends the call of one record, with its retries, and checks how it
+// ended.
+func (p *Replay) replayRecord(ctx context.Context, r snipetrace.Record) Result {
 	result := Result{Record: r}
 	start := time.Now()
 	bounded, cancel := context.WithTimeout(ctx, r.Timeout.Value())
@@ -41,59 +44,60 @@
 		if p.Planned && t.Outcome == MayHaveRun && t.Code != codeNoAnswer {
 			result.breach("cut short while nothing failed: " + t.Code)
 		}
-		if t.Outcome == Done || !p.again(r, t) {
+		if t.Outcome == Done || !p.mayRetry(r, t) {
 			break
 		}
-		sleepUntil(bounded, time.Now().Add(p.pauseAfter(t, len(result.Tries))))
+		sleepUntil(bounded, time.Now().Add(p.retryPause(t, len(result.Tries))))
 	}
 	result.Duration = time.Since(start)
-	result.judgeRefusal()
+	result.checkOutcome()
 	return result
 }
 
-// again reports whether a caller may send the call once more after t.
-func (p *Replay) again(r snipetrace.Record, t Try) bool {
-	// A key whose call may have run already, with no time to come back, will
-	// never be answered.
-	spent := t.Code == codeDuplicate && t.RetryAfter == 0
-	if decided(t.Code) || spent {
+// mayRetry reports whether a caller may send the call again after t.
+func (p *Replay) mayRetry(r snipetrace.Record, t Try) bool {
+	// A refusal of the key as a duplicate without a Retry-After means that its
+	// call may have run and will never be answered.
+	keySpent := t.Code == codeDuplicate && t.RetryAfter == 0
+	if isFinal(t.Code) || keySpent {
 		return false
 	}
 	switch t.Outcome {
 	case NotSent, NotRun:
 		return true
 	case MayHaveRun:
-		return p.repeats(r)
+		return p.retriesMayHaveRun(r)
 	}
 	return false
 }
 
-// repeats reports whether the caller sends a call again that may have run.
-func (p *Replay) repeats(r snipetrace.Record) bool {
+// retriesMayHaveRun reports whether the caller retries the call after a try that
+// may have run.
+func (p *Replay) retriesMayHaveRun(r snipetrace.Record) bool {
 	return r.Repeatable() || r.Key != "" && p.KeyedRepeats
 }
 
-// pauseAfter returns how long the caller waits after a failed try. It goes on
-// to the next instance at once when one refuses the connection, but not round
-// and round.
-func (p *Replay) pauseAfter(t Try, tries int) time.Duration {
+// retryPause returns how long the caller waits after a failed try. When an
+// instance refuses the connection, the caller goes on to the next instance at
+// once, but pauses after each pass over all instances.
+func (p *Replay) retryPause(t Try, tries int) time.Duration {
 	if t.Outcome == NotSent && tries%len(p.Entries) != 0 {
 		return 0
 	}
-	return max(t.RetryAfter, tryPause)
+	return max(t.RetryAfter, minRetryPause)
 }
 
 // try sends the call once.
 func (p *Replay) try(ctx context.Context, result *Result, start time.Time) Try {
 	r := result.Record
-	if p.repeats(r) {
+	if p.retriesMayHaveRun(r) {
 		var cancel func()
-		ctx, cancel = context.WithTimeout(ctx, r.Timeout.Value()/trySlices)
+		ctx, cancel = context.WithTimeout(ctx, r.Timeout.Value()/tryTimeoutDivisor)
 		defer cancel()
 	}
 	response, err := p.send(ctx, r)
 	if err != nil {
-		return sendFailure(ctx, err)
+		return failedTry(ctx, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	t := Try{Request: response.Header.Get(snipecaller.RequestIDHeader)}
@@ -101,29 +105,30 @@
 		result.breach("answer without a request identifier")
 	}
 	if response.StatusCode != http.StatusOK {
-		return result.refusal(t, response.Body)
+		return result.readRefusal(t, response.Body)
 	}
 	if result.FirstChunk == 0 {
 		result.FirstChunk = time.Since(start)
 	}
-	if err := result.read(response); err != nil {
-		return brokenTry(ctx, t, err)
+	if err := result.readAnswer(response); err != nil {
+		return incompleteTry(ctx, t, err)
 	}
 	result.Answered = true
 	t.Outcome = Done
 	return t
 }
 
-func sendFailure(ctx context.Context, err error) Try {
+// failedTry returns the try for an error of sending.
+func failedTry(ctx context.Context, err error) Try {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return Try{Outcome: NotSent, Code: codeNoConnection}
 	}
-	return brokenTry(ctx, Try{}, err)
+	return incompleteTry(ctx, Try{}, err)
 }
 
-// brokenTry is a try whose answer did not arrive as a whole.
-func brokenTry(ctx context.Context, t Try, err error) Try {
+// incompleteTry returns t as a try whose answer did not arrive completely.
+func incompleteTry(ctx context.Context, t Try, err error) Try {
 	t.Outcome, t.Code = MayHaveRun, codeBroken
 	var f *snipeerror.CallError
 	switch {
@@ -135,8 +140,8 @@
 	return t
 }
 
-// refusal reads the body of a failure.
-func (r *Result) refusal(t Try, body io.Reader) Try {
+// readRefusal reads the body of a failure and returns t with its outcome.
+func (r *Result) readRefusal(t Try, body io.Reader) Try {
 	t.Outcome, t.Code = MayHaveRun, codeBroken
 	data, err := io.ReadAll(io.LimitReader(body, snipestream.MaxEvent))
 	if err != nil {
@@ -155,6 +160,7 @@
 	return t
 }
 
+// send sends the call of a record to the next instance in the list.
 func (p *Replay) send(ctx context.Context, r snipetrace.Record) (*http.Response, error) {
 	entry := p.Entries[p.next.Add(1)%uint64(len(p.Entries))]
 	path, body := "/services/"+r.Service+"/order", []byte(r.Prompt)
@@ -169,12 +175,12 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "make request")
 	}
-	// Without this net/http repeats a request itself in some cases.
+	// If GetBody is set, net/http retries the request in some cases.
 	request.GetBody = nil
 	deadline, _ := ctx.Deadline()
 	request.Header.Set("Authorization", "Bearer "+p.Keys[r.Team])
 	request.Header.Set(snipecaller.ClassHeader, r.Class.String())
-	stated := time.Until(deadline) / slackParts * (slackParts - 1)
+	stated := time.Until(deadline) / deadlineMarginDivisor * (deadlineMarginDivisor - 1)
 	request.Header.Set(snipecaller.TimeoutHeader, max(stated, time.Millisecond).String())
 	if r.Idempotent {
 		request.Header.Set(snipecaller.IdempotentHeader, "true")
--- a/snipereplay/judge.go
+++ b/snipereplay/judge.go
@@ -15,24 +15,25 @@
 	"snipepitch.example/snipepitch/snipestream"
 )
 
-// errCut is an answer that ended before it was whole.
-var errCut = errors.New("answer ended early")
+// errTruncated is returned for an answer that ended before it was complete.
+var errTruncated = errors.New("answer ended early")
 
-// decisions are the codes by which the system decides on a call for good.
-// They depend on the settings alone, so no fault excuses a wrong one.
-var decisions = []error{
+// finalErrors are the errors after which a retry cannot succeed. They depend only
+// on the call and the settings, so no fault of the system excuses a wrong one.
+var finalErrors = []error{
 	snipeerror.ErrBadRequest, snipeerror.ErrUnauthenticated, snipeerror.ErrForbidden,
 	snipeerror.ErrUnknownAdapter, snipeerror.ErrUnknownService, snipeerror.ErrTooLarge,
 }
 
-func decided(code string) bool {
-	return slices.ContainsFunc(decisions, func(kind error) bool {
+// isFinal reports whether code is that of one of finalErrors.
+func isFinal(code string) bool {
+	return slices.ContainsFunc(finalErrors, func(kind error) bool {
 		return snipeerror.New(kind, snipeerror.NotRun, "").Code() == code
 	})
 }
 
-// judgeRefusal compares how the call ended with the stated outcome.
-func (r *Result) judgeRefusal() {
+// checkOutcome compares how the call ended with the outcome that the trace states.
+func (r *Result) checkOutcome() {
 	want := r.Record.Code
 	switch {
 	case r.Record.Crashes && r.Answered:
@@ -40,24 +41,25 @@
 	case want != "" && r.Answered:
 		r.breach("answered, but must be refused with " + want)
 	case want == r.Refused:
-	case decided(r.Refused):
-		r.breach("refused with " + r.Refused + ", stated is " + quoteOutcome(want))
+	case isFinal(r.Refused):
+		r.breach("refused with " + r.Refused + ", stated is " + describeOutcome(want))
 	}
 	if want != "" && want == r.Refused && r.Tries[len(r.Tries)-1].Outcome != NotRun {
 		r.breach("refused with " + want + ", but as may have run")
 	}
 }
 
-func quoteOutcome(code string) string {
+// describeOutcome returns the text of a stated code in a breach.
+func describeOutcome(code string) string {
 	if code == "" {
 		return "an answer"
 	}
 	return code
 }
 
-// read reads a whole answer and compares it with the stated outcome. An error
-// means that the answer did not arrive as a whole, which is no breach.
-func (r *Result) read(response *http.Response) error {
+// readAnswer reads a whole answer and compares it with the stated outcome. An error
+// means that the answer did not arrive completely, which is no breach.
+func (r *Result) readAnswer(response *http.Response) error {
 	switch {
 	case r.Record.Service != "":
 		return r.readService(response)
@@ -68,7 +70,7 @@
 	r.checkAdapter(response.Header)
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		return errors.Wrap(errCut, err.Error())
+		return errors.Wrap(errTruncated, err.Error())
 	}
 	r.checkModel(data)
 	if gjson.GetBytes(data, "choices.0.finish_reason").String() == "" {
@@ -78,10 +80,11 @@
 	return nil
 }
 
+// readService reads the answer of a service and checks that it belongs to the call.
 func (r *Result) readService(response *http.Response) error {
 	data, err := io.ReadAll(response.Body)
 	if err != nil {
-		return errors.Wrap(errCut, err.Error())
+		return errors.Wrap(errTruncated, err.Error())
 	}
 	body, key := gjson.GetBytes(data, "Body").String(), gjson.GetBytes(data, "Key").String()
 	if body != r.Record.Prompt || key != r.Record.Key {
@@ -90,6 +93,7 @@
 	return nil
 }
 
+// readStream reads a streamed answer and checks its events.
 func (r *Result) readStream(body io.Reader) error {
 	var text strings.Builder
 	reader := snipestream.NewReader(body)
@@ -97,13 +101,13 @@
 	for sequence := uint64(1); ; sequence++ {
 		e, err := reader.Read()
 		if err != nil {
-			return errors.Wrap(errCut, err.Error())
+			return errors.Wrap(errTruncated, err.Error())
 		}
 		if e.ID != sequence {
 			r.breach("chunks out of order")
 		}
 		if e.Name == "error" {
-			return r.streamFailure(e.Data, sequence)
+			return r.readStreamFailure(e.Data, sequence)
 		}
 		if string(e.Data) == "[DONE]" {
 			break
@@ -122,12 +126,12 @@
 	return nil
 }
 
-// streamFailure reads the failure that ends a stream.
-func (r *Result) streamFailure(data []byte, sequence uint64) error {
+// readStreamFailure reads the failure that ends a stream as event number sequence.
+func (r *Result) readStreamFailure(data []byte, sequence uint64) error {
 	f, err := snipeerror.Decode(data)
 	if err != nil {
 		r.breach("stream ended by an unreadable failure: " + string(data))
-		return errCut
+		return errTruncated
 	}
 	if f.Outcome == snipeerror.NotRun && sequence > 1 {
 		r.breach("said to be not run after a part of the answer")
@@ -135,19 +139,21 @@
 	return f
 }
 
+// checkAdapter checks the adapter that the header of the answer states.
 func (r *Result) checkAdapter(header http.Header) {
 	if got := header.Get(snipecaller.AdapterHeader); got != r.Record.Model {
 		r.breach("answered as " + got)
 	}
 }
 
+// checkModel checks the model that a chunk states.
 func (r *Result) checkModel(data []byte) {
 	if got := gjson.GetBytes(data, "model").String(); got != r.Record.Model {
 		r.breach("chunk of model " + got)
 	}
 }
 
-// checkText compares the text with what the stated adapter answers.
+// checkText compares the text with the answer of the adapter that the record states.
 func (r *Result) checkText(text string) {
 	if r.Record.Code != "" {
 		return
--- a/snipereplay/judge_test.go
+++ b/snipereplay/judge_test.go
@@ -22,7 +22,8 @@
 	"snipepitch.example/snipepitch/snipetrace"
 )
 
-// system is a fake system: one function for all its instances and upstreams.
+// system is a fake of the serving layer and its upstreams: one function answers
+// every request.
 type system func(r *http.Request) (*http.Response, error)
 
 func (s system) RoundTrip(r *http.Request) (*http.Response, error) { return s(r) }
@@ -54,7 +55,7 @@
 	return answer(f.Status(), string(f.Encode("r1")), "")
 }
 
-// stream returns the answer of an adapter as events; edit may break them.
+// stream returns the answer of an adapter as a stream of events; edit may corrupt them.
 func stream(path, model string, edit func(events []string) []string) (*http.Response, error) {
 	var events []string
 	tokens := snipestand.Answer(path, "p", 3)
@@ -88,7 +89,8 @@
 	return p.Run(t.Context(), []snipetrace.Record{r})[0]
 }
 
-// TestJudgeAnswers feeds the judge right and broken answers.
+// TestJudgeAnswers guards against wrong answers and refusals that the replay accepts,
+// and against right ones that it reports as breaches.
 func TestJudgeAnswers(t *testing.T) {
 	tests := map[string]struct {
 		record snipetrace.Record
@@ -180,11 +182,12 @@
 	}
 }
 
-// TestRepeats holds which failures a caller repeats, and where.
+// TestRepeats guards against retries that could run a call twice, missing retries, and
+// retries at the same instance.
 func TestRepeats(t *testing.T) {
 	notRun := func() (*http.Response, error) { return failure(snipeerror.ErrNoUpstream, snipeerror.NotRun) }
 	mayHaveRun := func() (*http.Response, error) { return failure(snipeerror.ErrIncomplete, snipeerror.MayHaveRun) }
-	spent := func() (*http.Response, error) { return failure(snipeerror.ErrDuplicate, snipeerror.MayHaveRun) }
+	keySpent := func() (*http.Response, error) { return failure(snipeerror.ErrDuplicate, snipeerror.MayHaveRun) }
 	refused := func() (*http.Response, error) { return nil, errDial }
 	broken := func() (*http.Response, error) { return nil, errCut }
 	tests := map[string]struct {
@@ -197,7 +200,7 @@
 		"keyless after may have run":         {keyless, mayHaveRun, 1},
 		"keyless after a broken connection":  {keyless, broken, 1},
 		"keyed after may have run":           {keyed, mayHaveRun, 2},
-		"keyed after its key was spent":      {keyed, spent, 1},
+		"keyed after its key was spent":      {keyed, keySpent, 1},
 		"model after a broken connection":    {whole, broken, 2},
 		"model after may have run":           {whole, mayHaveRun, 2},
 	}
@@ -226,7 +229,8 @@
 	}
 }
 
-// TestPlannedStops: with Planned set, what a fault would excuse is a breach.
+// TestPlannedStops guards against excusing a call that is cut short although nothing
+// fails: with Planned set it is a breach even if the retry is answered.
 func TestPlannedStops(t *testing.T) {
 	tests := map[string]struct {
 		first  func() (*http.Response, error)
@@ -258,7 +262,8 @@
 	}
 }
 
-// TestAudit holds that executions which contradict an answer are breaches.
+// TestAudit guards against missing a contradiction between what a caller was told and
+// the executions that the upstreams have recorded.
 func TestAudit(t *testing.T) {
 	ran := func(n int, key, body string) []snipestand.Execution {
 		var all []snipestand.Execution
@@ -328,7 +333,8 @@
 func (*recorder) Header() http.Header { return http.Header{} }
 func (*recorder) WriteHeader(int)     {}
 
-// TestAuditNotWhole holds that a record with gaps is an error.
+// TestAuditNotWhole guards against an audit that passes although an upstream has dropped
+// executions from its record.
 func TestAuditNotWhole(t *testing.T) {
 	_, err := audit(t, snipestand.ExecutedList{Dropped: 1})
 	must.ErrorIs(t, err, snipereplay.ErrAudit)
--- a/snipereplay/plot.go
+++ b/snipereplay/plot.go
@@ -13,10 +13,10 @@
 	barWidth   = 40
 )
 
-// plotQuantiles are the rows of the text plot.
+// plotQuantiles are the quantiles that the rows of the text plot show.
 var plotQuantiles = []float64{0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 1}
 
-// quantile returns the time to a whole answer at quantile q of all answers.
+// quantile returns the quantile q of the times to the whole answer, over all groups.
 func (p *Report) quantile(q float64) time.Duration {
 	if len(p.totals) == 0 {
 		return 0
@@ -37,7 +37,8 @@
 	return out.err
 }
 
-// WriteSVG writes the same as a curve: quantiles to the right, time upwards.
+// WriteSVG writes the times to the whole answer, all groups together, as an SVG
+// curve, with the quantile on the x axis and the time on the y axis.
 func (p *Report) WriteSVG(w io.Writer) error {
 	out := &printer{writer: w}
 	longest := max(p.quantile(1), 1)
--- a/snipereplay/report.go
+++ b/snipereplay/report.go
@@ -16,12 +16,13 @@
 	Team, Class string
 }
 
-// Summary is a histogram's summary of one group.
+// Summary holds the quantiles of the times of one group's calls.
 type Summary struct {
 	Group
-	// Calls are those that were answered.
+	// Calls is the number of answered calls.
 	Calls int
-	// First are the times to the first bytes, Total those to the whole answer.
+	// First holds the times to the first bytes of the answer, Total those to the
+	// whole answer.
 	First, Total Quantiles
 }
 
@@ -33,28 +34,32 @@
 // Report sums up the results of a replay. It is written as JSON, so that runs
 // can be compared.
 type Report struct {
+	// Calls counts all calls. Answered, Stated and Refused count how they ended:
+	// Stated those that were refused as the trace states or crash engines, Refused
+	// all others without an answer. Breaches counts the breaches of all calls.
 	Calls, Answered, Stated, Refused, Breaches int
 	// Repeats is how many calls were sent more than once.
 	Repeats int
-	// Groups are the durations by team and class.
+	// Groups holds the times of answered calls by team and class.
 	Groups []Summary
-	// Codes count the final failures by code.
+	// Codes counts the calls in Refused by the code of their final failure.
 	Codes map[string]int
-	// Broken are the breaches, at most maxBroken.
+	// Broken describes the first maxBroken breaches.
 	Broken []string `json:",omitempty"`
 
+	// totals are the sorted times to the whole answer, over all groups.
 	totals []time.Duration
 }
 
-// maxBroken bounds how many breaches are kept.
+// maxBroken bounds how many breaches a report describes.
 const maxBroken = 20
 
-// durations are those of one group.
+// durations holds the times of one group: to the first bytes and to the whole answer.
 type durations struct {
 	first, total []time.Duration
 }
 
-// NewReport sums up results.
+// NewReport returns the report of the results.
 func NewReport(results []Result) *Report {
 	p := &Report{Codes: map[string]int{}}
 	groups := map[Group]*durations{}
@@ -115,8 +120,8 @@
 	return Quantiles{Median: at(0.5), P95: at(0.95), P99: at(0.99), Max: at(1)}
 }
 
-// AnsweredShare returns the share of calls that ended as stated: answered, or
-// refused as the trace states.
+// AnsweredShare returns the share of calls that count in Answered or Stated, from
+// 0 to 1.
 func (p *Report) AnsweredShare() float64 {
 	return float64(p.Answered+p.Stated) / float64(max(p.Calls, 1))
 }
@@ -143,7 +148,7 @@
 	return out.err
 }
 
-// printer keeps the first error of a row of prints.
+// printer prints to a writer and keeps the first error, after which it prints nothing.
 type printer struct {
 	writer io.Writer
 	err    error
--- a/snipereplay/report_test.go
+++ b/snipereplay/report_test.go
@@ -11,8 +11,8 @@
 	"snipepitch.example/snipepitch/snipereplay"
 )
 
-// results returns answered calls that took 1 to 100 times unit, and one each
-// that was refused as stated, refused otherwise, and broken.
+// results returns 100 answered calls, which took 1 to 100 times unit, and one call
+// each that was refused as stated, was refused otherwise, and has a breach.
 func results(unit time.Duration) []snipereplay.Result {
 	var all []snipereplay.Result
 	for n := range 100 {
@@ -49,7 +49,8 @@
 	must.NoError(t, empty.WriteSVG(&svg))
 }
 
-// TestComparison compares two results as files carry them.
+// TestComparison guards against reports that lose their figures when they are
+// encoded as JSON and compared after decoding.
 func TestComparison(t *testing.T) {
 	var reports [2]snipereplay.Report
 	for n, unit := range []time.Duration{time.Millisecond, 2 * time.Millisecond} {
--- a/snipereplay/snipereplay.go
+++ b/snipereplay/snipereplay.go
@@ -1,14 +1,15 @@
-// Package snipereplay replays a trace against a running system and judges it:
-// each answer by the right adapter and version, complete, the caller's own,
-// once; each refusal by what the upstreams executed.
+// Package snipereplay replays a trace against a running system and checks that
+// each answer comes from the right adapter and version, is complete, belongs to
+// the caller and arrives once, and that each refusal agrees with what the upstreams
+// executed.
 //
-// The replay is a caller as the brief describes one (caller.go): it goes
-// through a list of entry addresses as a balancer would, and sends a call
-// again only where that is safe. The judge has two parts. judge.go looks at
-// each answer as it arrives. audit.go looks, after the run, at what services
-// and engines have recorded: at most one execution of a call that is not
-// idempotent, exactly one when it was answered, and none of a request that
-// was refused as not run. Whatever cannot be checked counts as a breach.
+// The replay acts as a caller (caller.go): it sends calls to a list of entry
+// addresses in turn, as a load balancer would, and retries a call only where that
+// is safe. Checks have two parts. judge.go checks each answer as it arrives.
+// audit.go checks, after the run, what services and engines have recorded: at most
+// one execution of a call that is not idempotent, exactly one when it was answered,
+// and none of a request that was refused as not run. Whatever cannot be checked
+// counts as a breach.
 package snipereplay
 
 import (
@@ -22,58 +23,60 @@
 	"snipepitch.example/snipepitch/snipetrace"
 )
 
-// Outcome is what one try of a call has come to, as its caller knows it.
+// Outcome is the result of one try of a call as far as its caller can determine it.
 type Outcome string
 
 // The outcomes of a try.
 const (
-	// NotSent: no connection was made.
+	// NotSent means that no connection was made.
 	NotSent Outcome = "NotSent"
-	// NotRun: the system has said that the call was not run.
+	// NotRun means that the answer states that the call was not run.
 	NotRun Outcome = "NotRun"
-	// MayHaveRun: the system has said so, or has said nothing.
+	// MayHaveRun means that the answer states so, or that no readable answer
+	// arrived.
 	MayHaveRun Outcome = "MayHaveRun"
-	// Done: a whole answer has arrived.
+	// Done means that a whole answer has arrived.
 	Done Outcome = "Done"
 )
 
-// Codes of failures that have no body of the system.
+// Codes of failures that the replay detects itself, and codeDuplicate, which is a
+// code of the system.
 const (
 	codeNoConnection = "NoConnection"
 	codeBroken       = "Broken"
 	codeNoAnswer     = "NoAnswer"
 	codeUnreadable   = "Unreadable"
 	codeDuplicate    = "DuplicateRequestKey"
-	// codeUnsent: too many calls were in flight at the replay.
+	// codeUnsent is the code of a call that was not sent because MaxInFlight calls
+	// were in flight.
 	codeUnsent = "Unsent"
 )
 
-// Try is one sending of a call.
+// Try is one attempt to send a call.
 type Try struct {
-	// Request is the identifier that the system gave the try; empty when it
-	// gave none.
+	// Request is the identifier that the system gave the try, or empty.
 	Request string
-	// Outcome and Code are what it came to.
+	// Outcome and Code describe how the try ended. Code is empty for Done.
 	Outcome Outcome
 	Code    string
-	// RetryAfter is when the system asked to come back.
+	// RetryAfter is the pause before a retry that the answer requests.
 	RetryAfter time.Duration
 }
 
-// Result is what became of one record.
+// Result describes how the call of one record ended.
 type Result struct {
 	Record snipetrace.Record
-	// Answered tells that a whole answer arrived.
+	// Answered is set if a whole answer arrived.
 	Answered bool
 	// Refused is the code of the final failure; empty when answered.
 	Refused string
-	// Breaches say which promises were broken.
+	// Breaches describes the promises that were broken.
 	Breaches []string
 	// Duration is the time to the final answer, FirstChunk to the first bytes
 	// of the answer.
 	Duration   time.Duration
 	FirstChunk time.Duration
-	// Tries are all sendings.
+	// Tries are all attempts to send the call.
 	Tries []Try
 }
 
@@ -83,26 +86,29 @@
 type Replay struct {
 	// Entries are the addresses of the instances.
 	Entries []netip.AddrPort
-	// Keys are the teams' keys.
+	// Keys holds the teams' keys by team.
 	Keys map[string]string
 	// Client sends the calls.
 	Client *http.Client
-	// KeyedRepeats makes the caller repeat a call that is not idempotent and
-	// may have run, with its request key.
+	// KeyedRepeats makes the caller retry, with its request key, a call that is
+	// not idempotent and may have run.
 	KeyedRepeats bool
-	// Planned tells that nothing fails: a call that breaks or may have run
-	// without an answer is a breach, also when its repetition is answered.
+	// Planned states that nothing fails during the replay: a try whose answer is
+	// incomplete or states that the call may have run is a breach, even if its retry
+	// is answered. A try that times out is not.
 	Planned bool
-	// MaxInFlight bounds the calls in flight; a record above it is not sent.
+	// MaxInFlight bounds the calls in flight; the call of a record above it is not
+	// sent.
 	MaxInFlight int64
 
+	// next selects the entry of the next try.
 	next     atomic.Uint64
 	inFlight atomic.Int64
 }
 
-// Run replays all records, which are in the order of time, and returns their
-// results in the same order. It starts each call at its time, whatever became
-// of earlier ones.
+// Run replays all records, which must be sorted by At, and returns their results in
+// the same order. It starts each call at its time, even if earlier calls are still
+// in flight.
 func (p *Replay) Run(ctx context.Context, records []snipetrace.Record) []Result {
 	results := make([]Result, len(records))
 	start := time.Now()
@@ -116,13 +122,14 @@
 		p.inFlight.Add(1)
 		all.Go(func() {
 			defer p.inFlight.Add(-1)
-			results[n] = p.one(ctx, r)
+			results[n] = p.replayRecord(ctx, r)
 		})
 	}
 	all.Wait()
 	return results
 }
 
+// sleepUntil waits until at or until ctx ends.
 func sleepUntil(ctx context.Context, at time.Time) {
 	wait := time.Until(at)
 	if wait <= 0 {
