--- a/cmd/snipecapacity/main.go
+++ b/cmd/snipecapacity/main.go
@@ -1,4 +1,4 @@
-// Command snipecapacity measures what running instances cost and renders the
+// Command snipecapacity measures what running instances use and renders the
 // capacity page.
 //
 // Usage:
@@ -7,8 +7,8 @@
 //	snipecapacity render [-inputs FILE]
 //	snipecapacity sweep -command TEXT -date DATE [-inputs FILE] < OUTPUT
 //
-// sweep puts the table that the users' bench prints into the inputs, in the place of the one of the
-// same command, and writes them to standard output.
+// sweep adds the table that the users' benchmark printed to the inputs, replacing the
+// one of the same command, and writes the inputs to standard output.
 //
 // Exit codes: 0 done, 1 failed, 2 bad arguments.
 package main
@@ -44,7 +44,7 @@
 	inputs := f.String("inputs", "docs/capacity.json", "inputs `file`")
 	command := f.String("command", "", "`command` that printed the sweep")
 	date := f.String("date", "", "its `date`")
-	// ExitOnError: Parse does not return an error.
+	// With ExitOnError, Parse does not return an error.
 	_ = f.Parse(os.Args[2:])
 	var err error
 	switch os.Args[1] {
@@ -68,6 +68,8 @@
 	os.Exit(exitUsage)
 }
 
+// sample observes the instances whose addresses list names, separated by commas, and
+// prints their mean as JSON.
 func sample(list string, interval time.Duration) error {
 	var instances []netip.AddrPort
 	for _, s := range strings.Split(list, ",") {
@@ -86,9 +88,9 @@
 	return e.Encode(s)
 }
 
-// sweep puts the sweep on standard input into the inputs.
+// sweep adds the sweep on standard input to the inputs and prints them.
 func sweep(inputs, command, date string) error {
-	in, err := decode(inputs)
+	in, err := readInputs(inputs)
 	if err != nil {
 		return err
 	}
@@ -104,7 +106,8 @@
 	return e.Encode(in)
 }
 
-func decode(inputs string) (*snipecapacity.Inputs, error) {
+// readInputs reads and checks the inputs file.
+func readInputs(inputs string) (*snipecapacity.Inputs, error) {
 	data, err := os.ReadFile(inputs)
 	if err != nil {
 		return nil, err
@@ -112,8 +115,9 @@
 	return snipecapacity.Decode(data)
 }
 
+// render prints the page.
 func render(inputs string) error {
-	in, err := decode(inputs)
+	in, err := readInputs(inputs)
 	if err != nil {
 		return err
 	}
--- a/snipecapacity/render.go
+++ b/snipecapacity/render.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-// resources are the columns of the page, in order.
+// resources are the resources in the order of the page.
 var resources = []Resource{Processor, Memory, Control, TableReads, TableWrites}
 
 const (
-	kibi = 1 << 10
-	mebi = 1 << 20
+	kibibyte = 1 << 10
+	mebibyte = 1 << 20
 )
 
-// format writes a value of a resource in the unit of the page.
-func format(r Resource, v float64) string {
+// formatValue returns a value of a resource in the unit that the page uses.
+func formatValue(r Resource, v float64) string {
 	switch r {
 	case Processor:
 		return fmt.Sprintf("%.3f%% of a core", v*100)
 	case Memory:
-		return fmt.Sprintf("%.2f MiB", v/mebi)
+		return fmt.Sprintf("%.2f MiB", v/mebibyte)
 	case Control:
-		return fmt.Sprintf("%.2f KiB/s", v/kibi)
+		return fmt.Sprintf("%.2f KiB/s", v/kibibyte)
 	}
 	return fmt.Sprintf("%.1f/s", v)
 }
 
-// Render returns the page.
+// Render returns the page docs/CAPACITY.md.
 func (in *Inputs) Render() (string, error) {
 	var b strings.Builder
 	b.WriteString(`# Capacity
@@ -60,13 +60,14 @@
 
 func (in *Inputs) renderSizes(b *strings.Builder) {
 	b.WriteString("## Size of the design\n\n| Size | Value |\n|---|---|\n")
-	for _, n := range names(in.Sizes) {
+	for _, n := range sortedKeys(in.Sizes) {
 		fmt.Fprintf(b, "| %s | %g |\n", n, in.Sizes[n])
 	}
 	b.WriteString("\n")
 }
 
-func names[V any](m map[string]V) []string {
+// sortedKeys returns the keys of m in order.
+func sortedKeys[V any](m map[string]V) []string {
 	all := make([]string, 0, len(m))
 	for n := range m {
 		all = append(all, n)
@@ -78,7 +79,7 @@
 func (in *Inputs) renderMeasurements(b *strings.Builder) error {
 	b.WriteString("## Measured slopes\n\n")
 	b.WriteString("| Measurement | Points (size: value) | Fit | Spread | Unit | Command, date |\n|---|---|---|---|---|---|\n")
-	for _, n := range names(in.Measurements) {
+	for _, n := range sortedKeys(in.Measurements) {
 		m := in.Measurements[n]
 		l, err := Fit(m.Points)
 		if err != nil {
@@ -95,6 +96,8 @@
 	return nil
 }
 
+// renderRoles writes the section of roles and returns the sum of their terms for each
+// resource.
 func (in *Inputs) renderRoles(b *strings.Builder) (map[Resource]float64, error) {
 	sums := map[Resource]float64{}
 	b.WriteString("## Roles\n\n")
@@ -106,13 +109,14 @@
 				return nil, err
 			}
 			sums[t.Resource] += v
-			fmt.Fprintf(b, "- %s: %s (%s%s)\n", t.Resource, format(t.Resource, v), t.Measurement, t.Times.text())
+			fmt.Fprintf(b, "- %s: %s (%s%s)\n", t.Resource, formatValue(t.Resource, v), t.Measurement, t.Times.text())
 		}
 		b.WriteString("\n")
 	}
 	return sums, nil
 }
 
+// text returns the factor as the page shows it after a term.
 func (f Factor) text() string {
 	var s strings.Builder
 	if f.Number != 0 {
@@ -127,6 +131,7 @@
 	return s.String()
 }
 
+// renderSums writes the sums of resources that have a bound.
 func (in *Inputs) renderSums(b *strings.Builder, sums map[Resource]float64) {
 	b.WriteString("## Sums against the bounds\n\nOf the terms above, without calls; what calls add is in the notes.\n\n| Resource | Sum | Bound | Share of the bound |\n|---|---|---|---|\n")
 	for _, r := range resources {
@@ -134,7 +139,7 @@
 		if !ok {
 			continue
 		}
-		fmt.Fprintf(b, "| %s | %s | %s | %.0f%% |\n", r, format(r, sums[r]), format(r, bound), 100*sums[r]/bound)
+		fmt.Fprintf(b, "| %s | %s | %s | %.0f%% |\n", r, formatValue(r, sums[r]), formatValue(r, bound), 100*sums[r]/bound)
 	}
 	b.WriteString("\n")
 }
--- a/snipecapacity/sample.go
+++ b/snipecapacity/sample.go
@@ -21,17 +21,19 @@
 	metricSent      = "snipepitch_sent_bytes_total"
 )
 
-// Sample is what one instance costs over an interval.
+// Sample holds what one instance uses on average over an interval.
 type Sample struct {
-	// Processor is the share of one core, Memory the resident bytes.
+	// Processor is the share of one core; Memory is the resident bytes at the end of
+	// the interval.
 	Processor float64
 	Memory    float64
-	// Traffic is bytes a second, received and sent, by kind of connection.
+	// Traffic is the bytes a second, received and sent, by the name of the metric with
+	// its labels, which state the kind of connection.
 	Traffic map[string]float64
 }
 
-// Observe scrapes the instances' operators' addresses twice, an interval
-// apart, and returns the mean of their samples.
+// Observe scrapes the metrics at the instances' operators' addresses twice, an
+// interval apart, and returns the mean over the instances.
 func Observe(ctx context.Context, client *http.Client, instances []netip.AddrPort, interval time.Duration) (Sample, error) {
 	before, err := scrapeAll(ctx, client, instances)
 	if err != nil {
@@ -63,7 +65,7 @@
 	return s, nil
 }
 
-// scrapeAll returns the sums of all metrics over the instances.
+// scrapeAll returns the sum over the instances of each metric.
 func scrapeAll(ctx context.Context, client *http.Client, instances []netip.AddrPort) (map[string]float64, error) {
 	sums := map[string]float64{}
 	for _, a := range instances {
@@ -75,7 +77,7 @@
 		if err != nil {
 			return nil, errors.Wrapf(err, "scrape %s", a)
 		}
-		err = add(sums, response.Body)
+		err = addSamples(sums, response.Body)
 		_ = response.Body.Close()
 		if err != nil {
 			return nil, errors.Wrapf(err, "scrape %s", a)
@@ -84,9 +86,9 @@
 	return sums, nil
 }
 
-// add adds the samples of a text exposition to sums; lines that are none are
-// passed over.
-func add(sums map[string]float64, r io.Reader) error {
+// addSamples adds the samples of a text exposition to sums. It skips lines that are
+// not samples.
+func addSamples(sums map[string]float64, r io.Reader) error {
 	s := bufio.NewScanner(r)
 	for s.Scan() {
 		name, value, ok := strings.Cut(s.Text(), " ")
--- a/snipecapacity/snipecapacity.go
+++ b/snipecapacity/snipecapacity.go
@@ -1,11 +1,12 @@
-// Package snipecapacity works out what each role costs at the size that the
+// Package snipecapacity calculates what each role costs at the size that the
 // system is designed for, from slopes that were measured at smaller sizes.
 //
-// The inputs are a JSON document (docs/capacity.json): sizes, what the users' bench shows
-// of entry instances at several sizes, and for instances with settings of their own
-// measurements with the command that gave them, and for each role the terms that add up to
-// its costs. The page docs/CAPACITY.md is rendered from the inputs alone, and
-// a test holds the page to them, so that no sum on it can go stale.
+// The inputs are a JSON document (docs/capacity.json) with the sizes of the design, the
+// results of the users' benchmark for entry instances at several sizes, and, for
+// instances with settings of their own, measurements with the command that printed them
+// and for each role the terms that add up to its costs. The page docs/CAPACITY.md is
+// rendered from the inputs alone, and a test compares the two, so that no sum on the
+// page can go stale.
 package snipecapacity
 
 import (
@@ -16,10 +17,10 @@
 	"snipepitch.example/snipepitch/snipejson"
 )
 
-// ErrInvalid is wrapped by every error of the checks.
+// ErrInvalid is wrapped by the errors for invalid inputs.
 var ErrInvalid = errors.New("invalid capacity inputs")
 
-// Resource is what a term costs.
+// Resource is a resource that a term uses.
 type Resource string
 
 // The resources, with their units.
@@ -33,31 +34,31 @@
 
 // Inputs is the whole document.
 type Inputs struct {
-	// Sizes are the named sizes of the design, such as Instances.
+	// Sizes holds the named sizes of the design, such as Instances.
 	Sizes map[string]float64
-	// Bounds are the most that may be used of each resource.
+	// Bounds holds the most that may be used of each resource.
 	Bounds map[Resource]float64
-	// Sweeps are what the bench shows of entry instances on a deployment each, Duties what
-	// these send to each other.
+	// Sweeps holds the benchmark's results for entry instances, one sweep for each
+	// deployment. Duties describes the messages that entry instances send to each other.
 	Sweeps []*Sweep `json:",omitempty"`
 	Duties []Duty   `json:",omitempty"`
-	// Measurements are the measured slopes by name, of instances with settings of their own.
+	// Measurements holds by name the measurements of instances with settings of their own.
 	Measurements map[string]Measurement
-	// Roles are the duties of the system in the order of the page.
+	// Roles are the tasks of the system in the order of the page.
 	Roles []Role
-	// Notes are paragraphs for the end of the page: what breaks first, what
-	// was not measured.
+	// Notes are paragraphs for the end of the page, such as what fails first
+	// and what was not measured.
 	Notes []string
 }
 
 // Measurement is one quantity at two or more sizes.
 type Measurement struct {
-	// Command gave the points, run on the date.
+	// Command printed the points when it was run on Date.
 	Command string
 	Date    string
 	// Unit is the unit of the values.
 	Unit string
-	// Against names the size that was varied.
+	// Against names the size that the points vary, one of Inputs.Sizes.
 	Against string
 	// Points are the sizes and values measured.
 	Points []Point
@@ -69,7 +70,7 @@
 	Value float64
 }
 
-// Role is one duty.
+// Role is one task of the system.
 type Role struct {
 	Name string
 	// State, Messages and Mechanism describe the role.
@@ -83,23 +84,25 @@
 // Term is one part of a role's costs.
 type Term struct {
 	Resource Resource
-	// Measurement names the slope; the term's value is the fitted line at the
-	// design's size.
+	// Measurement names a measurement. The term's value is its fitted line at the
+	// design's size, times Times; see extrapolate for falling lines.
 	Measurement string
-	// Times multiplies the value: a product of size names and numbers,
-	// such as 1 for each instance or the number of changes a second.
+	// Times multiplies the value, for example by the number of instances or of changes
+	// a second. Its zero value is the factor 1.
 	Times Factor `json:",omitzero"`
 }
 
-// Factor is a product of a number and named sizes.
+// Factor is a product of a number and named sizes, divided by other named sizes.
 type Factor struct {
+	// Number counts as 1 if it is 0.
 	Number float64
-	Sizes  []string `json:",omitempty"`
-	// Over are named sizes that divide.
+	// Sizes are the sizes that multiply.
+	Sizes []string `json:",omitempty"`
+	// Over are the sizes that divide.
 	Over []string `json:",omitempty"`
 }
 
-// Line is a fitted line with its largest residual.
+// Line is a fitted line. Spread is its largest absolute residual.
 type Line struct {
 	Intercept, Slope, Spread float64
 }
@@ -107,9 +110,9 @@
 // At returns the line's value at a size.
 func (l Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// extrapolate returns the value at a size far beyond the points. A falling
-// line is noise around a constant cost: its highest point is taken instead, so
-// that the page never promises less than what was measured.
+// extrapolate returns the value of the line l through the points at a size far beyond
+// them. A falling line is noise around a constant cost, so that its value would be too
+// low or even negative; the highest point is returned instead.
 func (m Measurement) extrapolate(l Line, size float64) float64 {
 	if l.Slope >= 0 {
 		return l.At(size)
@@ -121,8 +124,8 @@
 	return highest
 }
 
-// Fit returns the least-squares line through points; at least two different
-// sizes are needed.
+// Fit returns the least-squares line through points. It returns ErrInvalid unless
+// they have at least two different sizes.
 func Fit(points []Point) (Line, error) {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range points {
@@ -168,7 +171,7 @@
 	return in, nil
 }
 
-// Value returns a term's value at the design's sizes.
+// Value returns a term's value at the sizes of the design.
 func (in *Inputs) Value(t Term) (float64, error) {
 	m, ok := in.Measurements[t.Measurement]
 	if !ok {
@@ -185,6 +188,7 @@
 	return f * m.extrapolate(l, in.Sizes[m.Against]), nil
 }
 
+// factor returns the value of f at the sizes of the design.
 func (in *Inputs) factor(f Factor) (float64, error) {
 	product := f.Number
 	if product == 0 {
--- a/snipecapacity/snipecapacity_test.go
+++ b/snipecapacity/snipecapacity_test.go
@@ -7,7 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestPageMatchesInputs holds the page's sums to its inputs.
+// TestPageMatchesInputs guards against a page that was not rendered again after its
+// inputs or the renderer changed.
 func TestPageMatchesInputs(t *testing.T) {
 	data, err := os.ReadFile("../docs/capacity.json")
 	must.NoError(t, err)
@@ -40,7 +41,8 @@
 	}
 }
 
-// TestValueFallingLine: the fit of two noisy points once gave a negative cost.
+// TestValueFallingLine guards against a negative cost: the line through two noisy
+// points can fall and cross zero before the size of the design.
 func TestValueFallingLine(t *testing.T) {
 	in := &Inputs{
 		Sizes:        map[string]float64{"Instances": 340},
--- a/snipecapacity/sweep.go
+++ b/snipecapacity/sweep.go
@@ -11,18 +11,21 @@
 	"github.com/go-faster/errors"
 )
 
-// Sweep is what the users' bench shows of one day at several numbers of instances, where the
-// engines grow with the instances and the requests stay the same.
+// Sweep holds the results of the users' benchmark for one day at several numbers of
+// instances. The number of engines grows with that of the instances, and the requests
+// stay the same.
 type Sweep struct {
-	// Command gave the table, run on the date.
+	// Command printed the table when it was run on Date.
 	Command string
 	Date    string
-	// Served and Prices are the shares of the worth, by the number of instances.
+	// Days holds the outcome at each number of instances.
 	Days []SweepDay
+	// Rows holds one quantity of an instance each.
 	Rows []SweepRow
 }
 
-// SweepDay is the outcome at one size.
+// SweepDay is the outcome at one number of instances. Served and Prices are shares of
+// the day's value.
 type SweepDay struct {
 	Instances int
 	Upstreams int
@@ -30,34 +33,39 @@
 	Prices    float64
 }
 
-// SweepRow is one quantity of an instance at each size.
+// SweepRow is one quantity of an instance at each number of instances.
 type SweepRow struct {
 	Name   string
 	Points []SweepPoint
 }
 
-// SweepPoint is a quantity at one size, of the instance in the middle and of the busiest.
+// SweepPoint is a quantity at one number of instances: Middle of the median instance,
+// Busiest of the instance with the highest value.
 type SweepPoint struct {
 	Instances int
 	Middle    float64
 	Busiest   float64
 }
 
-// Duty is a duty of an entry instance.
+// Duty is a task of entry instances that costs messages.
 type Duty struct {
 	Name string
-	// Messages are what it costs, Mechanism what carries it.
+	// Messages describes the messages that the task costs, Mechanism how they are sent.
 	Messages  string
 	Mechanism string
 }
 
+// Lines of the benchmark's output: sweepDay matches the outcome of a day, sweepHeader the
+// numbers of instances above the table, sweepCell a cell with the middle and the busiest
+// instance.
 var (
 	sweepDay    = regexp.MustCompile(`^sweep-\d+\s+(\d+)/(\d+)\s+\S+\s+\S+\s+(\S+)\s.*prices ([0-9.]+)`)
 	sweepHeader = regexp.MustCompile(`^\s+(\d+(?:\s+\d+)+)\s+power\s+at\s+\d+`)
 	sweepCell   = regexp.MustCompile(`([0-9.]+) / ([0-9.]+)`)
 )
 
-// ParseSweep reads the output of a sweep.
+// ParseSweep reads a sweep from the benchmark's output and skips all other lines. Command
+// and Date are left to the caller.
 func ParseSweep(r io.Reader) (*Sweep, error) {
 	s := &Sweep{}
 	var sizes []int
@@ -71,7 +79,7 @@
 		}
 		if m := sweepHeader.FindStringSubmatch(line); m != nil {
 			var err error
-			if sizes, err = numbers(m[1]); err != nil {
+			if sizes, err = parseSizes(m[1]); err != nil {
 				return nil, err
 			}
 			continue
@@ -91,6 +99,7 @@
 	return s, nil
 }
 
+// addDay adds a day from the groups of sweepDay.
 func (s *Sweep) addDay(cells []string) error {
 	var values [4]float64
 	for n, cell := range cells {
@@ -104,6 +113,7 @@
 	return nil
 }
 
+// addRow adds a row from a line and the positions of sweepCell in it.
 func (s *Sweep) addRow(line string, cells [][]int, sizes []int) error {
 	row := SweepRow{Name: strings.TrimSpace(line[:cells[0][0]])}
 	for n, c := range cells {
@@ -121,7 +131,7 @@
 	return nil
 }
 
-func numbers(text string) ([]int, error) {
+func parseSizes(text string) ([]int, error) {
 	var all []int
 	for _, field := range strings.Fields(text) {
 		n, err := strconv.Atoi(field)
@@ -133,8 +143,8 @@
 	return all, nil
 }
 
-// sweepBounds are the bounds of an instance by the row that shows the quantity, with what turns
-// a bound into the row's unit.
+// sweepBounds holds, by the name of a row, the resource whose bound applies to it, and the
+// scale that converts the bound to the row's unit.
 var sweepBounds = map[string]struct {
 	resource Resource
 	scale    float64
@@ -163,7 +173,7 @@
 	return nil
 }
 
-// AddSweep puts a sweep among the others, in the place of the one that the same command printed.
+// AddSweep adds a sweep, or replaces the one that the same command printed.
 func (in *Inputs) AddSweep(s *Sweep) {
 	for n, other := range in.Sweeps {
 		if other.Command == s.Command {
@@ -174,8 +184,8 @@
 	in.Sweeps = append(in.Sweeps, s)
 }
 
-// render writes what one sweep shows, with each row carried on to the design's size by a line
-// through its points.
+// render writes the tables of one sweep, with each row extrapolated to the design's number
+// of instances.
 func (s *Sweep) render(b *strings.Builder, in *Inputs) error {
 	target := in.Sizes["Instances"]
 	fmt.Fprintf(b, "From `%s`, %s:\n\n", s.Command, s.Date)
@@ -185,7 +195,7 @@
 	}
 	fmt.Fprintf(b, " at %g | Bound |\n|---|%s---|---|\n", target, strings.Repeat("---|", len(s.Rows[0].Points)))
 	for _, r := range s.Rows {
-		middle, busiest, err := r.at(target)
+		middle, busiest, err := r.extrapolate(target)
 		if err != nil {
 			return err
 		}
@@ -194,8 +204,8 @@
 			fmt.Fprintf(b, " %.4g / %.4g |", p.Middle, p.Busiest)
 		}
 		bound := ""
-		if known, ok := sweepBounds[r.Name]; ok {
-			bound = fmt.Sprintf("%.4g", in.Bounds[known.resource]*known.scale)
+		if row, ok := sweepBounds[r.Name]; ok {
+			bound = fmt.Sprintf("%.4g", in.Bounds[row.resource]*row.scale)
 		}
 		fmt.Fprintf(b, " %.4g / %.4g | %s |\n", middle, busiest, bound)
 	}
@@ -207,17 +217,18 @@
 	return nil
 }
 
-// at carries a row on to a size.
-func (r SweepRow) at(size float64) (middle, busiest float64, err error) {
-	var middles, most []Point
+// extrapolate returns the values at a number of instances, by lines through the row's
+// points; see Measurement.extrapolate.
+func (r SweepRow) extrapolate(size float64) (middle, busiest float64, err error) {
+	var middlePoints, busiestPoints []Point
 	for _, p := range r.Points {
-		middles = append(middles, Point{float64(p.Instances), p.Middle})
-		most = append(most, Point{float64(p.Instances), p.Busiest})
+		middlePoints = append(middlePoints, Point{float64(p.Instances), p.Middle})
+		busiestPoints = append(busiestPoints, Point{float64(p.Instances), p.Busiest})
 	}
 	for _, fit := range []struct {
 		points []Point
 		value  *float64
-	}{{middles, &middle}, {most, &busiest}} {
+	}{{middlePoints, &middle}, {busiestPoints, &busiest}} {
 		l, err := Fit(fit.points)
 		if err != nil {
 			return 0, 0, errors.Wrap(err, r.Name)
--- a/snipecapacity/sweep_test.go
+++ b/snipecapacity/sweep_test.go
@@ -19,7 +19,8 @@
 power: the busiest grows as machines to this power
 `
 
-// TestParseSweep: the days and the rows of a sweep are read, whatever stands around them.
+// TestParseSweep guards against days and rows that are missed, or read from the other
+// lines of the benchmark's output.
 func TestParseSweep(t *testing.T) {
 	s, err := ParseSweep(strings.NewReader(sweepOutput))
 	must.NoError(t, err)
@@ -28,7 +29,7 @@
 		{"entry: processor %", []SweepPoint{{30, 4.2, 4.7}, {300, 5.7, 8.2}}},
 		{"serving after all were killed, ms", []SweepPoint{{30, 1000, 1000}, {300, 8500, 8500}}},
 	}, s.Rows)
-	middle, busiest, err := s.Rows[1].at(570)
+	middle, busiest, err := s.Rows[1].extrapolate(570)
 	must.NoError(t, err)
 	must.Eq(t, 16000, middle)
 	must.Eq(t, 16000, busiest)
@@ -36,7 +37,8 @@
 	must.ErrorIs(t, err, ErrInvalid)
 }
 
-// TestRenderSweep: the page shows the rows beside the bounds.
+// TestRenderSweep guards against a page without the rows' bounds, and against a second
+// copy of a sweep that the same command printed again.
 func TestRenderSweep(t *testing.T) {
 	s, err := ParseSweep(strings.NewReader(sweepOutput))
 	must.NoError(t, err)
