--- a/cmd/snipectl/main_test.go
+++ b/cmd/snipectl/main_test.go
@@ -222,14 +222,14 @@
 // TestEditWithoutAnswer guards against a wrong outcome for an edit without an answer:
 // it is unknown if the edit was sent, and failed if the connection was refused.
 func TestEditWithoutAnswer(t *testing.T) {
-	cut := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
-	s := &cluster{address: cut.Listener.Addr().String()}
+	aborting := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
+	s := &cluster{address: aborting.Listener.Addr().String()}
 	for _, line := range [][]string{{"apply"}, {"rollback", "-version", "2", "-to", "1"}} {
 		code, text := s.run(t, "boot", "{}", line...)
 		must.Eq(t, exitUnknown, code)
 		must.StrContains(t, text, "may have taken effect")
 	}
-	cut.Close()
+	aborting.Close()
 	code, _ := s.run(t, "boot", "{}", "apply")
 	must.Eq(t, exitFailed, code)
 }
--- a/cmd/snipepitchd/entry.go
+++ b/cmd/snipepitchd/entry.go
@@ -22,7 +22,7 @@
 	// milliseconds, or within half a second when it is slow.
 	storeTimeout = 1200 * time.Millisecond
 	// orderIdleTimeout is how long an idle connection for orders is kept if the
-	// engine does not say how long it keeps the connection.
+	// engine's answers do not state how long the engine keeps it.
 	orderIdleTimeout = 4 * time.Second
 	// maxIdleOrderConns bounds the idle connections for orders to one engine.
 	maxIdleOrderConns = 2
--- a/snipecapacity/snipecapacity.go
+++ b/snipecapacity/snipecapacity.go
@@ -111,8 +111,9 @@
 func (l Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
 // extrapolate returns the value of the line l through the points at a size far beyond
-// them. A falling line is noise around a constant cost, so that its value would be too
-// low or even negative; the highest point is returned instead.
+// them. A falling line is noise around a constant cost, and its value could be too low
+// or even negative. Its highest point is returned instead, so that the page never states
+// less than the measured values.
 func (m Measurement) extrapolate(l Line, size float64) float64 {
 	if l.Slope >= 0 {
 		return l.At(size)
--- a/snipecapacity/sweep_test.go
+++ b/snipecapacity/sweep_test.go
@@ -45,8 +45,8 @@
 	in := &Inputs{Sizes: map[string]float64{"Instances": 300}, Bounds: map[Resource]float64{Processor: 0.028}, Sweeps: []*Sweep{s}}
 	page, err := in.Render()
 	must.NoError(t, err)
-	again := *s
-	in.AddSweep(&again)
+	repeated := *s
+	in.AddSweep(&repeated)
 	must.Len(t, 1, in.Sweeps)
 	other := *s
 	other.Command = "another"
--- a/snipereplay/audit.go
+++ b/snipereplay/audit.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// noneMayHaveRun reports whether, by what the caller was told, no try can have been
-// executed.
+// noneMayHaveRun reports whether, by the outcomes that the caller observed, no try can
+// have been executed.
 func noneMayHaveRun(tries []Try) bool {
 	for _, t := range tries {
 		if t.Outcome == MayHaveRun || t.Outcome == Done {
--- a/snipereplay/caller.go
+++ b/snipereplay/caller.go
@@ -21,12 +21,13 @@
 	// minRetryPause is the least pause before a retry. It applies also when the
 	// answer states no Retry-After.
 	minRetryPause = 100 * time.Millisecond
-	// tryTimeoutDivisor divides the caller's timeout into the time after which a
-	// call that may be repeated is abandoned at an instance that does not answer.
+	// tryTimeoutDivisor sets the time limit of one try of a call that may be
+	// retried: the call's timeout divided by it. After that the caller abandons an
+	// instance that does not answer.
 	tryTimeoutDivisor = 3
-	// deadlineMarginDivisor divides the time that the caller waits into the margin
-	// by which the deadline that it states is earlier, so that the final answer
-	// still reaches it.
+	// deadlineMarginDivisor sets how much earlier the deadline that the caller states
+	// is than the end of its own wait: the time that it waits divided by it. The
+	// margin lets the final answer still reach the caller.
 	deadlineMarginDivisor = 10
 )
 
--- a/snipereplay/judge_test.go
+++ b/snipereplay/judge_test.go
@@ -262,8 +262,8 @@
 	}
 }
 
-// TestAudit guards against missing a contradiction between what a caller was told and
-// the executions that the upstreams have recorded.
+// TestAudit guards against missing a contradiction between the outcome of a call and the
+// executions that the upstreams have recorded.
 func TestAudit(t *testing.T) {
 	ran := func(n int, key, body string) []snipestand.Execution {
 		var all []snipestand.Execution
--- a/snipereplay/snipereplay.go
+++ b/snipereplay/snipereplay.go
@@ -5,7 +5,7 @@
 //
 // The replay acts as a caller (caller.go): it sends calls to a list of entry
 // addresses in turn, as a load balancer would, and retries a call only where that
-// is safe. Checks have two parts. judge.go checks each answer as it arrives.
+// is safe. The checks have two parts. judge.go checks each answer as it arrives.
 // audit.go checks, after the run, what services and engines have recorded: at most
 // one execution of a call that is not idempotent, exactly one when it was answered,
 // and none of a request that was refused as not run. Whatever cannot be checked
--- a/snipesoak/caller.go
+++ b/snipesoak/caller.go
@@ -97,7 +97,8 @@
 	return err == nil && answer.StatusCode == http.StatusOK
 }
 
-// checkAnswer checks one answer and records its outcome. readErr is the error from reading the body.
+// checkAnswer checks one answer and records its outcome. readErr is the error from reading the
+// body.
 func (s *Soak) checkAnswer(id string, o outcome, answer *http.Response, body string, readErr error) {
 	o.status = answer.StatusCode
 	switch answer.StatusCode {
--- a/snipesoak/faults.go
+++ b/snipesoak/faults.go
@@ -17,8 +17,8 @@
 // fault is a kind of fault.
 type fault struct {
 	name string
-	// inject begins the fault, ends it after d where it has a length, and returns what it
-	// concerned, for the log of faults.
+	// inject begins the fault, ends it after d where it has a length, and returns what was
+	// affected, for the log of faults.
 	inject func(s *Soak, r *rand.Rand, d time.Duration) string
 }
 
--- a/snipesoak/instance.go
+++ b/snipesoak/instance.go
@@ -46,7 +46,7 @@
 const maxPortAttempts = 100
 
 // reservePorts finds free ports for all instances. It keeps every port open until all are found,
-// because the same port could be drawn for two instances if the first released it early. All are
+// because a port that was released early could be drawn again for another instance. All ports are
 // released on return, before the processes take them.
 func reservePorts(all []*instance, draw func() uint16) error {
 	for _, i := range all {
--- a/snipesoak/instance_test.go
+++ b/snipesoak/instance_test.go
@@ -16,11 +16,11 @@
 		draws++
 		return uint16(lowestPort + draws/len(all))
 	}))
-	seen := make(map[netip.AddrPort]bool)
+	used := make(map[netip.AddrPort]bool)
 	for _, i := range all {
 		for _, a := range []netip.AddrPort{i.callers, i.ready, i.peers, i.metrics} {
-			must.False(t, seen[a], must.Sprint(a))
-			seen[a] = true
+			must.False(t, used[a], must.Sprint(a))
+			used[a] = true
 		}
 	}
 }
--- a/snipesoak/snipesoak.go
+++ b/snipesoak/snipesoak.go
@@ -269,5 +269,5 @@
 	return nil
 }
 
-// log returns the path of an instance's log.
+// logPath returns the path of an instance's log.
 func (s *Soak) logPath(name string) string { return filepath.Join(s.Folder, name+".log") }
