--- a/snipesoak/signal.go
+++ b/snipesoak/signal.go
@@ -55,8 +55,8 @@
 	begin, end time.Time
 }
 
-// disturbanceGrace is how long after a disturbance the audit of signals still ignores requests: late
-// requests may arrive then, and an instance may have lost what an upstream had signaled.
+// disturbanceGrace is how long after a disturbance the audit of signals still ignores requests:
+// delayed requests may arrive then, and an instance may have lost what an upstream had signaled.
 const disturbanceGrace = 3 * time.Second
 
 // disturb begins a disturbance of an instance or an upstream. The returned function ends and
