--- a/cmd/snipectl/explain.go
+++ b/cmd/snipectl/explain.go
@@ -24,11 +24,11 @@
 		if err := readLogs(log, arguments[1:], c.in); err != nil {
 			return err
 		}
-		if log.Unread > 0 {
+		if log.Skipped > 0 {
 			// The explanation may be incomplete without the skipped lines.
-			_, _ = fmt.Fprintf(c.messages, "snipectl: %d lines are none of an instance's log\n", log.Unread)
+			_, _ = fmt.Fprintf(c.messages, "snipectl: %d lines are none of an instance's log\n", log.Skipped)
 		}
-		story, err := log.Tell()
+		story, err := log.Reconstruct()
 		if err != nil {
 			return err
 		}
--- a/cmd/snipectl/main_test.go
+++ b/cmd/snipectl/main_test.go
@@ -43,7 +43,7 @@
 	t.Helper()
 	s := &cluster{}
 	store := &snipetree.Store{Table: snipestand.NewTable().Client(), Log: snipelog.Discard(), Operation: rand.Text}
-	other := &snipeoperator.Own{Name: "two", Revision: func() uint64 { return s.revision }, Drain: func() { s.drained = "two" }}
+	other := &snipeoperator.LocalStatus{Name: "two", Revision: func() uint64 { return s.revision }, Drain: func() { s.drained = "two" }}
 	peer := httptest.NewServer(snipeproto.NewStatusServer(other))
 	t.Cleanup(peer.Close)
 	view := &snipelease.View{
@@ -57,12 +57,12 @@
 	other.Resident = func(string) ([]snipecall.Adapter, int) {
 		return []snipecall.Adapter{{Team: "a", Name: "x", Version: "1"}, {Team: "b", Name: "y", Version: "1"}}, 3
 	}
-	own := &snipeoperator.Own{
+	own := &snipeoperator.LocalStatus{
 		Name: "one", View: other.View, Resident: other.Resident, Drain: func() { s.drained = "one" },
 		Revision: func() uint64 { return store.Current().Revision },
 	}
 	server := &snipeoperator.Server{
-		Settings: store, BootstrapKeyHash: snipetree.HashKey("boot"), View: other.View, Own: own, Peers: http.DefaultClient,
+		Settings: store, BootstrapKeyHash: snipetree.HashKey("boot"), View: other.View, Local: own, Peers: http.DefaultClient,
 	}
 	refreshing := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		// No background task refreshes the store from the table in this test.
--- a/cmd/snipepitchd/entry.go
+++ b/cmd/snipepitchd/entry.go
@@ -78,8 +78,8 @@
 	store := &platform.Store{Address: s.Table, Timeout: storeTimeout, Dial: dial}
 	store.Open()
 	engines := &platform.Engines{Links: &snipelink.Pool{
-		Dial: dial, DialTimeout: orderDialTimeout, Idle: orderIdleTimeout, Kept: maxIdleOrderConns,
-		Belongs: platform.AnyAnswer, KeepAlive: platform.KeepAlive,
+		Dial: dial, DialTimeout: orderDialTimeout, IdleTimeout: orderIdleTimeout, MaxIdle: maxIdleOrderConns,
+		IsAnswerTo: platform.AcceptAnyAnswer, KeepAlive: platform.KeepAlive,
 	}}
 	i := &snipeentry.Instance{
 		Settings: s, Incarnation: rand.Text(), Operation: rand.Text,
@@ -88,7 +88,7 @@
 		Platform: snipeentry.Platform{
 			Protocol: platform.Protocol(), ReadyPath: platform.ReadyPath,
 			Source: store.Source, Write: store.WriteRows, Engine: engines.Engine(),
-			Belongs: platform.Belongs, KeepAlive: platform.KeepAlive,
+			IsAnswerTo: platform.IsAnswerTo, KeepAlive: platform.KeepAlive,
 			DeclaredTable: platform.DeclaredTable, DecodeDeclared: platform.DecodeDeclared,
 			UpstreamTable: platform.UpstreamTable, DecodeUpstreams: platform.DecodeUpstreams,
 			SameUpstream: platform.SameUpstream,
--- a/snipeadapter/controller.go
+++ b/snipeadapter/controller.go
@@ -48,9 +48,9 @@
 	firstVersion = 1
 )
 
-// Desk is the controller that gives orders to the engines that this instance owns. Exported fields
+// Controller is the controller that gives orders to the engines that this instance owns. Exported fields
 // are set before the first call; the methods are safe for concurrent use.
-type Desk struct {
+type Controller struct {
 	Engine Engine
 	// Fence returns the fencing number for an order, and whether this instance may give one.
 	Fence Fence
@@ -62,15 +62,15 @@
 	Model func(u *snipedirectory.Upstream) string
 	// Newest returns the newest announced version of an adapter; 0 if none was announced.
 	Newest func(a snipecatalog.Adapter) int64
-	// Spare reports whether an engine can lose an adapter that is used perSecond times a second
+	// Redundant reports whether an engine can lose an adapter that is used perSecond times a second
 	// there, because other engines hold it too; nil means that it never can.
-	Spare func(u *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool
-	// StartedAgain is called with an engine's ID when the engine's report shows that this start has
+	Redundant func(u *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool
+	// EngineRestarted is called with an engine's ID when the engine's report shows that this start has
 	// ended but the directory still lists it.
-	StartedAgain func(id string)
-	// Formerly reports whether an engine held an adapter recently, so that it reloads the adapter
+	EngineRestarted func(id string)
+	// PreviouslyHeld reports whether an engine held an adapter recently, so that it reloads the adapter
 	// without the weight store; nil means never.
-	Formerly func(engine string, a snipecatalog.Adapter) bool
+	PreviouslyHeld func(engine string, a snipecatalog.Adapter) bool
 	// Holder is this instance's name in orders.
 	Holder string
 	Log    *snipelog.Logger
@@ -85,7 +85,7 @@
 
 // engine is the controller's state of one start of an engine.
 type engine struct {
-	controller *Desk
+	controller *Controller
 	id         string
 	// name and restarted come from the directory entry (restarted: an earlier start had the same
 	// name). discovered is when this controller first used this start of the engine.
@@ -172,7 +172,7 @@
 // Ensure waits until an engine holds an adapter in at least the given version and returns the
 // version that it holds. If the load is not expected to complete within maxWait, Ensure returns a
 // BusyError at once.
-func (c *Desk) Ensure(ctx context.Context, id string, a snipecatalog.Adapter, version int64, maxWait time.Duration) (int64, error) {
+func (c *Controller) Ensure(ctx context.Context, id string, a snipecatalog.Adapter, version int64, maxWait time.Duration) (int64, error) {
 	u := c.Upstream(id)
 	if u == nil {
 		return 0, errors.Wrap(ErrUnknownEngine, id)
@@ -203,12 +203,12 @@
 // target returns the version to load of an adapter that is requested in at least minVersion. It is
 // never 0: a repeat of an order without a version would start the load of a version announced in
 // the meantime, for which no slot is free.
-func (c *Desk) target(a snipecatalog.Adapter, minVersion int64) int64 {
+func (c *Controller) target(a snipecatalog.Adapter, minVersion int64) int64 {
 	return max(minVersion, c.Newest(a), firstVersion)
 }
 
-// Rates returns the uses per second of an engine's adapters, without those below minRate.
-func (c *Desk) Rates(id string, minRate float64) map[snipecatalog.Adapter]float64 {
+// UseRates returns the uses per second of an engine's adapters, without those below minRate.
+func (c *Controller) UseRates(id string, minRate float64) map[snipecatalog.Adapter]float64 {
 	c.lock.Lock()
 	e := c.engines[id]
 	c.lock.Unlock()
@@ -234,7 +234,7 @@
 
 // Refresh replaces older versions of an adapter by the given version on all engines of this
 // controller that hold it.
-func (c *Desk) Refresh(a snipecatalog.Adapter, version int64) {
+func (c *Controller) Refresh(a snipecatalog.Adapter, version int64) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for _, e := range c.engines {
@@ -247,10 +247,10 @@
 	}
 }
 
-// Take reads the state of an engine that this instance has come to own, so that the state is known
+// ReadEngine reads the state of an engine that this instance has come to own, so that the state is known
 // before the first order. It then queues the load of a missing base model, or of newer versions of
 // the adapters that the engine holds.
-func (c *Desk) Take(ctx context.Context, u *snipedirectory.Upstream) {
+func (c *Controller) ReadEngine(ctx context.Context, u *snipedirectory.Upstream) {
 	fence, ok := c.Fence(u.Address)
 	if !ok {
 		return
@@ -277,20 +277,20 @@
 }
 
 // Engines returns the IDs of the engines that this controller has used and that were not forgotten.
-func (c *Desk) Engines() []string {
+func (c *Controller) Engines() []string {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	return slices.Collect(maps.Keys(c.engines))
 }
 
 // Forget drops the state of an engine that no longer exists.
-func (c *Desk) Forget(id string) {
+func (c *Controller) Forget(id string) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	delete(c.engines, id)
 }
 
-func (c *Desk) engine(u *snipedirectory.Upstream) *engine {
+func (c *Controller) engine(u *snipedirectory.Upstream) *engine {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	if e := c.engines[u.ID]; e != nil {
@@ -300,7 +300,7 @@
 		c.engines = make(map[string]*engine)
 	}
 	e := &engine{
-		controller: c, id: u.ID, name: u.Name, restarted: u.Again, discovered: time.Now(), orderLock: make(ctxLock, 1),
+		controller: c, id: u.ID, name: u.Name, restarted: u.Restarted, discovered: time.Now(), orderLock: make(ctxLock, 1),
 		held: make(map[snipecatalog.Adapter]*heldAdapter), loads: make(map[snipecatalog.Adapter]*load),
 		activeLoads: make(map[snipecatalog.Adapter]bool), inFlightReports: make(map[string]inFlightReport),
 	}
--- a/snipeadapter/controller_test.go
+++ b/snipeadapter/controller_test.go
@@ -176,7 +176,7 @@
 			r.Resident = append(r.Resident, snipedirectory.Resident{Adapter: a, Version: v})
 		}
 		for a, v := range f.loading {
-			r.Coming = append(r.Coming, snipedirectory.Resident{Adapter: a, Version: v})
+			r.Loading = append(r.Loading, snipedirectory.Resident{Adapter: a, Version: v})
 		}
 		f.report = r
 		f.lock.Unlock()
@@ -189,10 +189,10 @@
 }
 
 // newController returns a controller of the engine, and a flag that reports whether it may order.
-func newController(f *fakeEngine) (controller *snipeadapter.Desk, owns *bool) {
+func newController(f *fakeEngine) (controller *snipeadapter.Controller, owns *bool) {
 	u := &snipedirectory.Upstream{ID: "e1", Address: netip.MustParseAddrPort("10.9.0.1:80"), Models: f.models}
 	mayOrder := true
-	return &snipeadapter.Desk{
+	return &snipeadapter.Controller{
 		Engine:   snipeadapter.Engine{Order: f.order, Report: f.read},
 		Fence:    func(netip.AddrPort) (uint64, bool) { return 1, mayOrder },
 		Upstream: func(string) *snipedirectory.Upstream { return u },
@@ -206,7 +206,7 @@
 const longWait = 10 * time.Second
 
 // runSimulation runs f in a synctest bubble with an engine and its controller.
-func runSimulation(t *testing.T, seed uint64, f func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, owns *bool)) {
+func runSimulation(t *testing.T, seed uint64, f func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, owns *bool)) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newFakeEngine(seed)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -225,7 +225,7 @@
 
 // TestEnsureOnce checks that all callers that wait for an adapter share one load.
 func TestEnsureOnce(t *testing.T) {
-	runSimulation(t, 1, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 1, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		begun := time.Now()
 		var all sync.WaitGroup
 		for range 20 {
@@ -254,7 +254,7 @@
 	for name, tt := range tests {
 		for seed := range uint64(12) {
 			t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
-				runSimulation(t, seed, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+				runSimulation(t, seed, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 					e.lost, e.late = tt.lost, tt.late
 					r := rand.New(rand.NewPCG(seed, 3))
 					var all sync.WaitGroup
@@ -291,7 +291,7 @@
 	const notifyDelay = 300 * time.Millisecond
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			runSimulation(t, seed, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+			runSimulation(t, seed, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 				r := rand.New(rand.NewPCG(seed, 4))
 				var lock sync.Mutex
 				known := map[snipecatalog.Adapter]int64{}
@@ -330,7 +330,7 @@
 // TestReplacement checks that a new version takes a slot of its own while the previous version is
 // still held.
 func TestReplacement(t *testing.T) {
-	runSimulation(t, 2, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 2, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		for n := range slots {
 			_, err := c.Ensure(t.Context(), "e1", adapter(n), 0, longWait)
 			must.NoError(t, err)
@@ -346,11 +346,11 @@
 
 // TestUsedStays checks that an adapter in use is kept while unused ones are evicted.
 func TestUsedStays(t *testing.T) {
-	runSimulation(t, 3, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 3, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		for n := range 40 {
 			_, err := c.Ensure(t.Context(), "e1", adapter(n), 0, longWait)
 			must.NoError(t, err)
-			c.Used("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(0): {Begun: 5}})
+			c.RecordUse("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(0): {Begun: 5}})
 			time.Sleep(300 * time.Millisecond)
 		}
 		must.Eq(t, 40, e.begun())
@@ -363,26 +363,26 @@
 func TestInFlightStays(t *testing.T) {
 	type uses = map[snipecatalog.Adapter]snipeadapter.Use
 	tests := map[string]struct {
-		end   func(c *snipeadapter.Desk)
+		end   func(c *snipeadapter.Controller)
 		after time.Duration
 		stays bool
 	}{
-		"Running":   {func(*snipeadapter.Desk) {}, time.Second, true},
-		"Ended":     {func(c *snipeadapter.Desk) { c.Used("e1", "i1", uses{adapter(0): {}}) }, 500 * time.Millisecond, false},
-		"OtherEnds": {func(c *snipeadapter.Desk) { c.Used("e1", "i2", uses{adapter(0): {}}) }, time.Second, true},
-		"Killed":    {func(*snipeadapter.Desk) {}, snipeadapter.UseLife + 500*time.Millisecond, false},
+		"Running":   {func(*snipeadapter.Controller) {}, time.Second, true},
+		"Ended":     {func(c *snipeadapter.Controller) { c.RecordUse("e1", "i1", uses{adapter(0): {}}) }, 500 * time.Millisecond, false},
+		"OtherEnds": {func(c *snipeadapter.Controller) { c.RecordUse("e1", "i2", uses{adapter(0): {}}) }, time.Second, true},
+		"Killed":    {func(*snipeadapter.Controller) {}, snipeadapter.UseTTL + 500*time.Millisecond, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			runSimulation(t, 3, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+			runSimulation(t, 3, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 				for n := range slots {
 					_, err := c.Ensure(t.Context(), "e1", adapter(n), 0, longWait)
 					must.NoError(t, err)
 				}
 				for n := range slots - 1 {
-					c.Used("e1", "i1", uses{adapter(n + 1): {Begun: 50}})
+					c.RecordUse("e1", "i1", uses{adapter(n + 1): {Begun: 50}})
 				}
-				c.Used("e1", "i1", uses{adapter(0): {Begun: 1, Running: true}})
+				c.RecordUse("e1", "i1", uses{adapter(0): {Begun: 1, Running: true}})
 				tt.end(c)
 				time.Sleep(tt.after)
 				_, err := c.Ensure(t.Context(), "e1", adapter(slots), 0, longWait)
@@ -402,18 +402,18 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			runSimulation(t, 9, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+			runSimulation(t, 9, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 				_, err := c.Ensure(t.Context(), "e1", adapter(1), 0, longWait)
 				must.NoError(t, err)
 				r := rand.New(rand.NewPCG(9, 9))
-				rate := func() float64 { return c.Rates("e1", 0)[adapter(1)] }
+				rate := func() float64 { return c.UseRates("e1", 0)[adapter(1)] }
 				report := func() {
 					for range instances {
 						n := 0
 						if r.Float64() < tt.perSecond*reports.Seconds()/instances {
 							n = 1
 						}
-						c.Used("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(1): {Begun: n}})
+						c.RecordUse("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(1): {Begun: n}})
 					}
 					time.Sleep(reports)
 				}
@@ -438,10 +438,10 @@
 // TestUsedButGone checks that an instance that reports the use of an adapter the engine does not
 // hold gets that adapter in the answer.
 func TestUsedButGone(t *testing.T) {
-	runSimulation(t, 10, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 10, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		_, err := c.Ensure(t.Context(), "e1", adapter(1), 0, longWait)
 		must.NoError(t, err)
-		gone := c.Used("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(1): {Begun: 3}, adapter(2): {Begun: 1}})
+		gone := c.RecordUse("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(1): {Begun: 3}, adapter(2): {Begun: 1}})
 		must.Eq(t, []snipecatalog.Adapter{adapter(2)}, gone)
 	})
 }
@@ -449,7 +449,7 @@
 // TestEvictions checks that an eviction is reported for a while, or until the engine holds the
 // adapter again.
 func TestEvictions(t *testing.T) {
-	runSimulation(t, 11, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 11, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		ensure := func(n int) {
 			_, err := c.Ensure(t.Context(), "e1", adapter(n), 0, longWait)
 			must.NoError(t, err)
@@ -477,7 +477,7 @@
 // TestBusyAtOnce checks that a load that cannot be complete in time is refused at once, with the
 // expected time to wait.
 func TestBusyAtOnce(t *testing.T) {
-	runSimulation(t, 4, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 4, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		var all sync.WaitGroup
 		ctx, cancel := context.WithCancel(t.Context())
 		for n := range 40 {
@@ -497,7 +497,7 @@
 
 // TestUnwantedIsNotBegun checks that a load whose callers have all left is not started.
 func TestUnwantedIsNotBegun(t *testing.T) {
-	runSimulation(t, 5, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 5, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var all sync.WaitGroup
 		for n := range 30 {
@@ -513,7 +513,7 @@
 
 // TestOrdersNeedTheRight checks that no order is sent without the right to order.
 func TestOrdersNeedTheRight(t *testing.T) {
-	runSimulation(t, 6, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, owns *bool) {
+	runSimulation(t, 6, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, owns *bool) {
 		*owns = false
 		_, err := c.Ensure(t.Context(), "e1", adapter(1), 0, longWait)
 		must.ErrorIs(t, err, snipeadapter.ErrNotOwner)
@@ -524,11 +524,11 @@
 // TestEngineWithoutModel checks that an engine that restarted empty first loads its base model, and
 // that requests for adapters are refused until then.
 func TestEngineWithoutModel(t *testing.T) {
-	runSimulation(t, 7, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 7, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		e.setModels(nil)
 		time.Sleep(2 * reportLag)
 		c.Model = func(*snipedirectory.Upstream) string { return model }
-		c.Take(t.Context(), c.Upstream("e1"))
+		c.ReadEngine(t.Context(), c.Upstream("e1"))
 		_, err := c.Ensure(t.Context(), "e1", adapter(1), 0, longWait)
 		must.ErrorIs(t, err, snipeadapter.ErrNoModel)
 		time.Sleep(time.Second)
@@ -543,15 +543,15 @@
 // then.
 func TestEvictsWhatIsSilent(t *testing.T) {
 	const hot = 1
-	runSimulation(t, 12, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 12, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		fill(t, c)
 		for range 20 {
-			c.Used("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(hot): {Begun: 8}})
+			c.RecordUse("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(hot): {Begun: 8}})
 			time.Sleep(80 * time.Millisecond)
 		}
 		for round := range 16 {
 			for n := hot + 1; n <= slots; n++ {
-				c.Used("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(n): {Begun: 1 + round%2}})
+				c.RecordUse("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(n): {Begun: 1 + round%2}})
 			}
 			time.Sleep(330 * time.Millisecond)
 		}
@@ -565,16 +565,16 @@
 // although it is used more often than the others.
 func TestEvictsWhatOthersHold(t *testing.T) {
 	const replica = 1
-	runSimulation(t, 13, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
-		c.Spare = func(_ *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool {
+	runSimulation(t, 13, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
+		c.Redundant = func(_ *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool {
 			return a == adapter(replica) && perSecond < 5
 		}
 		fill(t, c)
 		for range 4 {
 			for n := range slots {
-				c.Used("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(n + 1): {Begun: 1}})
+				c.RecordUse("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(n + 1): {Begun: 1}})
 			}
-			c.Used("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(replica): {Begun: 2}})
+			c.RecordUse("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(replica): {Begun: 2}})
 			time.Sleep(400 * time.Millisecond)
 		}
 		_, err := c.Ensure(t.Context(), "e1", adapter(99), 0, longWait)
@@ -584,7 +584,7 @@
 }
 
 // fill fills all slots of the engine with adapters, numbered from 1.
-func fill(t *testing.T, c *snipeadapter.Desk) {
+func fill(t *testing.T, c *snipeadapter.Controller) {
 	t.Helper()
 	for n := range slots {
 		_, err := c.Ensure(t.Context(), "e1", adapter(n+1), 0, longWait)
--- a/snipeadapter/due_test.go
+++ b/snipeadapter/due_test.go
@@ -16,7 +16,7 @@
 // at least one waiter, however many wait for it.
 func TestInTimeFirst(t *testing.T) {
 	const late, soon, other = 50, 60, 70
-	runSimulation(t, 16, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 16, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		var all sync.WaitGroup
 		ensure := func(n, callers int, maxWait time.Duration) {
 			for range callers {
--- a/snipeadapter/evict.go
+++ b/snipeadapter/evict.go
@@ -153,7 +153,7 @@
 		uses = min(uses, missedUses*float64(halfLife)/math.Ln2/float64(idle))
 	}
 	perSecond := uses * math.Ln2 / halfLife.Seconds()
-	if e.controller.Spare != nil && e.controller.Spare(u, a, perSecond) {
+	if e.controller.Redundant != nil && e.controller.Redundant(u, a, perSecond) {
 		return replicatedFactor * uses
 	}
 	return uses
--- a/snipeadapter/evictions.go
+++ b/snipeadapter/evictions.go
@@ -56,7 +56,7 @@
 // Evictions returns the adapters that engines of this controller have recently unloaded and do not
 // hold again, as far as their numbers are greater than after, and the number of the latest
 // eviction.
-func (c *Desk) Evictions(after uint64) (recent []Eviction, last uint64) {
+func (c *Controller) Evictions(after uint64) (recent []Eviction, last uint64) {
 	v := &c.evicted
 	v.lock.Lock()
 	defer v.lock.Unlock()
--- a/snipeadapter/load.go
+++ b/snipeadapter/load.go
@@ -98,7 +98,7 @@
 
 // isReload reports whether the engine probably has an adapter in its own memory.
 func (e *engine) isReload(a snipecatalog.Adapter) bool {
-	return a.Name != "" && e.controller.Formerly != nil && e.controller.Formerly(e.id, a)
+	return a.Name != "" && e.controller.PreviouslyHeld != nil && e.controller.PreviouslyHeld(e.id, a)
 }
 
 // enqueue queues a load. The lock is held.
--- a/snipeadapter/model_test.go
+++ b/snipeadapter/model_test.go
@@ -129,7 +129,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := &emptyEngine{rand: rand.New(rand.NewPCG(seed, 6)), lost: 0.3, resident: map[snipecatalog.Adapter]bool{}}
-				c := &snipeadapter.Desk{
+				c := &snipeadapter.Controller{
 					Engine: snipeadapter.Engine{Order: f.order, Report: f.read},
 					Fence:  func(netip.AddrPort) (uint64, bool) { return 1, true },
 					Slots:  func(*snipedirectory.Upstream) int { return slots },
@@ -146,7 +146,7 @@
 						r.show(c, int64(2+n/30))
 					}
 					if u := r.current.Load(); u != nil {
-						c.Take(t.Context(), u)
+						c.ReadEngine(t.Context(), u)
 					}
 					a := adapter(random.IntN(20))
 					go func() { _, _ = c.Ensure(t.Context(), r.id(), a, 0, time.Minute) }()
@@ -156,7 +156,7 @@
 				f.lost = 0
 				f.lock.Unlock()
 				time.Sleep(20 * time.Second)
-				c.Take(t.Context(), r.current.Load())
+				c.ReadEngine(t.Context(), r.current.Load())
 				time.Sleep(2 * modelLoadTime)
 				_, err := c.Ensure(t.Context(), r.id(), adapter(1), 0, time.Minute)
 				must.NoError(t, err)
--- a/snipeadapter/order.go
+++ b/snipeadapter/order.go
@@ -174,13 +174,13 @@
 	}
 	if r.Start != u.Start && r.Start != 0 && u.Start != 0 {
 		e.controller.Log.Log(snipelog.EngineStartedAgain, e.logFields(snipelog.Fields{"Start": u.Start, "Reported": r.Start}))
-		e.controller.StartedAgain(u.ID)
+		e.controller.EngineRestarted(u.ID)
 		return errors.Wrap(ErrRestarted, e.id)
 	}
 	e.accepted, e.fence, e.lastAnswered = r.Orders, fence, false
 	e.stateKnown.Store(true)
 	e.controller.Log.Log(snipelog.EngineRead, e.logFields(snipelog.Fields{
-		"Orders": r.Orders, "Resident": len(r.Resident), "Coming": len(r.Coming), "Fence": fence,
+		"Orders": r.Orders, "Resident": len(r.Resident), "Coming": len(r.Loading), "Fence": fence,
 	}))
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -194,7 +194,7 @@
 	for _, held := range r.Resident {
 		e.addHeld(held, old, false)
 	}
-	for _, held := range r.Coming {
+	for _, held := range r.Loading {
 		if h := e.held[held.Adapter]; h != nil {
 			h.replacing = true
 			continue
--- a/snipeadapter/reload_test.go
+++ b/snipeadapter/reload_test.go
@@ -17,8 +17,8 @@
 // must not delay them.
 func TestQuickPasses(t *testing.T) {
 	const reloaded, queued = 99, 10
-	runSimulation(t, 14, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
-		c.Formerly = func(_ string, a snipecatalog.Adapter) bool { return a == adapter(reloaded) }
+	runSimulation(t, 14, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
+		c.PreviouslyHeld = func(_ string, a snipecatalog.Adapter) bool { return a == adapter(reloaded) }
 		e.remember(adapter(reloaded))
 		var all sync.WaitGroup
 		for n := range queued {
@@ -37,7 +37,7 @@
 // TestTwoFromStore checks that two adapters at a time load from the weight store, in addition to
 // those that load from the engine's own memory.
 func TestTwoFromStore(t *testing.T) {
-	runSimulation(t, 15, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 15, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		var all sync.WaitGroup
 		for n := range slots {
 			all.Go(func() { _, _ = c.Ensure(t.Context(), "e1", adapter(n), 0, time.Minute) })
--- a/snipeadapter/residency.go
+++ b/snipeadapter/residency.go
@@ -68,9 +68,9 @@
 	x[a] = remaining
 }
 
-// Read records that the directory was read: entries that were not passed to Observe since then are
+// MarkRead records that the directory was read: entries that were not passed to Observe since then are
 // unchanged.
-func (r *Residency) Read() {
+func (r *Residency) MarkRead() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.read = time.Now()
@@ -142,16 +142,16 @@
 	return v
 }
 
-// Tell records a report that an engine holds an adapter.
-func (r *Residency) Tell(engine string, a snipecatalog.Adapter, version int64) {
+// RecordHeld records a report that an engine holds an adapter.
+func (r *Residency) RecordHeld(engine string, a snipecatalog.Adapter, version int64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.view(engine).observed[a] = observation{version: version, present: true, at: time.Now()}
 	r.holders.add(a, engine)
 }
 
-// Deny records a report that an engine does not hold an adapter in the expected version.
-func (r *Residency) Deny(engine string, a snipecatalog.Adapter) {
+// RecordAbsent records a report that an engine does not hold an adapter in the expected version.
+func (r *Residency) RecordAbsent(engine string, a snipecatalog.Adapter) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	v := r.view(engine)
@@ -161,9 +161,9 @@
 	v.observed[a] = observation{at: time.Now()}
 }
 
-// Formerly reports whether an engine held an adapter recently and does not hold it now: the engine
+// PreviouslyHeld reports whether an engine held an adapter recently and does not hold it now: the engine
 // reloads it in a tenth of the time of a load, without the weight store.
-func (r *Residency) Formerly(engine string, a snipecatalog.Adapter) bool {
+func (r *Residency) PreviouslyHeld(engine string, a snipecatalog.Adapter) bool {
 	r.lock.RLock()
 	defer r.lock.RUnlock()
 	v := r.engines[engine]
@@ -199,8 +199,8 @@
 	delete(r.engines, engine)
 }
 
-// Keep drops all engines for which known is false, and the expired observations of the others.
-func (r *Residency) Keep(known func(engine string) bool) {
+// Retain drops all engines for which known is false, and the expired observations of the others.
+func (r *Residency) Retain(known func(engine string) bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for id, v := range r.engines {
@@ -235,9 +235,9 @@
 	return append(engines, r.holders[a]...)
 }
 
-// Formers appends the engines that are recorded to have held an adapter; Formerly reports whether
+// PreviousHolders appends the engines that are recorded to have held an adapter; Formerly reports whether
 // one has held it and does not hold it now.
-func (r *Residency) Formers(a snipecatalog.Adapter, engines []string) []string {
+func (r *Residency) PreviousHolders(a snipecatalog.Adapter, engines []string) []string {
 	r.lock.RLock()
 	defer r.lock.RUnlock()
 	return append(engines, r.previousHolders[a]...)
--- a/snipeadapter/residency_test.go
+++ b/snipeadapter/residency_test.go
@@ -21,8 +21,8 @@
 		u := &snipedirectory.Upstream{ID: "e1", Models: []string{model}, Resident: []snipedirectory.Resident{
 			{Adapter: listed, Version: 1}, {Adapter: denied, Version: 1},
 		}}
-		r.Tell("e1", reported, 2)
-		r.Deny("e1", denied)
+		r.RecordHeld("e1", reported, 2)
+		r.RecordAbsent("e1", denied)
 		r.Observe(u)
 		holds := func(a snipecatalog.Adapter, version int64, ok bool) {
 			t.Helper()
@@ -58,24 +58,24 @@
 			r.Observe(u)
 		}
 		observe(1, 2)
-		must.False(t, r.Formerly("e1", adapter(1)))
-		must.False(t, r.Formerly("unknown", adapter(1)))
+		must.False(t, r.PreviouslyHeld("e1", adapter(1)))
+		must.False(t, r.PreviouslyHeld("unknown", adapter(1)))
 		observe(2)
-		must.True(t, r.Formerly("e1", adapter(1)))
-		r.Tell("e1", adapter(1), 1)
-		must.False(t, r.Formerly("e1", adapter(1)))
-		r.Deny("e1", adapter(2))
-		must.True(t, r.Formerly("e1", adapter(2)))
-		r.Deny("e1", adapter(3)) // never held
-		must.False(t, r.Formerly("e1", adapter(3)))
+		must.True(t, r.PreviouslyHeld("e1", adapter(1)))
+		r.RecordHeld("e1", adapter(1), 1)
+		must.False(t, r.PreviouslyHeld("e1", adapter(1)))
+		r.RecordAbsent("e1", adapter(2))
+		must.True(t, r.PreviouslyHeld("e1", adapter(2)))
+		r.RecordAbsent("e1", adapter(3)) // never held
+		must.False(t, r.PreviouslyHeld("e1", adapter(3)))
 		for n := range most {
 			time.Sleep(time.Millisecond)
-			r.Tell("e1", adapter(10+n), 1)
-			r.Deny("e1", adapter(10+n))
+			r.RecordHeld("e1", adapter(10+n), 1)
+			r.RecordAbsent("e1", adapter(10+n))
 		}
-		must.False(t, r.Formerly("e1", adapter(2)))
-		must.True(t, r.Formerly("e1", adapter(10)))
+		must.False(t, r.PreviouslyHeld("e1", adapter(2)))
+		must.True(t, r.PreviouslyHeld("e1", adapter(10)))
 		r.Forget("e1")
-		must.False(t, r.Formerly("e1", adapter(10)))
+		must.False(t, r.PreviouslyHeld("e1", adapter(10)))
 	})
 }
--- a/snipeadapter/restart_test.go
+++ b/snipeadapter/restart_test.go
@@ -46,7 +46,7 @@
 	current atomic.Pointer[snipedirectory.Upstream]
 }
 
-func newRegistry(c *snipeadapter.Desk) *registry {
+func newRegistry(c *snipeadapter.Controller) *registry {
 	r := &registry{}
 	c.Upstream = func(id string) *snipedirectory.Upstream {
 		if u := r.current.Load(); u != nil && u.ID == id {
@@ -54,7 +54,7 @@
 		}
 		return nil
 	}
-	c.StartedAgain = func(id string) {
+	c.EngineRestarted = func(id string) {
 		if u := r.current.Load(); u != nil && u.ID == id {
 			r.current.CompareAndSwap(u, nil)
 		}
@@ -64,10 +64,10 @@
 }
 
 // show replaces the engine's entry in the directory by one for a new start.
-func (r *registry) show(c *snipeadapter.Desk, start int64) {
+func (r *registry) show(c *snipeadapter.Controller, start int64) {
 	old := r.current.Load()
 	r.current.Store(&snipedirectory.Upstream{
-		ID: snipedirectory.StartID("e1", start), Name: "e1", Start: start, Again: start > 1,
+		ID: snipedirectory.StartID("e1", start), Name: "e1", Start: start, Restarted: start > 1,
 		Address: netip.MustParseAddrPort("10.9.0.1:80"), Models: []string{model},
 	})
 	if old != nil {
@@ -93,7 +93,7 @@
 	for name, late := range map[string]float64{"Lost": 0, "Late": 1, "LostOrLate": 0.5} {
 		for seed := range uint64(16) {
 			t.Run(fmt.Sprint(name, seed), func(t *testing.T) {
-				runSimulation(t, seed, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+				runSimulation(t, seed, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 					e.setStart(1)
 					e.setLoss(0.35, late)
 					r := newRegistry(c)
@@ -138,7 +138,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			runSimulation(t, 1, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+			runSimulation(t, 1, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 				e.setStart(tt.reported)
 				time.Sleep(2 * reportLag)
 				r := newRegistry(c)
@@ -162,7 +162,7 @@
 // TestPlacesAfterStart checks that a slot stays free for a load from before the restart as long as
 // that load may still be executed.
 func TestPlacesAfterStart(t *testing.T) {
-	runSimulation(t, 3, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 3, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		e.setStart(2)
 		time.Sleep(2 * reportLag)
 		r := newRegistry(c)
@@ -198,15 +198,15 @@
 		next := &snipedirectory.Upstream{ID: snipedirectory.StartID("e1", 2), Name: "e1", Start: 2}
 		held := snipecatalog.Adapter{Model: model, Name: "a1"}
 		r.Observe(old)
-		r.Tell(old.ID, held, 3)
+		r.RecordHeld(old.ID, held, 3)
 		r.Forget(old.ID)
 		r.Observe(next)
 		_, ok := r.Holds(next, held)
 		must.False(t, ok)
-		r.Tell(old.ID, held, 3)
+		r.RecordHeld(old.ID, held, 3)
 		_, ok = r.Holds(next, held)
 		must.False(t, ok)
-		r.Keep(func(id string) bool { return id == next.ID })
+		r.Retain(func(id string) bool { return id == next.ID })
 		_, ok = r.Holds(old, held)
 		must.False(t, ok)
 	})
@@ -216,12 +216,12 @@
 // that were loading by orders of the previous owner when the engine was read must become evictable
 // once they are loaded.
 func TestComingFromBefore(t *testing.T) {
-	runSimulation(t, 4, func(t *testing.T, e *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+	runSimulation(t, 4, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		for n := range slots {
 			e.execute(snipeadapter.Order{Action: snipeadapter.Load, Adapter: adapter(n), Expect: uint64(n)})
 		}
 		time.Sleep(reportLag)
-		c.Take(t.Context(), c.Upstream("e1"))
+		c.ReadEngine(t.Context(), c.Upstream("e1"))
 		_, err := c.Ensure(t.Context(), "e1", adapter(slots), 0, longWait)
 		must.NoError(t, err)
 		must.Eq(t, slots, e.count())
--- a/snipeadapter/slotwait_test.go
+++ b/snipeadapter/slotwait_test.go
@@ -28,7 +28,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			runSimulation(t, 21, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Desk, _ *bool) {
+			runSimulation(t, 21, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 				uses := map[snipecatalog.Adapter]snipeadapter.Use{}
 				for n := range slots {
 					_, err := c.Ensure(t.Context(), "e1", adapter(n), 0, longWait)
@@ -38,7 +38,7 @@
 					}
 				}
 				time.Sleep(500 * time.Millisecond)
-				c.Used("e1", "i1", uses)
+				c.RecordUse("e1", "i1", uses)
 				for n := range tt.queued {
 					go func() { _, _ = c.Ensure(t.Context(), "e1", adapter(slots+1+n), 0, longWait) }()
 					time.Sleep(time.Millisecond)
--- a/snipeadapter/snipeadapter.go
+++ b/snipeadapter/snipeadapter.go
@@ -119,8 +119,8 @@
 	// Models are the base models that the engine holds, Resident the adapters that it holds.
 	Models   []string
 	Resident []snipedirectory.Resident
-	// Coming are the adapters that are loading.
-	Coming []snipedirectory.Resident
+	// Loading are the adapters that are loading.
+	Loading []snipedirectory.Resident
 }
 
 // Engine holds the functions through which the controller calls engines.
--- a/snipeadapter/use.go
+++ b/snipeadapter/use.go
@@ -6,10 +6,10 @@
 	"snipepitch.example/snipepitch/snipecatalog"
 )
 
-// UseLife is how long a report of requests in flight is valid. An instance repeats the report while
+// UseTTL is how long a report of requests in flight is valid. An instance repeats the report while
 // the requests last, so a lost report does no harm, and reports their end at once. The adapters
 // that a killed instance was using can be evicted after this time.
-const UseLife = 1500 * time.Millisecond
+const UseTTL = 1500 * time.Millisecond
 
 // Use is what one instance reports about an adapter on an engine.
 type Use struct {
@@ -25,9 +25,9 @@
 	expires  time.Time
 }
 
-// Used records an instance's use of the adapters of an engine, and returns the adapters that the
+// RecordUse records an instance's use of the adapters of an engine, and returns the adapters that the
 // engine neither holds nor is about to load.
-func (c *Desk) Used(id, instance string, uses map[snipecatalog.Adapter]Use) (absent []snipecatalog.Adapter) {
+func (c *Controller) RecordUse(id, instance string, uses map[snipecatalog.Adapter]Use) (absent []snipecatalog.Adapter) {
 	c.lock.Lock()
 	e := c.engines[id]
 	c.lock.Unlock()
@@ -51,7 +51,7 @@
 		}
 	}
 	if len(running) > 0 {
-		e.inFlightReports[instance] = inFlightReport{running, now.Add(UseLife)}
+		e.inFlightReports[instance] = inFlightReport{running, now.Add(UseTTL)}
 	}
 	return absent
 }
--- a/snipebalance/board_test.go
+++ b/snipebalance/board_test.go
@@ -56,7 +56,7 @@
 					b := &balancers[own]
 					if tt.shared {
 						for id, load := range board.Loads() {
-							b.Told(id, load)
+							b.SetLoad(id, load)
 						}
 					}
 					if len(running[own]) == inFlight {
@@ -65,7 +65,7 @@
 					}
 					running[own] = append(running[own], b.Begin(b.Pick(all, every, nil).ID, 1))
 					for _, u := range all {
-						board.Report(u.ID, fmt.Sprint(own), b.Mine(u.ID))
+						board.Report(u.ID, fmt.Sprint(own), b.InFlight(u.ID))
 					}
 				}
 				busiest := 0.0
--- a/snipebalance/snipebalance.go
+++ b/snipebalance/snipebalance.go
@@ -201,8 +201,8 @@
 	}
 }
 
-// Mine returns the weight of this instance's requests in flight at an upstream.
-func (b *Balancer) Mine(id string) float64 {
+// InFlight returns the weight of this instance's requests in flight at an upstream.
+func (b *Balancer) InFlight(id string) float64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	if s := b.states[id]; s != nil {
@@ -211,8 +211,8 @@
 	return 0
 }
 
-// Told records the load of an upstream, as the upstream itself or a Board reports it.
-func (b *Balancer) Told(id string, load float64) {
+// SetLoad records the load of an upstream, as the upstream itself or a Board reports it.
+func (b *Balancer) SetLoad(id string, load float64) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.setLoad(id, load, time.Now())
@@ -223,30 +223,30 @@
 	s.reported, s.inFlightThen, s.reportedAt = load, s.inFlight, at
 }
 
-// Statement is the reported load of an upstream and the age of the report.
-type Statement struct {
+// LoadReport is the reported load of an upstream and the age of the report.
+type LoadReport struct {
 	ID   string
 	Load float64
 	Age  time.Duration
 }
 
-// Statements returns the recent reports of the upstreams whose reported load is above zero.
-func (b *Balancer) Statements() []Statement {
+// LoadReports returns the recent reports of the upstreams whose reported load is above zero.
+func (b *Balancer) LoadReports() []LoadReport {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
-	var all []Statement
+	var all []LoadReport
 	for id, s := range b.states {
 		if age := now.Sub(s.reportedAt); s.reported > 0 && age < reportLifetime {
-			all = append(all, Statement{id, s.reported, age})
+			all = append(all, LoadReport{id, s.reported, age})
 		}
 	}
 	return all
 }
 
-// ToldAll records the statements of another instance, which lists every upstream that has a load.
+// MergeLoads records the statements of another instance, which lists every upstream that has a load.
 // A load that this instance has recorded more recently is kept.
-func (b *Balancer) ToldAll(all []Statement) {
+func (b *Balancer) MergeLoads(all []LoadReport) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
@@ -295,8 +295,8 @@
 	b.notify(id, true)
 }
 
-// Broken records that a request got no usable answer. Several in a row make the upstream suspect.
-func (b *Balancer) Broken(id string) { b.recordFailure(id, false) }
+// Unanswered records that a request got no usable answer. Several in a row make the upstream suspect.
+func (b *Balancer) Unanswered(id string) { b.recordFailure(id, false) }
 
 // recordFailure counts a failure, which makes the upstream suspect at once or after maxUnanswered
 // failures in a row.
--- a/snipebalance/snipebalance_test.go
+++ b/snipebalance/snipebalance_test.go
@@ -30,8 +30,8 @@
 		"Near":      {func(*snipebalance.Balancer) {}, "near"},
 		"OwnLoad":   {func(b *snipebalance.Balancer) { b.Begin("near", 2) }, "far"},
 		"Ended":     {func(b *snipebalance.Balancer) { b.Begin("near", 2)() }, "near"},
-		"ToldLoad":  {func(b *snipebalance.Balancer) { b.Told("near", 5) }, "far"},
-		"OldTold":   {func(b *snipebalance.Balancer) { b.Told("near", 5); time.Sleep(3 * time.Second) }, "near"},
+		"ToldLoad":  {func(b *snipebalance.Balancer) { b.SetLoad("near", 5) }, "far"},
+		"OldTold":   {func(b *snipebalance.Balancer) { b.SetLoad("near", 5); time.Sleep(3 * time.Second) }, "near"},
 		"Unreached": {func(b *snipebalance.Balancer) { b.Unreached("near") }, "far"},
 		"Recovered": {func(b *snipebalance.Balancer) {
 			b.Unreached("near")
@@ -64,7 +64,7 @@
 	b := &snipebalance.Balancer{}
 	u := upstreams()[0]
 	end := b.Begin(u.ID, 3)
-	b.Told(u.ID, 5)
+	b.SetLoad(u.ID, 5)
 	must.InDelta(t, 0.5, b.Busy(u), 0.01)
 	end()
 	must.Less(t, 0.25, b.Busy(u))
@@ -93,10 +93,10 @@
 func TestBrokenAnswers(t *testing.T) {
 	b := &snipebalance.Balancer{}
 	u := upstreams()[0]
-	b.Broken(u.ID)
-	b.Broken(u.ID)
+	b.Unanswered(u.ID)
+	b.Unanswered(u.ID)
 	must.True(t, b.Usable(u))
-	b.Broken(u.ID)
+	b.Unanswered(u.ID)
 	must.False(t, b.Usable(u))
 	b.Forget(u.ID)
 	must.True(t, b.Usable(u))
@@ -107,7 +107,7 @@
 	all := make([]*snipedirectory.Upstream, 600)
 	for n := range all {
 		all[n] = &snipedirectory.Upstream{ID: string(rune('a' + n)), Slots: 64}
-		balancer.Told(all[n].ID, float64(n))
+		balancer.SetLoad(all[n].ID, float64(n))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/snipecatalog/snipecatalog.go
+++ b/snipecatalog/snipecatalog.go
@@ -183,9 +183,9 @@
 	// Catalog is nil if it has not changed.
 	Catalog  *Catalog
 	Versions []Announcement
-	// Wrong holds the errors of documents that could not be decoded; the other documents
+	// Errors holds the errors of documents that could not be decoded; the other documents
 	// still apply.
-	Wrong []error
+	Errors []error
 }
 
 // Announced is a version of an adapter and the time at which this instance learned of it.
@@ -194,9 +194,9 @@
 	Learned time.Time
 }
 
-// Keeper holds the catalog in effect and the adapters' versions. It is safe for concurrent
+// Cache holds the catalog in effect and the adapters' versions. It is safe for concurrent
 // use.
-type Keeper struct {
+type Cache struct {
 	current atomic.Pointer[Catalog]
 
 	lock     sync.RWMutex            // guards versions
@@ -204,11 +204,11 @@
 }
 
 // Catalog returns the catalog in effect; nil before the first one is known.
-func (k *Keeper) Catalog() *Catalog { return k.current.Load() }
+func (k *Cache) Catalog() *Catalog { return k.current.Load() }
 
 // Adopt puts a catalog into effect and reports whether it did so: a catalog whose version is
 // not higher than the current one is ignored. The catalog must be indexed.
-func (k *Keeper) Adopt(c *Catalog) bool {
+func (k *Cache) Adopt(c *Catalog) bool {
 	for {
 		old := k.current.Load()
 		if old != nil && old.Version >= c.Version {
@@ -226,7 +226,7 @@
 
 // Announce records a version of an adapter and reports whether it is higher than all versions
 // announced before.
-func (k *Keeper) Announce(a Adapter, version int64) bool {
+func (k *Cache) Announce(a Adapter, version int64) bool {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	known := k.versions[a]
@@ -246,7 +246,7 @@
 
 // Newest returns the newest announced version of an adapter; false if none has been announced,
 // so that only the adapter's initial version exists.
-func (k *Keeper) Newest(a Adapter) (int64, bool) {
+func (k *Cache) Newest(a Adapter) (int64, bool) {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
 	known := k.versions[a]
@@ -258,7 +258,7 @@
 
 // Required returns the lowest version of an adapter that a new request may use: the newest one
 // that has been known for at least grace; 0 if there is none.
-func (k *Keeper) Required(a Adapter, grace time.Duration) int64 {
+func (k *Cache) Required(a Adapter, grace time.Duration) int64 {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
 	known := k.versions[a]
@@ -271,7 +271,7 @@
 }
 
 // Announcements returns the newest version of each adapter that has an announced version.
-func (k *Keeper) Announcements() map[Adapter]int64 {
+func (k *Cache) Announcements() map[Adapter]int64 {
 	k.lock.RLock()
 	defer k.lock.RUnlock()
 	all := make(map[Adapter]int64, len(k.versions))
--- a/snipecatalog/snipecatalog_test.go
+++ b/snipecatalog/snipecatalog_test.go
@@ -63,7 +63,7 @@
 
 // TestNeverBack guards against a catalog that is replaced by one of the same or a lower version.
 func TestNeverBack(t *testing.T) {
-	k := &snipecatalog.Keeper{}
+	k := &snipecatalog.Cache{}
 	must.Nil(t, k.Catalog())
 	must.True(t, k.Adopt(catalog(3)))
 	must.False(t, k.Adopt(catalog(2)))
@@ -76,7 +76,7 @@
 func TestRequired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const grace = 3 * time.Second
-		k := &snipecatalog.Keeper{}
+		k := &snipecatalog.Cache{}
 		a := snipecatalog.Adapter{Model: "base", Name: "a1"}
 		must.Eq(t, 0, k.Required(a, grace))
 		must.True(t, k.Announce(a, 2))
--- a/snipecatalog/workspace.go
+++ b/snipecatalog/workspace.go
@@ -36,8 +36,8 @@
 	Burst     float64
 	// Tokens reports whether units are tokens of prompts and answers; otherwise they are requests.
 	Tokens bool
-	// PlainTokens is the number of tokens charged for a request that does not state its size.
-	PlainTokens int
+	// DefaultTokens is the number of tokens charged for a request that does not state its size.
+	DefaultTokens int
 }
 
 // Limited reports whether q limits a workspace at all.
@@ -50,7 +50,7 @@
 	case !q.Tokens:
 		return 1
 	case !stated:
-		return float64(q.PlainTokens)
+		return float64(q.DefaultTokens)
 	default:
 		return float64(tokens)
 	}
@@ -65,7 +65,7 @@
 		return invalid("has no name")
 	case !finiteNonNegative(w.Quota.PerSecond) || !finiteNonNegative(w.Quota.Burst):
 		return invalid("rate or burst is no number from 0 on")
-	case w.Quota.PlainTokens < 0:
+	case w.Quota.DefaultTokens < 0:
 		return invalid("the size of plain requests is negative")
 	case slices.Contains(w.Keys, DigestKey("")):
 		return invalid("a key is empty")
@@ -75,8 +75,8 @@
 
 func finiteNonNegative(f float64) bool { return f >= 0 && !math.IsInf(f, 1) }
 
-// Keyed reports whether requests need a key, except for those of public routes.
-func (c *Catalog) Keyed() bool { return len(c.Workspaces) > 0 }
+// RequiresKeys reports whether requests need a key, except for those of public routes.
+func (c *Catalog) RequiresKeys() bool { return len(c.Workspaces) > 0 }
 
 // Limited reports whether any workspace has a quota.
 func (c *Catalog) Limited() bool { return c.anyLimited }
--- a/snipecatalog/workspace_test.go
+++ b/snipecatalog/workspace_test.go
@@ -26,19 +26,19 @@
 // TestWorkspace verifies that a workspace is found by its keys only.
 func TestWorkspace(t *testing.T) {
 	c := keyed(t, 3, 2)
-	must.True(t, c.Keyed())
+	must.True(t, c.RequiresKeys())
 	must.False(t, c.Limited())
 	must.Eq(t, "2", c.Workspace(snipecatalog.DigestKey("2/1")).Name)
 	for _, key := range []string{"", "2/2", "2/1 ", "2/"} {
 		must.Nil(t, c.Workspace(snipecatalog.DigestKey(key)))
 	}
 	must.Nil(t, c.WorkspaceNamed("3"))
-	must.False(t, keyed(t, 0, 0).Keyed())
+	must.False(t, keyed(t, 0, 0).RequiresKeys())
 }
 
 // TestCost verifies the units that requests are charged.
 func TestCost(t *testing.T) {
-	tokens := snipecatalog.Quota{PerSecond: 1, Tokens: true, PlainTokens: 200}
+	tokens := snipecatalog.Quota{PerSecond: 1, Tokens: true, DefaultTokens: 200}
 	tests := map[string]struct {
 		quota  snipecatalog.Quota
 		tokens int
--- a/snipecert/snipecert.go
+++ b/snipecert/snipecert.go
@@ -106,9 +106,9 @@
 	return os.ReadFile(path)
 }
 
-// Keeper provides the current certificate and key of a listener. Exported fields are set
+// Reloader provides the current certificate and key of a listener. Exported fields are set
 // before Load.
-type Keeper struct {
+type Reloader struct {
 	// Files contains the paths of the files, and Name is the listener's name in the log.
 	Files Files
 	Name  string
@@ -122,7 +122,7 @@
 
 // Load reads the files for the first time. It must be called before Run, Server and
 // Dialer are used.
-func (k *Keeper) Load() error {
+func (k *Reloader) Load() error {
 	c, err := k.Files.read()
 	if err != nil {
 		return err
@@ -132,7 +132,7 @@
 }
 
 // Run reads the files at the interval Poll and uses their content, until ctx ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Reloader) Run(ctx context.Context) error {
 	t := time.NewTicker(k.Poll)
 	defer t.Stop()
 	failure := ""
@@ -148,7 +148,7 @@
 
 // reload reads the files once. It returns the text of the error, which is logged only if
 // it differs from the previous one, or an empty string.
-func (k *Keeper) reload(previous string) string {
+func (k *Reloader) reload(previous string) string {
 	c, err := k.Files.read()
 	if err != nil {
 		if err.Error() != previous {
@@ -177,7 +177,7 @@
 
 // Server returns the TLS configuration of a listener. New connections use the current
 // files. If there is an authority, the other side must present a certificate.
-func (k *Keeper) Server() *tls.Config {
+func (k *Reloader) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -206,7 +206,7 @@
 // signed. It does not check the name in that certificate: instances are identified by
 // addresses, which change whenever an instance is replaced, and the authority signs
 // certificates of instances only.
-func (k *Keeper) Dialer(d Dial) Dial {
+func (k *Reloader) Dialer(d Dial) Dial {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		plain, err := d(ctx, network, address)
 		if err != nil {
--- a/snipecert/snipecert_test.go
+++ b/snipecert/snipecert_test.go
@@ -104,7 +104,7 @@
 
 // serverSerial connects a client to a server, and returns the serial number of the certificate that
 // the server presents.
-func serverSerial(t *testing.T, server, client *Keeper) (int64, error) {
+func serverSerial(t *testing.T, server, client *Reloader) (int64, error) {
 	l, err := tls.Listen("tcp", "127.0.0.1:0", server.Server())
 	must.NoError(t, err)
 	done := make(chan struct{})
@@ -137,7 +137,7 @@
 	dir := t.TempDir()
 	f, key := a.write(t, dir, 2, time.Hour)
 	var log bytes.Buffer
-	k := &Keeper{Files: f, Name: "Peers", Log: snipelog.New(&log, logrus.TraceLevel, "entry-1")}
+	k := &Reloader{Files: f, Name: "Peers", Log: snipelog.New(&log, logrus.TraceLevel, "entry-1")}
 	must.NoError(t, k.Load())
 	n, err := serverSerial(t, k, k)
 	must.NoError(t, err)
@@ -171,9 +171,9 @@
 // TestPeersProveThemselves checks that a client rejects a server, and a server a client, whose
 // certificate its authority has not signed.
 func TestPeersProveThemselves(t *testing.T) {
-	newKeeper := func(a *authority) *Keeper {
+	newKeeper := func(a *authority) *Reloader {
 		f, _ := a.write(t, t.TempDir(), 2, time.Hour)
-		k := &Keeper{Files: f}
+		k := &Reloader{Files: f}
 		must.NoError(t, k.Load())
 		return k
 	}
--- a/snipeclaim/claim_test.go
+++ b/snipeclaim/claim_test.go
@@ -49,13 +49,13 @@
 
 func (cl *cluster) instance(name string, table snipeplatform.Table) *snipeclaim.Claims {
 	c := &snipeclaim.Claims{
-		Table: table, SweepTable: table, Instance: name, Dispatch: cl.dispatch, Sweep: time.Second, Timeout: 2 * time.Second,
-		Live: func(instance string) bool {
+		Table: table, SweepTable: table, Instance: name, Dispatch: cl.dispatch, SweepInterval: time.Second, Timeout: 2 * time.Second,
+		IsLive: func(instance string) bool {
 			cl.lock.Lock()
 			defer cl.lock.Unlock()
 			return !cl.dead[instance]
 		},
-		Mine: func(string) bool { return true }, Operation: rand.Text, Log: snipelog.Discard(),
+		SweepsPartition: func(string) bool { return true }, Operation: rand.Text, Log: snipelog.Discard(),
 	}
 	c.Serve = func(ctx context.Context, call *snipecall.Call, sink snipecall.Sink) error {
 		cl.runHook(&cl.before)
--- a/snipeclaim/random_test.go
+++ b/snipeclaim/random_test.go
@@ -124,7 +124,7 @@
 	for n := range 8 {
 		claims := &snipeclaim.Claims{
 			Table: s.random.faultyTable(s.table.Client()), Instance: fmt.Sprintf("entry-%d", n%3), Dispatch: s.dispatch,
-			Live: func(string) bool { return s.random.intn(2) == 0 }, Timeout: 10 * time.Second,
+			IsLive: func(string) bool { return s.random.intn(2) == 0 }, Timeout: 10 * time.Second,
 			Operation: rand.Text, Log: snipelog.Discard(),
 		}
 		claims.Serve = func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
--- a/snipeclaim/snipeclaim.go
+++ b/snipeclaim/snipeclaim.go
@@ -125,12 +125,12 @@
 	Serve func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
 	// Dispatch executes a call at its upstream.
 	Dispatch func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
-	// Live reports whether an instance is considered alive.
-	Live func(instance string) bool
-	// Mine reports whether this instance sweeps a partition, and Sweep is the interval
+	// IsLive reports whether an instance is considered alive.
+	IsLive func(instance string) bool
+	// SweepsPartition reports whether this instance sweeps a partition, and Sweep is the interval
 	// between the sweeps of two partitions.
-	Mine  func(partition string) bool
-	Sweep time.Duration
+	SweepsPartition func(partition string) bool
+	SweepInterval   time.Duration
 	// Timeout bounds each step before the dispatch.
 	Timeout time.Duration
 	// Operation returns a new identifier for a write to the table.
@@ -286,7 +286,7 @@
 	case Released:
 		return nil, nil
 	case Dispatched:
-		if s.Live(r.Instance) && time.Since(r.Deadline) < claimAge {
+		if s.IsLive(r.Instance) && time.Since(r.Deadline) < claimAge {
 			return nil, inFlightError()
 		}
 	}
@@ -295,7 +295,7 @@
 
 // abandoned reports whether the attempt of a Claimed row seems to be gone.
 func (s *Claims) abandoned(r record) bool {
-	return !s.Live(r.Instance) || time.Since(r.Changed) > claimAge
+	return !s.IsLive(r.Instance) || time.Since(r.Changed) > claimAge
 }
 
 func inFlightError() error {
--- a/snipeclaim/sweep.go
+++ b/snipeclaim/sweep.go
@@ -23,7 +23,7 @@
 // write in each interval, so that the write rate of all instances together is at most
 // their number divided by the interval.
 func (s *Claims) Run(ctx context.Context) error {
-	return snipetime.Every(ctx, s.Sweep, func(ctx context.Context) {
+	return snipetime.Every(ctx, s.SweepInterval, func(ctx context.Context) {
 		if err := s.sweep(ctx); err != nil && ctx.Err() == nil {
 			s.Log.Error(snipelog.SweepFailed, err, nil)
 		}
@@ -35,7 +35,7 @@
 func (s *Claims) nextPartition() (string, bool) {
 	for range partitions {
 		s.cursor = (s.cursor + 1) % partitions
-		if name := partitionName(s.cursor); s.Mine(name) {
+		if name := partitionName(s.cursor); s.SweepsPartition(name) {
 			return name, true
 		}
 	}
--- a/snipedirectory/leaving_test.go
+++ b/snipedirectory/leaving_test.go
@@ -22,37 +22,37 @@
 func TestLeavesByItsWord(t *testing.T) {
 	const left, next = "a@1", "a@2"
 	tests := map[string]struct {
-		then func(k *snipedirectory.Keeper)
+		then func(k *snipedirectory.Cache)
 		id   string
 		want bool
 	}{
-		"Said":       {func(*snipedirectory.Keeper) {}, left, true},
-		"OlderEntry": {func(k *snipedirectory.Keeper) { k.Apply(whole(entryOfStart(1), entry("b", false))) }, left, true},
-		"EntryLapses": {func(k *snipedirectory.Keeper) {
+		"Said":       {func(*snipedirectory.Cache) {}, left, true},
+		"OlderEntry": {func(k *snipedirectory.Cache) { k.Apply(whole(entryOfStart(1), entry("b", false))) }, left, true},
+		"EntryLapses": {func(k *snipedirectory.Cache) {
 			k.Apply(whole(entry("b", false)))
 			k.Apply(whole(entryOfStart(1), entry("b", false)))
 		}, left, true},
-		"Outage": {func(k *snipedirectory.Keeper) {
-			k.Lost()
+		"Outage": {func(k *snipedirectory.Cache) {
+			k.RegistryLost()
 			k.Apply(whole(entry("b", false)))
 			time.Sleep(time.Second)
 			k.Apply(whole(entryOfStart(1), entry("b", false)))
 		}, left, true},
-		"SaidAgain":    {func(k *snipedirectory.Keeper) { k.Leave(left) }, left, true},
-		"AnotherStart": {func(k *snipedirectory.Keeper) { k.Apply(whole(entryOfStart(2), entry("b", false))) }, next, false},
+		"SaidAgain":    {func(k *snipedirectory.Cache) { k.MarkLeaving(left) }, left, true},
+		"AnotherStart": {func(k *snipedirectory.Cache) { k.Apply(whole(entryOfStart(2), entry("b", false))) }, next, false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				notifications := 0
-				k := &snipedirectory.Keeper{Return: 2 * time.Second, Seen: func(_ *snipedirectory.Upstream, e snipedirectory.Event) {
+				k := &snipedirectory.Cache{LapseGrace: 2 * time.Second, OnEvent: func(_ *snipedirectory.Upstream, e snipedirectory.Event) {
 					if e == snipedirectory.Leaving {
 						notifications++
 					}
 				}}
 				k.Apply(whole(entryOfStart(1), entry("b", false)))
 				before := k.Snapshot()
-				k.Leave(left)
+				k.MarkLeaving(left)
 				tt.then(k)
 				must.Eq(t, tt.want, k.Snapshot().ByID(tt.id).Leaving)
 				must.False(t, k.Snapshot().ByID("b").Leaving)
@@ -66,8 +66,8 @@
 // TestLeavesBeforeItIsKnown guards against an announcement that is lost because another instance
 // forwarded it before this instance has read the upstream's entry in the registry.
 func TestLeavesBeforeItIsKnown(t *testing.T) {
-	k := &snipedirectory.Keeper{}
-	k.Leave("a@1")
+	k := &snipedirectory.Cache{}
+	k.MarkLeaving("a@1")
 	k.Apply(whole(entryOfStart(1)))
 	must.True(t, k.Snapshot().ByID("a@1").Leaving)
 }
--- a/snipedirectory/snipedirectory.go
+++ b/snipedirectory/snipedirectory.go
@@ -46,11 +46,11 @@
 	// Start is the start time that the upstream reports, in milliseconds; 0 if it reports
 	// none.
 	Start int64
-	// Again reports whether an earlier start of the same name was known when this start
+	// Restarted reports whether an earlier start of the same name was known when this start
 	// appeared. The Keeper sets it.
-	Again   bool
-	Service string
-	Address netip.AddrPort
+	Restarted bool
+	Service   string
+	Address   netip.AddrPort
 	// RankKey is the hash of the address, by which upstreams are ranked for an adapter. The
 	// Keeper sets it.
 	RankKey uint64
@@ -121,19 +121,19 @@
 	Changed  []*Upstream
 	// Removed lists the names of upstreams whose entry was removed, Wrong those whose entry
 	// cannot be decoded.
-	Removed []string
-	Wrong   []string
+	Removed     []string
+	Undecodable []string
 }
 
-// Keeper holds the newest snapshot. Exported fields are set before the first call. A Keeper
+// Cache holds the newest snapshot. Exported fields are set before the first call. A Cache
 // is safe for concurrent use.
-type Keeper struct {
-	// Seen, if not nil, is called for each upstream that appears, starts to leave or is gone.
+type Cache struct {
+	// OnEvent, if not nil, is called for each upstream that appears, starts to leave or is gone.
 	// It is called with the Keeper's lock held.
-	Seen func(u *Upstream, e Event)
-	// Return is how long, counted from the last call of Lost, missing entries are kept:
+	OnEvent func(u *Upstream, e Event)
+	// LapseGrace is how long, counted from the last call of Lost, missing entries are kept:
 	// entries lapse while an outage of the registry keeps the upstreams from renewing them.
-	Return time.Duration
+	LapseGrace time.Duration
 
 	current atomic.Pointer[Snapshot]
 
@@ -160,17 +160,17 @@
 )
 
 // Snapshot returns the newest snapshot; nil before the registry has been read.
-func (k *Keeper) Snapshot() *Snapshot { return k.current.Load() }
+func (k *Cache) Snapshot() *Snapshot { return k.current.Load() }
 
-// Lost records that the registry could not be read.
-func (k *Keeper) Lost() {
+// RegistryLost records that the registry could not be read.
+func (k *Cache) RegistryLost() {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	k.lastOutage = time.Now()
 }
 
 // Apply applies a change and publishes the resulting snapshot.
-func (k *Keeper) Apply(c Change) {
+func (k *Cache) Apply(c Change) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	b := k.nextSnapshot()
@@ -181,7 +181,7 @@
 	for _, u := range c.Changed {
 		k.put(b, u)
 	}
-	for _, name := range c.Wrong {
+	for _, name := range c.Undecodable {
 		k.remove(b, name)
 	}
 	for _, name := range removed {
@@ -191,9 +191,9 @@
 	k.current.Store(b.snapshot(c.Position, time.Now()))
 }
 
-// End records that a start is over although the registry still lists it, because the upstream
+// MarkEnded records that a start is over although the registry still lists it, because the upstream
 // has restarted. The upstream is not used until its entry shows another start.
-func (k *Keeper) End(id string) {
+func (k *Cache) MarkEnded(id string) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	old := k.current.Load()
@@ -214,9 +214,9 @@
 // and come back.
 const leavingRetention = 10 * time.Minute
 
-// Leave records that a start has itself announced that it is leaving, which the registry may not
+// MarkLeaving records that a start has itself announced that it is leaving, which the registry may not
 // show yet.
-func (k *Keeper) Leave(id string) {
+func (k *Cache) MarkLeaving(id string) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	if k.announcedLeaving == nil {
@@ -239,7 +239,7 @@
 }
 
 // nextSnapshot returns a builder that starts from the current snapshot. The lock is held.
-func (k *Keeper) nextSnapshot() *builder {
+func (k *Cache) nextSnapshot() *builder {
 	if k.byName == nil {
 		k.byName = make(map[string]*Upstream)
 	}
@@ -252,7 +252,7 @@
 	for _, u := range c.Changed {
 		present[u.Name] = true
 	}
-	for _, name := range c.Wrong {
+	for _, name := range c.Undecodable {
 		present[name] = true
 	}
 	var names []string
@@ -265,20 +265,20 @@
 }
 
 // put applies a decoded entry, unless End has recorded its start as over. The lock is held.
-func (k *Keeper) put(b *builder, u *Upstream) {
+func (k *Cache) put(b *builder, u *Upstream) {
 	if k.endedStarts[u.Name] == u.ID {
 		return
 	}
 	if _, ok := k.announcedLeaving[u.ID]; ok {
 		u.Leaving = true
 	}
-	_, u.Again = k.endedStarts[u.Name]
+	_, u.Restarted = k.endedStarts[u.Name]
 	delete(k.endedStarts, u.Name)
 	delete(k.lapsed, u.Name)
 	old := k.byName[u.Name]
 	if old != nil && old.ID != u.ID {
 		k.remove(b, u.Name)
-		u.Again, old = true, nil
+		u.Restarted, old = true, nil
 	}
 	k.byName[u.Name] = u
 	if old == nil {
@@ -287,7 +287,7 @@
 		k.notify(u, Appeared)
 		return
 	}
-	u.Again, u.RankKey = old.Again, old.RankKey
+	u.Restarted, u.RankKey = old.Restarted, old.RankKey
 	if u.Address != old.Address {
 		u.RankKey = sniperoute.Hash(u.Address.String())
 	}
@@ -303,12 +303,12 @@
 // removeOrLapse handles an upstream whose entry is gone. It removes the upstream, unless Lost
 // was called less than k.Return ago: entries lapse during an outage of the registry, and live
 // upstreams write them again. Such an upstream is kept until k.Return has passed. The lock is held.
-func (k *Keeper) removeOrLapse(b *builder, name string) {
+func (k *Cache) removeOrLapse(b *builder, name string) {
 	delete(k.endedStarts, name)
 	if k.byName[name] == nil {
 		return
 	}
-	if k.lastOutage.IsZero() || time.Since(k.lastOutage) >= k.Return {
+	if k.lastOutage.IsZero() || time.Since(k.lastOutage) >= k.LapseGrace {
 		k.remove(b, name)
 		return
 	}
@@ -316,12 +316,12 @@
 		k.lapsed = make(map[string]time.Time)
 	}
 	if _, ok := k.lapsed[name]; !ok {
-		k.lapsed[name] = k.lastOutage.Add(k.Return)
+		k.lapsed[name] = k.lastOutage.Add(k.LapseGrace)
 	}
 }
 
 // remove removes an upstream. The lock is held.
-func (k *Keeper) remove(b *builder, name string) {
+func (k *Cache) remove(b *builder, name string) {
 	delete(k.lapsed, name)
 	u := k.byName[name]
 	if u == nil {
@@ -334,7 +334,7 @@
 
 // removeExpired removes the upstreams whose lapsed entries did not come back in time. The lock
 // is held.
-func (k *Keeper) removeExpired(b *builder) {
+func (k *Cache) removeExpired(b *builder) {
 	for name, deadline := range k.lapsed {
 		if !time.Now().Before(deadline) {
 			k.remove(b, name)
@@ -342,8 +342,8 @@
 	}
 }
 
-func (k *Keeper) notify(u *Upstream, e Event) {
-	if k.Seen != nil {
-		k.Seen(u, e)
+func (k *Cache) notify(u *Upstream, e Event) {
+	if k.OnEvent != nil {
+		k.OnEvent(u, e)
 	}
 }
--- a/snipedirectory/snipedirectory_test.go
+++ b/snipedirectory/snipedirectory_test.go
@@ -27,7 +27,7 @@
 // TestApply verifies that each appearance, leaving and removal of an upstream is reported once.
 func TestApply(t *testing.T) {
 	got := map[string][]snipedirectory.Event{}
-	k := &snipedirectory.Keeper{Seen: func(u *snipedirectory.Upstream, e snipedirectory.Event) {
+	k := &snipedirectory.Cache{OnEvent: func(u *snipedirectory.Upstream, e snipedirectory.Event) {
 		got[u.ID] = append(got[u.ID], e)
 	}}
 	must.Nil(t, k.Snapshot().ByID("a"))
@@ -49,9 +49,9 @@
 // the registry are kept until Return has passed, and removed if the entries have not come back.
 func TestLapsedDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := &snipedirectory.Keeper{Return: 2 * time.Second}
+		k := &snipedirectory.Cache{LapseGrace: 2 * time.Second}
 		k.Apply(whole(entry("back", false), entry("gone", false)))
-		k.Lost()
+		k.RegistryLost()
 		time.Sleep(time.Second)
 		k.Apply(whole())
 		must.Eq(t, 2, k.Snapshot().Len())
@@ -80,7 +80,7 @@
 // start, and against the use of an upstream whose entry cannot be decoded.
 func TestStarts(t *testing.T) {
 	const appeared, gone = snipedirectory.Appeared, snipedirectory.Gone
-	wrong := func(names ...string) snipedirectory.Change { return snipedirectory.Change{Wrong: names} }
+	wrong := func(names ...string) snipedirectory.Change { return snipedirectory.Change{Undecodable: names} }
 	whole := func(c snipedirectory.Change) snipedirectory.Change {
 		c.Whole = true
 		return c
@@ -118,12 +118,12 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			got := events{}
-			k := &snipedirectory.Keeper{Seen: func(u *snipedirectory.Upstream, e snipedirectory.Event) {
+			k := &snipedirectory.Cache{OnEvent: func(u *snipedirectory.Upstream, e snipedirectory.Event) {
 				got[u.ID] = append(got[u.ID], e)
 			}}
 			for n, c := range tt.changes {
 				if n == len(tt.changes)-1 && tt.ended != "" {
-					k.End(tt.ended)
+					k.MarkEnded(tt.ended)
 				}
 				k.Apply(c)
 			}
@@ -132,7 +132,7 @@
 			for _, id := range tt.remaining {
 				u := k.Snapshot().ByID(id)
 				must.NotNil(t, u)
-				must.Eq(t, slices.Contains(tt.restarted, id), u.Again)
+				must.Eq(t, slices.Contains(tt.restarted, id), u.Restarted)
 			}
 		})
 	}
@@ -142,10 +142,10 @@
 // entries that lapsed during an outage of the registry are kept.
 func TestWrongInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := &snipedirectory.Keeper{Return: time.Minute}
+		k := &snipedirectory.Cache{LapseGrace: time.Minute}
 		k.Apply(whole(entry("a", false), entry("b", false)))
-		k.Lost()
-		k.Apply(snipedirectory.Change{Whole: true, Wrong: []string{"a"}})
+		k.RegistryLost()
+		k.Apply(snipedirectory.Change{Whole: true, Undecodable: []string{"a"}})
 		must.Nil(t, k.Snapshot().ByID("a"))
 		must.NotNil(t, k.Snapshot().ByID("b"))
 	})
@@ -156,7 +156,7 @@
 func TestSnapshotsStay(t *testing.T) {
 	const rounds, names = 300, 12
 	r := rand.New(rand.NewPCG(3, 3))
-	k := &snipedirectory.Keeper{}
+	k := &snipedirectory.Cache{}
 	model := map[string]*snipedirectory.Upstream{}
 	type observation struct {
 		snapshot *snipedirectory.Snapshot
@@ -208,7 +208,7 @@
 func BenchmarkApply(b *testing.B) {
 	for _, count := range []int{12, 600, 3000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			k := &snipedirectory.Keeper{}
+			k := &snipedirectory.Cache{}
 			var all []*snipedirectory.Upstream
 			for n := range count {
 				all = append(all, entry(fmt.Sprint("e", n), false))
--- a/snipedispatch/engine.go
+++ b/snipedispatch/engine.go
@@ -95,7 +95,7 @@
 
 func (d *Dispatcher) newEngine(name string, fence uint64, settings snipetree.Engine) *engine {
 	client := &snipeupstream.Engine{
-		Name: name, Address: settings.Address, Client: d.Client, Fresh: d.Fresh,
+		Name: name, Address: settings.Address, Pooled: d.Client, Fresh: d.Fresh,
 		Progress: d.Progress, FirstChunk: d.FirstChunk, Log: d.Log,
 	}
 	s := &snipeslot.Slots{
@@ -104,7 +104,7 @@
 			return client.Load(ctx, alias, path, fence)
 		}),
 		Aliases: client.Aliases, Busy: busyAliases(client),
-		Budget: d.Budget, Timeout: d.LoadTimeout, Settle: earlierAliasLifetime, Log: d.Log,
+		AcquirePermission: d.Budget, Timeout: d.LoadTimeout, PreviousCallTime: earlierAliasLifetime, Log: d.Log,
 	}
 	unload := d.order(name, fence, func(ctx context.Context, alias, _ string) error {
 		return client.Unload(ctx, alias, fence)
@@ -112,7 +112,7 @@
 	s.Unload = func(ctx context.Context, alias string) error { return unload(ctx, alias, "") }
 	if !settings.ChecksFence {
 		record := d.Record(name, fence)
-		s.GiveUp, s.Inherit = record.GiveUp, record.Inherit
+		s.CommitRetired, s.ReadRetired = record.Commit, record.Read
 	}
 	return &engine{fence: fence, client: client, slots: s, lastHeld: time.Now(), settings: settings}
 }
@@ -133,7 +133,7 @@
 		case errors.Is(err, snipeupstream.ErrOrderRefused):
 			return errors.Wrap(snipeslot.ErrRefused, err.Error())
 		case errors.Is(err, snipeupstream.ErrOrderUnknown):
-			return errors.Wrap(snipeslot.ErrUnclear, err.Error())
+			return errors.Wrap(snipeslot.ErrOutcomeUnknown, err.Error())
 		}
 		return err
 	}
@@ -177,7 +177,7 @@
 	d.lock.Lock()
 	defer d.lock.Unlock()
 	e, ok := d.engines[name]
-	return d.calls[name] > 0 || ok && e.slots.Orders() > 0
+	return d.calls[name] > 0 || ok && e.slots.LoadsInProgress() > 0
 }
 
 // Uses calls f for each adapter resident at an owned engine, with the number of its
--- a/snipedispatch/ownership_test.go
+++ b/snipedispatch/ownership_test.go
@@ -51,7 +51,7 @@
 	t.Helper()
 	address := startEngine(t)
 	client := &http.Client{}
-	o := &ownerFixture{client: &snipeupstream.Engine{Name: "e1", Address: address, Client: client, Fresh: client}}
+	o := &ownerFixture{client: &snipeupstream.Engine{Name: "e1", Address: address, Pooled: client, Fresh: client}}
 	o.declare(address, 2)
 	o.held.Store(true)
 	o.Dispatcher = &Dispatcher{
--- a/snipedispatch/snipedispatch.go
+++ b/snipedispatch/snipedispatch.go
@@ -50,7 +50,7 @@
 	Holds func(engine string, fence uint64) bool
 	// Record returns the record of the retired aliases of an engine that ignores
 	// fencing numbers.
-	Record func(engine string, fence uint64) *snipeslot.Record
+	Record func(engine string, fence uint64) *snipeslot.RetiredRecord
 	// Budget waits for the weight store's permission to load. The returned
 	// function ends the load.
 	Budget func(ctx context.Context, d *snipeweight.Demand) (func(failed bool), error)
@@ -226,6 +226,6 @@
 	if !ok {
 		return snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "upstream "+c.Upstream)
 	}
-	s := &snipeupstream.Service{Name: c.Upstream, Address: u.Address, Client: d.Client, Fresh: d.Fresh, Progress: d.Progress}
+	s := &snipeupstream.Service{Name: c.Upstream, Address: u.Address, Pooled: d.Client, Fresh: d.Fresh, Progress: d.Progress}
 	return d.gated(ctx, c, "", func() error { return s.Call(ctx, c, sink) })
 }
--- a/snipeentry/cluster_test.go
+++ b/snipeentry/cluster_test.go
@@ -154,15 +154,15 @@
 		Name: name, Domain: "here", Callers: open(), Ready: open(), Peers: open(), Metrics: open(),
 		Table: s.address, OrderGap: snipejson.Duration(200 * time.Millisecond), RetryShare: 0.2, RetrySlack: 100,
 		RetrySpan: snipejson.Duration(snipeentry.DefaultRetrySpan), QuotaSpan: snipejson.Duration(snipeentry.DefaultQuotaSpan),
-		DrainTime: snipejson.Duration(snipeentry.DefaultFreshness), ApplyTime: snipejson.Duration(snipeentry.DefaultFreshness),
+		DrainTime: snipejson.Duration(snipeentry.DefaultMaxStaleness), ApplyTime: snipejson.Duration(snipeentry.DefaultMaxStaleness),
 		StopTimeout: snipejson.Duration(8 * time.Second), LogLevel: "info",
 	}
 	dial := snipelink.Dialer()
 	store := &platform.Store{Address: s.address, Timeout: time.Second, Dial: dial}
 	store.Open()
 	engines := &platform.Engines{Links: &snipelink.Pool{
-		Dial: dial, DialTimeout: time.Second, Idle: time.Second, Kept: 2,
-		Belongs: platform.AnyAnswer, KeepAlive: platform.KeepAlive,
+		Dial: dial, DialTimeout: time.Second, IdleTimeout: time.Second, MaxIdle: 2,
+		IsAnswerTo: platform.AcceptAnyAnswer, KeepAlive: platform.KeepAlive,
 	}}
 	i := &instance{
 		Instance: &snipeentry.Instance{
@@ -174,7 +174,7 @@
 			Platform: snipeentry.Platform{
 				Protocol: platform.Protocol(), ReadyPath: platform.ReadyPath,
 				Source: store.Source, Write: store.WriteRows, Engine: engines.Engine(),
-				Belongs: platform.Belongs, KeepAlive: platform.KeepAlive,
+				IsAnswerTo: platform.IsAnswerTo, KeepAlive: platform.KeepAlive,
 				DeclaredTable: platform.DeclaredTable, DecodeDeclared: platform.DecodeDeclared,
 				UpstreamTable: platform.UpstreamTable, DecodeUpstreams: platform.DecodeUpstreams,
 				SameUpstream: platform.SameUpstream,
--- a/snipeentry/extension.go
+++ b/snipeentry/extension.go
@@ -25,7 +25,7 @@
 	if len(r.GetEngines()) > maxExtendedEngines {
 		return nil, twirp.InvalidArgumentError("engines", "are too many")
 	}
-	q := snipeowner.Question{Unanswered: time.Duration(r.GetUnansweredMilliseconds()) * time.Millisecond}
+	q := snipeowner.ExtensionRequest{Unanswered: time.Duration(r.GetUnansweredMilliseconds()) * time.Millisecond}
 	var err error
 	if q.Owner, err = netip.ParseAddrPort(r.GetOwner()); err != nil {
 		return nil, twirp.InvalidArgumentError("owner", "is no address")
@@ -37,13 +37,13 @@
 		}
 		q.Engines = append(q.Engines, engine)
 	}
-	return &snipeproto.OwnershipPromiseResponse{Granted: s.holder.Grant(q)}, nil
+	return &snipeproto.OwnershipPromiseResponse{Granted: s.holder.GrantExtension(q)}, nil
 }
 
 // requestExtension asks another instance to grant a lease extension: not to take over this
 // instance's engines for the time of a lease. It returns snipeowner.ErrNoPromise if the instance
 // refuses.
-func (i *Instance) requestExtension(ctx context.Context, peer netip.AddrPort, q snipeowner.Question) error {
+func (i *Instance) requestExtension(ctx context.Context, peer netip.AddrPort, q snipeowner.ExtensionRequest) error {
 	r := &snipeproto.OwnershipPromiseRequest{
 		Owner: q.Owner.String(), UnansweredMilliseconds: q.Unanswered.Milliseconds(),
 	}
@@ -55,7 +55,7 @@
 	case err != nil:
 		return err
 	case !answer.GetGranted():
-		return snipeowner.ErrNoPromise
+		return snipeowner.ErrExtensionRefused
 	default:
 		return nil
 	}
--- a/snipeentry/feed.go
+++ b/snipeentry/feed.go
@@ -80,10 +80,10 @@
 // store, wait how long one read waits for a change.
 func (i *Instance) follower(table string, interval, wait time.Duration, ages maxCopyAges) *snipemirror.Follower {
 	return &snipemirror.Follower{
-		Rare:   i.onStandby,
-		Mirror: snipemirror.New(), Store: i.source(table), Pace: interval, Wait: wait,
+		ReadsStoreSeldom: i.onStandby,
+		Mirror:           snipemirror.New(), Store: i.source(table), MinInterval: interval, Wait: wait,
 		MaxAge: func() time.Duration { return i.maxCopyAge(ages) },
-		Near: func(failures int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
+		PeerWatch: func(failures int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 			return i.peerCopy(table, failures, lost)
 		},
 	}
@@ -115,32 +115,32 @@
 			i.applyCatalog(i.Platform.DecodeDeclared(rows, position))
 		}
 	}
-	t.catalog.Lost = func(err error) { i.Log.Error(snipelog.CatalogStale, err, i.catalogFields()) }
-	t.catalog.Back = func() { i.Log.Log(snipelog.CatalogFresh, i.catalogFields()) }
+	t.catalog.StoreLost = func(err error) { i.Log.Error(snipelog.CatalogStale, err, i.catalogFields()) }
+	t.catalog.StoreRestored = func() { i.Log.Log(snipelog.CatalogFresh, i.catalogFields()) }
 
 	t.directory = i.follower(i.Platform.UpstreamTable, directoryInterval, directoryWait, tableCopyAges)
-	t.directory.Mirror.Same = i.Platform.SameUpstream
+	t.directory.Mirror.Equivalent = i.Platform.SameUpstream
 	t.directory.Changed = i.applyDirectory
-	t.directory.Lost = func(err error) {
+	t.directory.StoreLost = func(err error) {
 		i.Log.Error(snipelog.DirectoryStale, err, snipelog.Fields{"Upstreams": i.directory.Snapshot().Len()})
-		i.directory.Lost()
+		i.directory.RegistryLost()
 	}
-	t.directory.Back = func() {
+	t.directory.StoreRestored = func() {
 		i.Log.Log(snipelog.DirectoryFresh, snipelog.Fields{"Upstreams": i.directory.Snapshot().Len()})
 	}
 
 	t.ownership = i.follower(snipeowner.Partition, ownershipInterval, directoryWait, ownershipCopyAges)
 	t.ownership.Changed = func([]snipemirror.Row, uint64) {
 		if i.noPeersKnown() {
-			i.holder.Nudge()
+			i.holder.RequestRead()
 		}
 	}
 	started := time.Now()
-	t.ownership.Hasten = func() bool { return i.noPeersKnown() && time.Since(started) < startupWindow }
-	t.catalog.Begin, t.directory.Begin = i.waitForPeers, i.waitForPeers
+	t.ownership.ReadSooner = func() bool { return i.noPeersKnown() && time.Since(started) < startupWindow }
+	t.catalog.WaitForPeers, t.directory.WaitForPeers = i.waitForPeers, i.waitForPeers
 	// The loss of the store itself is logged by the relay, when renewals fail.
-	t.ownership.Lost = func(error) { i.ownershipUnreadable.Store(true) }
-	t.ownership.Back = func() { i.ownershipUnreadable.Store(false) }
+	t.ownership.StoreLost = func(error) { i.ownershipUnreadable.Store(true) }
+	t.ownership.StoreRestored = func() { i.ownershipUnreadable.Store(false) }
 }
 
 func (i *Instance) catalogFields() snipelog.Fields {
@@ -153,7 +153,7 @@
 
 // applyCatalog puts the operators' declarations in force.
 func (i *Instance) applyCatalog(c snipecatalog.Change) {
-	for _, err := range c.Wrong {
+	for _, err := range c.Errors {
 		i.Log.Error(snipelog.CatalogWrong, err, i.catalogFields())
 	}
 	for _, v := range c.Versions {
@@ -186,7 +186,7 @@
 	if first {
 		i.Log.Log(snipelog.DirectoryRead, snipelog.Fields{"Upstreams": i.directory.Snapshot().Len(), positionField: position})
 	}
-	i.residency.Read()
+	i.residency.MarkRead()
 	now := i.directory.Snapshot()
 	for _, u := range change.Changed {
 		if now.ByID(u.ID) != nil {
@@ -201,15 +201,15 @@
 func (i *Instance) forgetUnregistered() {
 	now := i.directory.Snapshot()
 	registered := func(id string) bool { return now.ByID(id) != nil }
-	i.residency.Keep(registered)
+	i.residency.Retain(registered)
 	i.balancer.Keep(registered)
-	i.signals.Keep(registered)
+	i.signals.Retain(registered)
 }
 
 // logEntries logs which registry entries cannot be decoded, and which can be decoded again. Each
 // change is logged once, since an invalid entry may be rewritten every second.
 func (i *Instance) logEntries(c snipedirectory.Change, wrong []error) {
-	for n, key := range c.Wrong {
+	for n, key := range c.Undecodable {
 		if i.invalidEntries.Add(key) {
 			i.Log.Error(snipelog.EntryWrong, wrong[n], snipelog.Fields{"Key": key, positionField: c.Position})
 		}
--- a/snipeentry/loads.go
+++ b/snipeentry/loads.go
@@ -48,7 +48,7 @@
 // interval.
 func (i *Instance) requestOwnerLoads(ctx context.Context) {
 	since := time.Now().Add(-loadsInterval / 2)
-	for _, owner := range i.holder.View().Others {
+	for _, owner := range i.holder.View().OtherOwners {
 		if i.peers.lastAnswer(owner).Before(since) {
 			go i.sendReport(ctx, owner, i.newReport())
 		}
@@ -74,19 +74,19 @@
 	if err != nil {
 		return
 	}
-	all := make([]snipebalance.Statement, 0, len(answer.GetLoads()))
+	all := make([]snipebalance.LoadReport, 0, len(answer.GetLoads()))
 	for _, l := range answer.GetLoads() {
 		age := time.Duration(l.GetAgeMilliseconds()) * time.Millisecond
-		all = append(all, snipebalance.Statement{ID: l.GetEngine(), Load: l.GetLoad(), Age: age})
+		all = append(all, snipebalance.LoadReport{ID: l.GetEngine(), Load: l.GetLoad(), Age: age})
 	}
-	i.balancer.ToldAll(all)
-	i.signals.Learn(decodeSignals(answer.GetSignals()))
+	i.balancer.MergeLoads(all)
+	i.signals.Merge(decodeSignals(answer.GetSignals()))
 }
 
 // Loads implements snipeproto.Adapter.
 func (s *peerServer) Loads(context.Context, *snipeproto.AdapterLoadsRequest) (*snipeproto.AdapterLoadsResponse, error) {
-	answer := &snipeproto.AdapterLoadsResponse{Signals: encodeSignals(s.signals.Statements())}
-	for _, t := range s.balancer.Statements() {
+	answer := &snipeproto.AdapterLoadsResponse{Signals: encodeSignals(s.signals.CurrentUpdates())}
+	for _, t := range s.balancer.LoadReports() {
 		answer.Loads = append(answer.Loads, &snipeproto.EngineLoad{
 			Engine: t.ID, Load: t.Load, AgeMilliseconds: t.Age.Milliseconds(),
 		})
--- a/snipeentry/loads_test.go
+++ b/snipeentry/loads_test.go
@@ -45,34 +45,34 @@
 func TestLoadsPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first := &snipebalance.Balancer{}
-		first.Told("busy", 8)
-		first.Told("idle", 0)
-		first.Told("known", 3)
+		first.SetLoad("busy", 8)
+		first.SetLoad("idle", 0)
+		first.SetLoad("known", 3)
 		time.Sleep(400 * time.Millisecond)
 		own := &snipebalance.Balancer{}
-		own.Told("quiet", 5)
-		own.Told("known", 6)
+		own.SetLoad("quiet", 5)
+		own.SetLoad("known", 6)
 		time.Sleep(200 * time.Millisecond)
-		server := &peerServer{balancer: first, signals: &snipesignal.Book{}}
+		server := &peerServer{balancer: first, signals: &snipesignal.Tracker{}}
 		answer, err := server.Loads(t.Context(), &snipeproto.AdapterLoadsRequest{})
 		must.NoError(t, err)
 		must.Len(t, 2, answer.GetLoads())
-		var all []snipebalance.Statement
+		var all []snipebalance.LoadReport
 		for _, l := range answer.GetLoads() {
 			must.Eq(t, 600, l.GetAgeMilliseconds())
-			all = append(all, snipebalance.Statement{ID: l.GetEngine(), Load: l.GetLoad(), Age: 600 * time.Millisecond})
+			all = append(all, snipebalance.LoadReport{ID: l.GetEngine(), Load: l.GetLoad(), Age: 600 * time.Millisecond})
 		}
-		own.ToldAll(all)
+		own.MergeLoads(all)
 		loads := func() map[string]float64 {
 			known := map[string]float64{}
-			for _, s := range own.Statements() {
+			for _, s := range own.LoadReports() {
 				known[s.ID] = s.Load
 			}
 			return known
 		}
 		must.Eq(t, map[string]float64{"busy": 8, "known": 6, "quiet": 5}, loads())
 		time.Sleep(400 * time.Millisecond)
-		own.ToldAll(nil)
+		own.MergeLoads(nil)
 		must.Eq(t, map[string]float64{}, loads(), must.Sprint("a load that is not reported again has ended"))
 	})
 }
--- a/snipeentry/mirror.go
+++ b/snipeentry/mirror.go
@@ -73,7 +73,7 @@
 		return nil, twirp.InternalErrorWith(err)
 	}
 	page.Rows = nil
-	if page.Whole {
+	if page.Complete {
 		s.cachePage(r.GetTable(), packedPage{page, rows, time.Now()})
 	}
 	return encodePage(page, rows), nil
@@ -99,7 +99,7 @@
 // encodePage returns the message for a page. packed holds the rows in compressed form, or is nil.
 func encodePage(p snipemirror.Page, packed []byte) *snipeproto.MirrorWatchResponse {
 	return &snipeproto.MirrorWatchResponse{
-		Position: p.Position, Whole: p.Whole, Rows: encodeRows(p.Rows), Packed: packed,
+		Position: p.Position, Whole: p.Complete, Rows: encodeRows(p.Rows), Packed: packed,
 		// Rounded up, so that a copy does not look younger with each instance that passes it on.
 		AgeMilliseconds: (p.Age + time.Millisecond - 1).Milliseconds(),
 	}
@@ -107,7 +107,7 @@
 
 func decodePage(m *snipeproto.MirrorWatchResponse) (snipemirror.Page, error) {
 	p := snipemirror.Page{
-		Position: m.GetPosition(), Whole: m.GetWhole(), Rows: decodeRows(m.GetRows()),
+		Position: m.GetPosition(), Complete: m.GetWhole(), Rows: decodeRows(m.GetRows()),
 		Age: time.Duration(m.GetAgeMilliseconds()) * time.Millisecond,
 	}
 	if len(m.GetPacked()) == 0 {
@@ -122,7 +122,7 @@
 	all := make([]*snipeproto.MirrorRow, 0, len(rows))
 	for _, r := range rows {
 		all = append(all, &snipeproto.MirrorRow{
-			Key: r.Key, Value: r.Value, Version: r.Version, Removed: r.Removed, Renewed: r.Renewed,
+			Key: r.Key, Value: r.Value, Version: r.Version, Removed: r.Removed, Renewed: r.Unchanged,
 		})
 	}
 	return all
@@ -132,7 +132,7 @@
 	all := make([]snipemirror.Row, 0, len(rows))
 	for _, r := range rows {
 		all = append(all, snipemirror.Row{
-			Key: r.GetKey(), Value: r.GetValue(), Version: r.GetVersion(), Removed: r.GetRemoved(), Renewed: r.GetRenewed(),
+			Key: r.GetKey(), Value: r.GetValue(), Version: r.GetVersion(), Removed: r.GetRemoved(), Unchanged: r.GetRenewed(),
 		})
 	}
 	return all
--- a/snipeentry/mirror_test.go
+++ b/snipeentry/mirror_test.go
@@ -32,7 +32,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		source := snipemirror.New()
 		rows := rowsOf(count)
-		source.Apply(snipemirror.Page{Whole: true, Position: count, Rows: rows})
+		source.Apply(snipemirror.Page{Complete: true, Position: count, Rows: rows})
 		server := &mirrorServer{mirrors: map[string]*snipemirror.Mirror{table: source}}
 		watch := func(after uint64) *snipeproto.MirrorWatchResponse {
 			answer, err := server.Watch(t.Context(), &snipeproto.MirrorWatchRequest{Table: table, After: after})
@@ -50,7 +50,7 @@
 		follower := snipemirror.New()
 		page, err := decodePage(second)
 		must.NoError(t, err)
-		must.True(t, page.Whole)
+		must.True(t, page.Complete)
 		must.Len(t, count, follower.Apply(page))
 		page, err = decodePage(watch(page.Position))
 		must.NoError(t, err)
--- a/snipeentry/near_test.go
+++ b/snipeentry/near_test.go
@@ -45,7 +45,7 @@
 func TestAgePassedOn(t *testing.T) {
 	const table = "rows"
 	m := snipemirror.New()
-	m.Apply(snipemirror.Page{Whole: true, Position: 1, Age: 1399*time.Millisecond + 800*time.Nanosecond})
+	m.Apply(snipemirror.Page{Complete: true, Position: 1, Age: 1399*time.Millisecond + 800*time.Nanosecond})
 	server := &mirrorServer{mirrors: map[string]*snipemirror.Mirror{table: m}}
 	answer, err := server.Watch(t.Context(), &snipeproto.MirrorWatchRequest{Table: table})
 	must.NoError(t, err)
--- a/snipeentry/peers.go
+++ b/snipeentry/peers.go
@@ -22,12 +22,12 @@
 
 // peerServer serves other instances' requests to this instance's controller.
 type peerServer struct {
-	controller *snipeadapter.Desk
+	controller *snipeadapter.Controller
 	// replicas returns the other engines that have recently loaded an adapter of an engine.
 	replicas func(a snipecatalog.Adapter, engine string) []snipegateway.Replica
 	board    *snipebalance.Board
 	balancer *snipebalance.Balancer
-	signals  *snipesignal.Book
+	signals  *snipesignal.Tracker
 
 	lock sync.Mutex // guards reportedEvictions
 	// reportedEvictions holds the number of the last eviction that was reported to each instance.
@@ -86,7 +86,7 @@
 func (s *peerServer) recordUse(instance string, e *snipeproto.EngineUse, answer *snipeproto.AdapterReportResponse) {
 	engine, uses := e.GetEngine(), decodeUse(e)
 	s.board.Report(engine, instance, e.GetLoad())
-	for _, a := range s.controller.Used(engine, instance, uses) {
+	for _, a := range s.controller.RecordUse(engine, instance, uses) {
 		answer.Gone = append(answer.Gone, encodeAdapter(engine, a))
 	}
 	for a := range uses {
@@ -265,7 +265,7 @@
 			continue
 		}
 		if _, ok := i.holder.Fence(u.Address); ok {
-			i.gateway.Chooser.Spread(u, i.controller.Rates(id, snipegateway.ReplicaRate))
+			i.gateway.Chooser.AddReplicas(u, i.controller.UseRates(id, snipegateway.ReplicaRate))
 		}
 	}
 }
--- a/snipeentry/peers_test.go
+++ b/snipeentry/peers_test.go
@@ -23,7 +23,7 @@
 	held := snipecatalog.Adapter{Model: "base", Name: "held"}
 	gone := snipecatalog.Adapter{Model: "base", Name: "gone"}
 	u := &snipedirectory.Upstream{ID: engine, Models: []string{"base"}, Address: netip.MustParseAddrPort("10.9.0.1:80")}
-	controller := &snipeadapter.Desk{
+	controller := &snipeadapter.Controller{
 		Engine: snipeadapter.Engine{
 			Order: func(context.Context, *snipedirectory.Upstream, snipeadapter.Order) (snipeadapter.Reply, error) {
 				return snipeadapter.Holds, nil
@@ -57,7 +57,7 @@
 	must.NoError(t, err)
 
 	i := &Instance{residency: &snipeadapter.Residency{}, balancer: &snipebalance.Balancer{}}
-	i.residency.Tell(engine, gone, 1)
+	i.residency.RecordHeld(engine, gone, 1)
 	i.applyReport(answer)
 	_, ok := i.residency.Holds(u, gone)
 	must.False(t, ok)
--- a/snipeentry/quota.go
+++ b/snipeentry/quota.go
@@ -26,7 +26,7 @@
 
 // gatewayQuotas returns the functions by which the gateway counts requests.
 func (i *Instance) gatewayQuotas() snipegateway.Quotas {
-	return snipegateway.Quotas{Take: i.account.Take, Again: i.account.Again, Return: i.account.Return}
+	return snipegateway.Quotas{Take: i.account.Take, TakeAgain: i.account.Charge, Return: i.account.Return}
 }
 
 // sharingInstances returns the number of instances that share a limit without an issuer. It is at
@@ -94,8 +94,8 @@
 	r := &snipeproto.QuotaIssueRequest{Instance: self.String()}
 	for _, a := range asks {
 		r.Asks = append(r.Asks, &snipeproto.QuotaAsk{
-			Workspace: a.Workspace, Need: a.Need, First: a.First, Ahead: a.Ahead, Held: a.Held, Alone: a.Alone,
-			Demand: a.Demand, Level: a.Level, AgeMilliseconds: a.Age.Milliseconds(), Known: a.Known,
+			Workspace: a.Workspace, Need: a.Need, First: a.First, Ahead: a.Ahead, Held: a.Held, Alone: a.FallbackUsed,
+			Demand: a.Demand, Level: a.Level, AgeMilliseconds: a.LevelAge.Milliseconds(), Known: a.LevelKnown,
 		})
 	}
 	answer, err := i.peers.quotas.client(issuer).Issue(ctx, r)
@@ -121,8 +121,8 @@
 	for _, a := range r.GetAsks() {
 		asks = append(asks, snipequota.Ask{
 			Workspace: a.GetWorkspace(), Need: a.GetNeed(), First: a.GetFirst(), Ahead: a.GetAhead(), Held: a.GetHeld(),
-			Alone: a.GetAlone(), Demand: a.GetDemand(), Level: a.GetLevel(),
-			Age: time.Duration(a.GetAgeMilliseconds()) * time.Millisecond, Known: a.GetKnown(),
+			FallbackUsed: a.GetAlone(), Demand: a.GetDemand(), Level: a.GetLevel(),
+			LevelAge: time.Duration(a.GetAgeMilliseconds()) * time.Millisecond, LevelKnown: a.GetKnown(),
 		})
 	}
 	answer := &snipeproto.QuotaIssueResponse{}
--- a/snipeentry/quota_test.go
+++ b/snipeentry/quota_test.go
@@ -9,7 +9,7 @@
 // TestSharers covers a simultaneous start of all instances, which know no others yet. None may
 // assume that it is the only one.
 func TestSharers(t *testing.T) {
-	i := instanceWithRows(t, 0, DefaultFreshness, nil)
+	i := instanceWithRows(t, 0, DefaultMaxStaleness, nil)
 	must.LessEq(t, 1, i.instances())
 	must.GreaterEq(t, minSharingInstances, i.sharingInstances())
 }
--- a/snipeentry/reader_test.go
+++ b/snipeentry/reader_test.go
@@ -142,7 +142,7 @@
 type countedStore struct{ calls atomic.Int32 }
 
 func (s *countedStore) read(context.Context) (snipemirror.Page, error) {
-	return snipemirror.Page{Whole: true, Position: uint64(time.Now().Unix())}, nil
+	return snipemirror.Page{Complete: true, Position: uint64(time.Now().Unix())}, nil
 }
 
 func (s *countedStore) watch(_ context.Context, _ uint64, wait time.Duration) (snipemirror.Page, error) {
@@ -155,10 +155,10 @@
 func newFollower(s *countedStore, m *snipemirror.Mirror, age time.Duration) *snipemirror.Follower {
 	return &snipemirror.Follower{
 		Mirror: snipemirror.New(), Store: snipemirror.Source{Read: s.read, Watch: s.watch},
-		Pace: directoryInterval, Wait: directoryWait, MaxAge: func() time.Duration { return age },
-		Near: func(failures int, _ bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
+		MinInterval: directoryInterval, Wait: directoryWait, MaxAge: func() time.Duration { return age },
+		PeerWatch: func(failures int, _ bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 			return m.Watch, failures == 0
 		},
-		Changed: func([]snipemirror.Row, uint64) {}, Lost: func(error) {}, Back: func() {},
+		Changed: func([]snipemirror.Row, uint64) {}, StoreLost: func(error) {}, StoreRestored: func() {},
 	}
 }
--- a/snipeentry/relay.go
+++ b/snipeentry/relay.go
@@ -68,19 +68,19 @@
 func (r *relay) Write(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 	if r.Owns() && !r.directFirst() {
 		version, err := r.writeByPeer(ctx, operation, changes)
-		if snipeplatform.Answered(err) {
+		if snipeplatform.IsDefinite(err) {
 			return version, err
 		}
 	}
 	version, err := r.writeDirect(ctx, operation, changes)
-	if snipeplatform.Answered(err) {
+	if snipeplatform.IsDefinite(err) {
 		return version, err
 	}
 	if !r.Owns() {
 		return 0, err
 	}
 	version, relayErr := r.writeByPeer(ctx, operation, changes)
-	if snipeplatform.Answered(relayErr) {
+	if snipeplatform.IsDefinite(relayErr) {
 		return version, relayErr
 	}
 	return 0, err
@@ -117,12 +117,12 @@
 	r.lock.Lock()
 	r.lastWriteAt = time.Now()
 	r.lastSlow = r.lastWriteAt.Sub(begun) > slowWriteTime
-	changed := r.storeLost == snipeplatform.Answered(err)
-	r.storeLost = !snipeplatform.Answered(err)
+	changed := r.storeLost == snipeplatform.IsDefinite(err)
+	r.storeLost = !snipeplatform.IsDefinite(err)
 	r.lock.Unlock()
 	switch {
 	case !changed:
-	case snipeplatform.Answered(err):
+	case snipeplatform.IsDefinite(err):
 		r.OnRecovered()
 	default:
 		r.OnLost(err)
@@ -135,7 +135,7 @@
 	err = snipeplatform.ErrUnavailable
 	others := r.Peers()
 	for _, peer := range others[:min(maxRelayAttempts, len(others))] {
-		if version, err = r.askPeer(ctx, peer, operation, changes); snipeplatform.Answered(err) {
+		if version, err = r.askPeer(ctx, peer, operation, changes); snipeplatform.IsDefinite(err) {
 			break
 		}
 	}
--- a/snipeentry/report.go
+++ b/snipeentry/report.go
@@ -18,7 +18,7 @@
 	v := i.holder.View()
 	directory := i.directory.Snapshot()
 	reports := make(map[netip.AddrPort]*snipeproto.AdapterReportRequest)
-	for id, uses := range i.gateway.Chooser.TakeUses() {
+	for id, uses := range i.gateway.Chooser.TakeUseReports() {
 		u := directory.ByID(id)
 		if u == nil {
 			continue
@@ -37,7 +37,7 @@
 		}
 	}
 	if !i.gathersLoads() {
-		i.addStalestOwner(v.Others, reports)
+		i.addStalestOwner(v.OtherOwners, reports)
 	}
 	for peer, r := range reports {
 		go i.sendReport(ctx, peer, r)
@@ -47,9 +47,9 @@
 // recordOwnUse records the use of an engine that this instance owns.
 func (i *Instance) recordOwnUse(id string, uses map[snipecatalog.Adapter]snipeadapter.Use) {
 	self := i.Settings.Peers.String()
-	i.board.Report(id, self, i.balancer.Mine(id))
-	for _, a := range i.controller.Used(id, self, uses) {
-		i.residency.Deny(id, a)
+	i.board.Report(id, self, i.balancer.InFlight(id))
+	for _, a := range i.controller.RecordUse(id, self, uses) {
+		i.residency.RecordAbsent(id, a)
 	}
 }
 
@@ -91,7 +91,7 @@
 
 // encodeUse returns the message for the use of one engine.
 func (i *Instance) encodeUse(id string, uses map[snipecatalog.Adapter]snipeadapter.Use) *snipeproto.EngineUse {
-	e := &snipeproto.EngineUse{Engine: id, Load: i.balancer.Mine(id)}
+	e := &snipeproto.EngineUse{Engine: id, Load: i.balancer.InFlight(id)}
 	for a, u := range uses {
 		e.Adapters = append(e.Adapters, &snipeproto.AdapterUse{
 			Model: a.Model, Adapter: a.Name, Begun: int64(u.Begun), Running: u.Running,
@@ -140,16 +140,16 @@
 // they no longer hold, and the replicas of the reported adapters.
 func (i *Instance) applyReport(answer *snipeproto.AdapterReportResponse) {
 	for _, gone := range answer.GetGone() {
-		i.residency.Deny(gone.GetEngine(), decodeAdapter(gone))
+		i.residency.RecordAbsent(gone.GetEngine(), decodeAdapter(gone))
 	}
 	for _, v := range answer.GetEvicted() {
-		i.residency.Deny(v.GetEngine(), decodeAdapter(v))
+		i.residency.RecordAbsent(v.GetEngine(), decodeAdapter(v))
 	}
 	for _, l := range answer.GetLoads() {
-		i.balancer.Told(l.GetEngine(), l.GetLoad())
+		i.balancer.SetLoad(l.GetEngine(), l.GetLoad())
 	}
 	for _, other := range answer.GetReplicas() {
-		i.residency.Tell(other.GetEngine(), decodeAdapter(other), other.GetVersion())
+		i.residency.RecordHeld(other.GetEngine(), decodeAdapter(other), other.GetVersion())
 	}
 }
 
@@ -168,9 +168,9 @@
 	recent, last := i.controller.Evictions(i.lastEviction)
 	i.lastEviction = last
 	for _, v := range recent {
-		i.residency.Deny(v.Engine, v.Adapter)
+		i.residency.RecordAbsent(v.Engine, v.Adapter)
 	}
 	for engine, load := range i.board.Loads() {
-		i.balancer.Told(engine, load)
+		i.balancer.SetLoad(engine, load)
 	}
 }
--- a/snipeentry/settings.go
+++ b/snipeentry/settings.go
@@ -80,7 +80,7 @@
 	}
 	s := Settings{
 		LogLevel: "info", RetrySpan: snipejson.Duration(DefaultRetrySpan), QuotaSpan: snipejson.Duration(DefaultQuotaSpan),
-		DrainTime: snipejson.Duration(DefaultFreshness), ApplyTime: snipejson.Duration(DefaultFreshness),
+		DrainTime: snipejson.Duration(DefaultMaxStaleness), ApplyTime: snipejson.Duration(DefaultMaxStaleness),
 	}
 	if err := snipejson.Decode(data, &s); err != nil {
 		return Settings{}, errors.Wrapf(ErrSettings, "%s: %v", path, err)
@@ -97,9 +97,9 @@
 // DefaultQuotaSpan is the default of QuotaSpan.
 const DefaultQuotaSpan = 10 * time.Second
 
-// DefaultFreshness is the default of DrainTime and ApplyTime. The intervals at which the tables are
+// DefaultMaxStaleness is the default of DrainTime and ApplyTime. The intervals at which the tables are
 // read are designed for it.
-const DefaultFreshness = 2 * time.Second
+const DefaultMaxStaleness = 2 * time.Second
 
 // freshness returns the time within which changes in the store must be known.
 func (s Settings) freshness() time.Duration { return min(s.DrainTime.Value(), s.ApplyTime.Value()) }
--- a/snipeentry/signal.go
+++ b/snipeentry/signal.go
@@ -27,12 +27,12 @@
 
 // buildSignals creates the tracker of upstreams' signals.
 func (i *Instance) buildSignals() {
-	i.signals = &snipesignal.Book{Part: i.limitShare, Changed: i.signalChanged, Rested: i.logBackoff, Wrong: i.logInvalidSignal}
+	i.signals = &snipesignal.Tracker{Share: i.limitShare, Changed: i.signalChanged, BackoffStarted: i.logBackoff, Invalid: i.logInvalidSignal}
 }
 
 // limitShare returns this instance's share of an upstream's limit. The ranking of the instances
 // differs between upstreams, but all instances compute the same one.
-func (i *Instance) limitShare(upstream string, limit float64) snipesignal.Part {
+func (i *Instance) limitShare(upstream string, limit float64) snipesignal.Share {
 	key := sniperoute.Hash(upstream)
 	self := i.Settings.Peers
 	own := sniperoute.Score(key, addressKey(self))
@@ -62,7 +62,7 @@
 	if c.Now.Leaving && !c.Before.Leaving {
 		i.meter.Count(signalCounter("Leaving"))
 		i.Log.Log(snipelog.UpstreamLeaving, snipelog.Fields{upstreamField: c.Upstream, sourceField: c.Source})
-		i.directory.Leave(c.Upstream)
+		i.directory.MarkLeaving(c.Upstream)
 	}
 	if c.Now.Limited || c.Before.Limited {
 		i.limitChanged(c)
@@ -82,7 +82,7 @@
 	}
 	i.meter.Count(signalCounter("Limited"))
 	fields["PerSecond"], fields["Instances"] = c.Now.Limit, i.instances()
-	fields["Rank"], fields["IntervalMilliseconds"] = c.Part.Rank, c.Part.Interval.Milliseconds()
+	fields["Rank"], fields["IntervalMilliseconds"] = c.Share.Rank, c.Share.Interval.Milliseconds()
 	i.Log.Log(snipelog.UpstreamLimited, fields)
 }
 
@@ -100,7 +100,7 @@
 
 // sendSignals sends the signals that this instance received from upstreams to other instances.
 func (i *Instance) sendSignals(ctx context.Context) {
-	updates := i.signals.News()
+	updates := i.signals.PendingUpdates()
 	if len(updates) == 0 {
 		return
 	}
@@ -137,11 +137,11 @@
 
 // Signal implements snipeproto.Adapter.
 func (s *peerServer) Signal(_ context.Context, r *snipeproto.AdapterSignalRequest) (*snipeproto.AdapterSignalResponse, error) {
-	s.signals.Learn(decodeSignals(r.GetSignals()))
+	s.signals.Merge(decodeSignals(r.GetSignals()))
 	return &snipeproto.AdapterSignalResponse{}, nil
 }
 
-func encodeSignals(all []snipesignal.Statement) []*snipeproto.UpstreamSignal {
+func encodeSignals(all []snipesignal.Update) []*snipeproto.UpstreamSignal {
 	encoded := make([]*snipeproto.UpstreamSignal, 0, len(all))
 	for _, s := range all {
 		encoded = append(encoded, &snipeproto.UpstreamSignal{
@@ -152,10 +152,10 @@
 	return encoded
 }
 
-func decodeSignals(all []*snipeproto.UpstreamSignal) []snipesignal.Statement {
-	decoded := make([]snipesignal.Statement, 0, len(all))
+func decodeSignals(all []*snipeproto.UpstreamSignal) []snipesignal.Update {
+	decoded := make([]snipesignal.Update, 0, len(all))
 	for _, s := range all {
-		decoded = append(decoded, snipesignal.Statement{
+		decoded = append(decoded, snipesignal.Update{
 			Upstream: s.GetUpstream(),
 			State:    snipesignal.State{Limit: s.GetLimit(), Limited: s.GetLimited(), Leaving: s.GetLeaving()},
 			Age:      time.Duration(s.GetAgeMilliseconds()) * time.Millisecond,
--- a/snipeentry/snipeentry.go
+++ b/snipeentry/snipeentry.go
@@ -72,9 +72,9 @@
 	// ReadyPath is the path on which the balancer checks whether the instance is ready.
 	ReadyPath string
 	Engine    snipeadapter.Engine
-	// Belongs and KeepAlive interpret answers of upstreams; see snipelink.Pool.
-	Belongs   func(r *http.Request, a *http.Response) bool
-	KeepAlive func(a *http.Response) time.Duration
+	// IsAnswerTo and KeepAlive interpret answers of upstreams; see snipelink.Pool.
+	IsAnswerTo func(r *http.Request, a *http.Response) bool
+	KeepAlive  func(a *http.Response) time.Duration
 	// Source returns the reader of a table of the store. Write changes rows; see snipeowner.Table.
 	Source func(table string) snipemirror.Source
 	Write  func(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error)
@@ -106,17 +106,17 @@
 
 	stopSignalsOnce sync.Once // makes stopSignals
 	meter           *snipemeter.Meter
-	catalog         *snipecatalog.Keeper
-	directory       *snipedirectory.Keeper
+	catalog         *snipecatalog.Cache
+	directory       *snipedirectory.Cache
 	balancer        *snipebalance.Balancer
 	board           *snipebalance.Board
 	residency       *snipeadapter.Residency
 	holder          *snipeowner.Holder
 	relay           *relay
-	controller      *snipeadapter.Desk
+	controller      *snipeadapter.Controller
 	links           *snipelink.Pool
 	gateway         *snipegateway.Gateway
-	signals         *snipesignal.Book
+	signals         *snipesignal.Tracker
 	peers           *peers
 	retryBudgets    *retryBudgets
 	issuer          *snipequota.Issuer
@@ -147,7 +147,7 @@
 		i.addTask(ctx, &g, f.Run)
 	}
 	i.addTask(ctx, &g, i.holder.Run)
-	i.addTask(ctx, &g, i.holder.RunProlong)
+	i.addTask(ctx, &g, i.holder.RunExtendLease)
 	i.addTask(ctx, &g, i.account.Run)
 	i.addTask(ctx, &g, func(ctx context.Context) error { return snipetime.Every(ctx, takeInterval, i.readTakenEngines) })
 	i.addTask(ctx, &g, func(ctx context.Context) error {
@@ -202,45 +202,45 @@
 	s := i.Settings
 	i.meter = snipemeter.New()
 	i.startupGate = newStartupGate()
-	i.catalog = &snipecatalog.Keeper{}
-	i.directory = &snipedirectory.Keeper{Seen: i.upstreamChanged, Return: registryRecoveryTime}
+	i.catalog = &snipecatalog.Cache{}
+	i.directory = &snipedirectory.Cache{OnEvent: i.upstreamChanged, LapseGrace: registryRecoveryTime}
 	i.buildSignals()
 	i.balancer = &snipebalance.Balancer{Domain: s.Domain, Suspect: i.logSuspect, Open: i.signals.Open}
 	i.board = &snipebalance.Board{}
 	i.residency = &snipeadapter.Residency{}
 	i.links = &snipelink.Pool{
-		Dial: snipelink.Dialer(), DialTimeout: dialTimeout, Idle: idleConnectionTime, Kept: maxIdleConnections,
-		Belongs: i.Platform.Belongs, KeepAlive: i.Platform.KeepAlive,
+		Dial: snipelink.Dialer(), DialTimeout: dialTimeout, IdleTimeout: idleConnectionTime, MaxIdle: maxIdleConnections,
+		IsAnswerTo: i.Platform.IsAnswerTo, KeepAlive: i.Platform.KeepAlive,
 	}
 	i.buildRelay()
 	i.holder = &snipeowner.Holder{
 		Table:   snipeowner.Table{List: i.ownershipRows, Write: i.relay.Write},
 		Self:    snipeowner.Instance{Name: s.Name, Incarnation: i.Incarnation, Peer: s.Peers, Domain: s.Domain, Power: s.Power},
 		Engines: i.engineAddresses, OrderGap: s.OrderGap.Value(), Clock: bootClock,
-		Operation: i.Operation, Reached: i.noteRenewal, Log: i.Log,
+		Operation: i.Operation, RenewalEnded: i.noteRenewal, Log: i.Log,
 	}
 	i.buildTables()
-	i.holder.Promise, i.holder.RowsAge = i.requestExtension, i.tables.ownership.Mirror.Age
+	i.holder.RequestExtension, i.holder.RowsAge = i.requestExtension, i.tables.ownership.Mirror.Age
 	i.registerGauges()
-	i.controller = &snipeadapter.Desk{
+	i.controller = &snipeadapter.Controller{
 		Engine: i.Platform.Engine, Fence: i.holder.Fence, Holder: s.Name, Log: i.Log,
 		Upstream: func(id string) *snipedirectory.Upstream { return i.directory.Snapshot().ByID(id) },
 		Slots:    i.adapterSlots,
-		Model:    i.modelFor, StartedAgain: i.directory.End, Formerly: i.residency.Formerly,
+		Model:    i.modelFor, EngineRestarted: i.directory.MarkEnded, PreviouslyHeld: i.residency.PreviouslyHeld,
 		Newest: func(a snipecatalog.Adapter) int64 {
 			version, _ := i.catalog.Newest(a)
 			return version
 		},
 	}
-	i.controller.Spare = func(u *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool {
-		return i.gateway.Chooser.Spare(u, a, perSecond)
+	i.controller.Redundant = func(u *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool {
+		return i.gateway.Chooser.CanEvict(u, a, perSecond)
 	}
 	i.peers = newPeers(peerClient(i.meter))
 	i.buildQuotas()
 	i.retryBudgets = &retryBudgets{share: s.RetryShare, slack: s.RetrySlack, span: s.RetrySpan.Value(), instances: i.instances}
 	i.gateway = &snipegateway.Gateway{
 		Catalog: i.catalog, Balancer: i.balancer, Links: i.links, Signals: i.signals, Protocol: i.Platform.Protocol,
-		Quotas: i.gatewayQuotas(), Outdated: i.catalogOutdated, Begin: i.startupGate.wait,
+		Quotas: i.gatewayQuotas(), Outdated: i.catalogOutdated, WaitForStart: i.startupGate.wait,
 		Budget: i.retryBudgets.budget, Stopping: i.stopState.stopping, Log: i.Log, Meter: i.meter,
 		Chooser: &snipegateway.Chooser{
 			Directory: i.directory, Balancer: i.balancer, Residency: i.residency, Signals: i.signals, Versions: i.catalog,
@@ -340,7 +340,7 @@
 func (i *Instance) readTakenEngines(ctx context.Context) {
 	for _, u := range i.engines() {
 		if !u.Leaving {
-			i.controller.Take(ctx, u)
+			i.controller.ReadEngine(ctx, u)
 		}
 	}
 }
--- a/snipegateway/attempt.go
+++ b/snipegateway/attempt.go
@@ -54,7 +54,7 @@
 	}
 	c.takeQuotaAgain()
 	d := Dispatch{
-		Upstream: u, Left: left, Version: choice.Version, Priority: c.priority(), LastEvent: c.lastEvent,
+		Upstream: u, TimeLeft: left, Version: choice.Version, Priority: c.priority(), LastEvent: c.lastEvent,
 		Workspace: c.workspaceName(),
 	}
 	// The use is recorded after the load, at the start and at the end: a recorded use triggers a
@@ -83,20 +83,20 @@
 // upstream ran the request and signed the answer.
 func (c *call) handleAnswer(ctx context.Context, d Dispatch, answer *snipelink.Answer) error {
 	g, u := c.gateway, d.Upstream
-	v := g.Protocol.Judge(answer.Response, d)
+	v := g.Protocol.Classify(answer.Response, d)
 	if v.Load != nil {
-		g.Balancer.Told(u.ID, float64(v.Load.Running+v.Load.Waiting))
+		g.Balancer.SetLoad(u.ID, float64(v.Load.Running+v.Load.Waiting))
 	}
 	c.logNewHeaders(u.ID, answer.Response)
 	if v.signalApplies() {
-		g.Signals.Hear(u.ID, c.sentAt, v.Signal)
+		g.Signals.Record(u.ID, c.sentAt, v.Signal)
 	}
 	if v.NotRun {
 		return c.handleNotRun(answer, d, v)
 	}
 	c.mayHaveRun++
-	if !v.Genuine {
-		g.Balancer.Broken(u.ID)
+	if !v.Signed {
+		g.Balancer.Unanswered(u.ID)
 		g.Log.Log(snipelog.AnswerDiscarded, snipelog.Fields{requestField: c.ID, "Upstream": u.ID, "Status": answer.StatusCode})
 		return snipeerror.New(snipeerror.ErrMismatch, snipeerror.MayHaveRun, "the upstream's answer has no receipt")
 	}
@@ -151,23 +151,23 @@
 	if ctx.Err() != nil {
 		return snipeerror.New(snipeerror.ErrDeadline, snipeerror.MayHaveRun, err.Error())
 	}
-	b.Broken(id)
+	b.Unanswered(id)
 	return snipeerror.New(snipeerror.ErrUpstreamFailed, snipeerror.MayHaveRun, err.Error())
 }
 
 // handleNotRun records an answer by which the upstream did not run the request, and returns the
 // attempt's error.
-func (c *call) handleNotRun(answer *snipelink.Answer, d Dispatch, v Verdict) error {
+func (c *call) handleNotRun(answer *snipelink.Answer, d Dispatch, v AnswerState) error {
 	// The answer is read to its end so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxBuffered))
 	id := d.Upstream.ID
 	switch {
 	case v.Elsewhere:
 		c.gateway.Balancer.Replaced(id)
-	case v.Signal.Rest > 0:
+	case v.Signal.Backoff > 0:
 		// The engine has no free slot, but keeps its adapters during its backoff.
 	case c.Adapter.Name != "":
-		c.gateway.Chooser.Residency.Deny(id, c.Adapter)
+		c.gateway.Chooser.Residency.RecordAbsent(id, c.Adapter)
 	default:
 		c.fullUpstreams++
 	}
@@ -187,7 +187,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(answer, maxBuffered))
 	if err != nil {
-		c.gateway.Balancer.Broken(id)
+		c.gateway.Balancer.Unanswered(id)
 		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, err.Error())
 	}
 	failed := answer.StatusCode >= http.StatusInternalServerError
--- a/snipegateway/call.go
+++ b/snipegateway/call.go
@@ -140,10 +140,10 @@
 		return err
 	}
 	c.header = endToEnd(c.request.Header)
-	if c.catalog.Keyed() {
+	if c.catalog.RequiresKeys() {
 		c.header.Del(keyHeader)
 	}
-	g.Budget(c.service).Count()
+	g.Budget(c.service).CountRequest()
 	return nil
 }
 
@@ -151,7 +151,7 @@
 func (c *call) resolveRoute() error {
 	g := c.gateway
 	if g.Catalog.Catalog() == nil || g.Chooser.Directory.Snapshot() == nil {
-		g.Begin(c.request.Context())
+		g.WaitForStart(c.request.Context())
 	}
 	c.catalog = g.Catalog.Catalog()
 	if c.catalog == nil {
@@ -190,8 +190,8 @@
 	if c.route.Timeout > 0 {
 		d = c.route.Timeout
 	}
-	if c.Patience > 0 {
-		d = min(d, c.Patience)
+	if c.MaxWait > 0 {
+		d = min(d, c.MaxWait)
 	}
 	return d
 }
--- a/snipegateway/choose.go
+++ b/snipegateway/choose.go
@@ -39,11 +39,11 @@
 // Chooser chooses upstreams for requests and has adapters loaded where they are needed. Exported
 // fields are set before the first call. It is safe for concurrent use.
 type Chooser struct {
-	Directory *snipedirectory.Keeper
+	Directory *snipedirectory.Cache
 	Balancer  *snipebalance.Balancer
 	Residency *snipeadapter.Residency
-	Signals   *snipesignal.Book
-	Versions  *snipecatalog.Keeper
+	Signals   *snipesignal.Tracker
+	Versions  *snipecatalog.Cache
 	// Ensure asks an engine's owner to load an adapter, waits for the load and returns the loaded
 	// version. It returns a snipeadapter.BusyError at once if the load would take longer than
 	// maxWait.
@@ -98,7 +98,7 @@
 			ids = append(ids, u.ID)
 		}
 	}
-	if retryAfter, limited := c.Signals.Promise(ids); limited {
+	if retryAfter, limited := c.Signals.RetryAfter(ids); limited {
 		reason := defaultErr.Reason + ": limits are reached, or rest is wanted"
 		return snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, reason).After(retryAfter)
 	}
--- a/snipegateway/choose_bench_test.go
+++ b/snipegateway/choose_bench_test.go
@@ -18,7 +18,7 @@
 			for n := range engines {
 				for slot := range slots {
 					a := snipecatalog.Adapter{Model: "base", Name: fmt.Sprint("a", n*slots/2+slot)}
-					c.Residency.Tell(fmt.Sprint("e", n), a, 1)
+					c.Residency.RecordHeld(fmt.Sprint("e", n), a, 1)
 				}
 			}
 			q := &snipegateway.Request{Adapter: snipecatalog.Adapter{Model: "base", Name: "a15"}}
--- a/snipegateway/choose_test.go
+++ b/snipegateway/choose_test.go
@@ -69,8 +69,8 @@
 
 func newChooser(o *fakeOwners, engines int) *snipegateway.Chooser {
 	c := &snipegateway.Chooser{
-		Directory: &snipedirectory.Keeper{}, Balancer: &snipebalance.Balancer{},
-		Residency: &snipeadapter.Residency{}, Signals: &snipesignal.Book{}, Versions: &snipecatalog.Keeper{},
+		Directory: &snipedirectory.Cache{}, Balancer: &snipebalance.Balancer{},
+		Residency: &snipeadapter.Residency{}, Signals: &snipesignal.Tracker{}, Versions: &snipecatalog.Cache{},
 		Ensure: o.ensure, Owned: func(*snipedirectory.Upstream) bool { return true },
 	}
 	change := snipedirectory.Change{Whole: true}
@@ -239,7 +239,7 @@
 				home := choice.Upstream
 				for range 10 {
 					share := tt.perSecond / float64(o.requestCount())
-					c.Spread(home, map[snipecatalog.Adapter]float64{request.Adapter: share})
+					c.AddReplicas(home, map[snipecatalog.Adapter]float64{request.Adapter: share})
 					time.Sleep(300 * time.Millisecond)
 				}
 				must.Eq(t, tt.want, o.requestCount())
--- a/snipegateway/limit_test.go
+++ b/snipegateway/limit_test.go
@@ -17,9 +17,9 @@
 )
 
 // announceLimit records a limit in requests per second for each of the upstreams.
-func announceLimit(b *snipesignal.Book, perSecond float64, upstreams ...string) {
+func announceLimit(b *snipesignal.Tracker, perSecond float64, upstreams ...string) {
 	for _, id := range upstreams {
-		b.Hear(id, time.Now(), snipesignal.Signal{Limit: perSecond, Limited: true})
+		b.Record(id, time.Now(), snipesignal.Signal{Limit: perSecond, Limited: true})
 	}
 }
 
@@ -90,10 +90,10 @@
 	only := c.Directory.Snapshot().Service(service)[0]
 	dead := map[netip.AddrPort]bool{only.Address: true}
 	g, _ := newGateway(t, c, dead, nil)
-	g.Protocol.Judge = func(*http.Response, snipegateway.Dispatch) snipegateway.Verdict {
-		return snipegateway.Verdict{Genuine: true, Signal: snipesignal.Signal{Limit: 1, Limited: true}}
+	g.Protocol.Classify = func(*http.Response, snipegateway.Dispatch) snipegateway.AnswerState {
+		return snipegateway.AnswerState{Signed: true, Signal: snipesignal.Signal{Limit: 1, Limited: true}}
 	}
-	c.Signals.Part = func(string, float64) snipesignal.Part { return snipesignal.Part{Interval: time.Hour} }
+	c.Signals.Share = func(string, float64) snipesignal.Share { return snipesignal.Share{Interval: time.Hour} }
 	announceLimit(c.Signals, 1, only.ID)
 	must.Eq(t, http.StatusServiceUnavailable, sendRequest(g).Code)
 	must.True(t, c.Signals.Open(only.ID))
@@ -108,9 +108,9 @@
 func TestAllRest(t *testing.T) {
 	c := newChooser(&fakeOwners{}, 2)
 	g, upstream := newGateway(t, c, nil, nil)
-	c.Signals.Hear("e0", time.Now(), snipesignal.Signal{Rest: 3 * time.Second})
+	c.Signals.Record("e0", time.Now(), snipesignal.Signal{Backoff: 3 * time.Second})
 	must.Eq(t, http.StatusOK, sendRequest(g).Code)
-	c.Signals.Hear("e1", time.Now(), snipesignal.Signal{Rest: 2 * time.Second})
+	c.Signals.Record("e1", time.Now(), snipesignal.Signal{Backoff: 2 * time.Second})
 	begun := time.Now()
 	w := sendRequest(g)
 	must.Less(t, 500*time.Millisecond, time.Since(begun))
@@ -127,13 +127,13 @@
 	c := newChooser(&fakeOwners{}, 1)
 	only := c.Directory.Snapshot().Service(service)[0]
 	g, upstream := newGateway(t, c, nil, map[string]bool{only.ID: true})
-	c.Residency.Tell(only.ID, request.Adapter, 1)
+	c.Residency.RecordHeld(only.ID, request.Adapter, 1)
 	g.Catalog.Catalog().Services[service].Engine = &snipecatalog.Engine{}
 	g.Protocol.Decode = func(*http.Request) (snipegateway.Request, error) {
 		return snipegateway.Request{ID: "1", Adapter: request.Adapter}, nil
 	}
-	g.Protocol.Judge = func(*http.Response, snipegateway.Dispatch) snipegateway.Verdict {
-		return snipegateway.Verdict{NotRun: true, Signal: snipesignal.Signal{Rest: time.Second}}
+	g.Protocol.Classify = func(*http.Response, snipegateway.Dispatch) snipegateway.AnswerState {
+		return snipegateway.AnswerState{NotRun: true, Signal: snipesignal.Signal{Backoff: time.Second}}
 	}
 	must.Eq(t, http.StatusServiceUnavailable, sendRequest(g).Code)
 	must.Eq(t, 1, upstream.Load())
--- a/snipegateway/loading.go
+++ b/snipegateway/loading.go
@@ -164,7 +164,7 @@
 	switch {
 	case l.err == nil:
 		c.estimators.forService(u.Service).recordLoad(time.Since(start))
-		c.Residency.Tell(key.engine, key.adapter, l.version)
+		c.Residency.RecordHeld(key.engine, key.adapter, l.version)
 	case errors.Is(l.err, snipeadapter.ErrUnreached):
 		c.Balancer.Unreached(key.engine)
 	}
--- a/snipegateway/overload.go
+++ b/snipegateway/overload.go
@@ -65,11 +65,11 @@
 // by rank.
 func (c *Chooser) previousHolders(all []*snipedirectory.Upstream, a snipecatalog.Adapter) []*snipedirectory.Upstream {
 	var engines []*snipedirectory.Upstream
-	for _, id := range c.Residency.Formers(a, nil) {
+	for _, id := range c.Residency.PreviousHolders(a, nil) {
 		n, found := slices.BinarySearchFunc(all, id, func(u *snipedirectory.Upstream, id string) int {
 			return strings.Compare(u.ID, id)
 		})
-		if found && c.Residency.Formerly(id, a) && !c.overloaded(all[n]) {
+		if found && c.Residency.PreviouslyHeld(id, a) && !c.overloaded(all[n]) {
 			engines = append(engines, all[n])
 		}
 	}
--- a/snipegateway/overload_test.go
+++ b/snipegateway/overload_test.go
@@ -42,7 +42,7 @@
 				o := &fakeOwners{busy: tt.busy}
 				c := newChooser(o, count)
 				if tt.homeHolds {
-					c.Residency.Tell(home, request.Adapter, 1)
+					c.Residency.RecordHeld(home, request.Adapter, 1)
 				}
 				for _, id := range engineNames(count) {
 					c.Balancer.Begin(id, tt.otherLoad)
@@ -66,7 +66,7 @@
 		home := "e0"
 		o := &fakeOwners{busy: map[string]time.Duration{}, extraTime: 3 * time.Second}
 		c := newChooser(o, 2)
-		c.Residency.Tell(home, request.Adapter, 1)
+		c.Residency.RecordHeld(home, request.Adapter, 1)
 		c.Balancer.Begin(home, overloadWeight)
 		begun := time.Now()
 		choice, err := c.Choose(t.Context(), service, request, nil, objective)
--- a/snipegateway/prefix_test.go
+++ b/snipegateway/prefix_test.go
@@ -29,7 +29,7 @@
 				for range instances {
 					c := newChooser(&fakeOwners{}, engines)
 					for n := range holders {
-						c.Residency.Tell(fmt.Sprint("e", n), request.Adapter, 1)
+						c.Residency.RecordHeld(fmt.Sprint("e", n), request.Adapter, 1)
 					}
 					for n := range perInstance {
 						prefix := fmt.Sprint("part", n%prefixes)
@@ -50,8 +50,8 @@
 func TestBusyReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChooser(&fakeOwners{}, 12)
-		c.Residency.Tell("e1", request.Adapter, 1)
-		c.Residency.Tell("e2", request.Adapter, 1)
+		c.Residency.RecordHeld("e1", request.Adapter, 1)
+		c.Residency.RecordHeld("e2", request.Adapter, 1)
 		q := prompt("part", 6300)
 		first, err := c.Choose(t.Context(), service, q, nil, objective)
 		must.NoError(t, err)
@@ -72,6 +72,6 @@
 func prompt(part string, shared int) *snipegateway.Request {
 	return &snipegateway.Request{
 		Adapter: snipecatalog.Adapter{Model: "base", Name: "a1"}, PromptTokens: shared + 500,
-		Parts: []snipegateway.Part{{ID: part, Tokens: shared}, {ID: "own", Tokens: 500}},
+		Parts: []snipegateway.PromptPart{{ID: part, Tokens: shared}, {ID: "own", Tokens: 500}},
 	}
 }
--- a/snipegateway/previous_test.go
+++ b/snipegateway/previous_test.go
@@ -37,8 +37,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newChooser(&fakeOwners{busy: tt.busy}, count)
 				for _, id := range tt.previous {
-					c.Residency.Tell(id, request.Adapter, 1)
-					c.Residency.Deny(id, request.Adapter)
+					c.Residency.RecordHeld(id, request.Adapter, 1)
+					c.Residency.RecordAbsent(id, request.Adapter)
 				}
 				for _, id := range tt.overloaded {
 					c.Balancer.Begin(id, overloadWeight)
--- a/snipegateway/ranking_test.go
+++ b/snipegateway/ranking_test.go
@@ -20,11 +20,11 @@
 	a := request.Adapter
 	previous, overloaded := map[string]bool{"e3": true, "e17": true, "e20": true}, map[string]bool{"e5": true, "e20": true, "e30": true}
 	for id := range previous {
-		c.Residency.Tell(id, a, 1)
-		c.Residency.Deny(id, a)
+		c.Residency.RecordHeld(id, a, 1)
+		c.Residency.RecordAbsent(id, a)
 	}
 	for id := range overloaded {
-		c.Balancer.Told(id, 500)
+		c.Balancer.SetLoad(id, 500)
 	}
 	key := sniperoute.Hash(a.Model, a.Name)
 	group := func(id string) int {
@@ -60,7 +60,7 @@
 func TestAmongThousands(t *testing.T) {
 	c := newChooser(&fakeOwners{}, 3000)
 	for n := range 3000 {
-		c.Residency.Tell(fmt.Sprint("e", n), snipecatalog.Adapter{Model: "base", Name: fmt.Sprint("a", n)}, 1)
+		c.Residency.RecordHeld(fmt.Sprint("e", n), snipecatalog.Adapter{Model: "base", Name: fmt.Sprint("a", n)}, 1)
 	}
 	must.Eq(t, []string{"e1"}, c.Residency.Holders(request.Adapter, nil))
 	choice, err := c.Choose(t.Context(), service, request, nil, objective)
--- a/snipegateway/reach_test.go
+++ b/snipegateway/reach_test.go
@@ -93,7 +93,7 @@
 	}))
 	t.Cleanup(server.Close)
 	budget := &sniperetry.Window{Slack: func() float64 { return 0 }, Span: time.Minute}
-	catalog := &snipecatalog.Keeper{}
+	catalog := &snipecatalog.Cache{}
 	routes := &snipecatalog.Catalog{
 		Version: 1, Services: map[string]*snipecatalog.Service{service: {}},
 		Routes: []snipecatalog.Route{{
@@ -113,20 +113,20 @@
 				}
 				return (&net.Dialer{}).DialContext(ctx, "tcp", server.Listener.Addr().String())
 			},
-			DialTimeout: time.Second, Idle: time.Minute, Kept: 4,
-			Belongs:   func(*http.Request, *http.Response) bool { return true },
-			KeepAlive: func(*http.Response) time.Duration { return 0 },
+			DialTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4,
+			IsAnswerTo: func(*http.Request, *http.Response) bool { return true },
+			KeepAlive:  func(*http.Response) time.Duration { return 0 },
 		},
 		Protocol: snipegateway.Protocol{
 			Decode:  func(*http.Request) (snipegateway.Request, error) { return snipegateway.Request{ID: "1"}, nil },
 			Prepare: func(h http.Header, d snipegateway.Dispatch) { h.Set("Expect-Upstream", d.Upstream.ID) },
-			Judge: func(a *http.Response, _ snipegateway.Dispatch) snipegateway.Verdict {
-				return snipegateway.Verdict{Genuine: true, NotRun: a.StatusCode != http.StatusOK}
+			Classify: func(a *http.Response, _ snipegateway.Dispatch) snipegateway.AnswerState {
+				return snipegateway.AnswerState{Signed: true, NotRun: a.StatusCode != http.StatusOK}
 			},
 			Sign: func(http.Header, string) {},
 		},
 		Budget:   func(string) *sniperetry.Window { return budget },
 		Stopping: func() bool { return false },
-		Outdated: func() bool { return false }, Begin: func(context.Context) {},
+		Outdated: func() bool { return false }, WaitForStart: func(context.Context) {},
 	}, received
 }
--- a/snipegateway/replicas.go
+++ b/snipegateway/replicas.go
@@ -46,11 +46,11 @@
 	at      time.Time
 }
 
-// Spread has more engines load the adapters that are used much on u, an engine owned by this
+// AddReplicas has more engines load the adapters that are used much on u, an engine owned by this
 // instance. No request waits for these loads. Rates are the requests per second on that engine from
 // all instances: a single instance serves too few requests to distinguish a popular adapter from
 // one that was requested twice.
-func (c *Chooser) Spread(u *snipedirectory.Upstream, rates map[snipecatalog.Adapter]float64) {
+func (c *Chooser) AddReplicas(u *snipedirectory.Upstream, rates map[snipecatalog.Adapter]float64) {
 	for a, perSecond := range rates {
 		c.addReplicas(u, a, perSecond)
 	}
@@ -122,10 +122,10 @@
 	return true
 }
 
-// Spare reports whether an engine may evict an adapter that is used perSecond times a second there,
+// CanEvict reports whether an engine may evict an adapter that is used perSecond times a second there,
 // because the other holders can take over its requests. The first holder in rank may never evict
 // it, so that not all holders do so at the same time.
-func (c *Chooser) Spare(u *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool {
+func (c *Chooser) CanEvict(u *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool {
 	holders, first := c.usableHolders(c.Directory.Snapshot(), u.Service, a)
 	return holders > 1 && first != u.ID && perSecond*float64(holders)/float64(holders-1) < maxSpareRate
 }
--- a/snipegateway/replicas_test.go
+++ b/snipegateway/replicas_test.go
@@ -94,7 +94,7 @@
 	engines := c.choosers[0].Directory.Snapshot().Service(service)
 	for _, n := range holders {
 		if r := c.rates[n].PerSecond(now); r >= snipegateway.ReplicaRate {
-			c.choosers[n].Spread(engines[n], map[snipecatalog.Adapter]float64{request.Adapter: r})
+			c.choosers[n].AddReplicas(engines[n], map[snipecatalog.Adapter]float64{request.Adapter: r})
 		}
 	}
 }
@@ -131,11 +131,11 @@
 		t.Run(name, func(t *testing.T) {
 			c := newChooser(&fakeOwners{}, 4)
 			for _, id := range tt.holders {
-				c.Residency.Tell(id, request.Adapter, 1)
+				c.Residency.RecordHeld(id, request.Adapter, 1)
 			}
 			// This directory entry is from an earlier read than the current one.
 			u := *c.Directory.Snapshot().ByID(tt.engine)
-			must.Eq(t, tt.spare, c.Spare(&u, request.Adapter, tt.perSecond))
+			must.Eq(t, tt.spare, c.CanEvict(&u, request.Adapter, tt.perSecond))
 		})
 	}
 }
--- a/snipegateway/request.go
+++ b/snipegateway/request.go
@@ -9,8 +9,8 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// Part is a section of a prompt that other requests may share.
-type Part struct {
+// PromptPart is a section of a prompt that other requests may share.
+type PromptPart struct {
 	ID     string
 	Tokens int
 }
@@ -19,8 +19,8 @@
 type Request struct {
 	// ID identifies this attempt of the caller.
 	ID string
-	// Patience is the longest time that the caller waits; zero if not stated.
-	Patience time.Duration
+	// MaxWait is the longest time that the caller waits; zero if not stated.
+	MaxWait time.Duration
 	// LastEvent is the identifier of the last event of the stream that the caller has.
 	LastEvent string
 	// Adapter is the adapter that the request is for; its Model is empty for plain services.
@@ -28,10 +28,10 @@
 	// PromptTokens and OutputTokens are the sizes of the prompt and the output.
 	PromptTokens int
 	OutputTokens int
-	// Sized is set if the caller stated both sizes.
-	Sized bool
+	// SizeStated is set if the caller stated both sizes.
+	SizeStated bool
 	// Parts are the parts of the prompt in order.
-	Parts []Part
+	Parts []PromptPart
 }
 
 // sharedPrefix returns how many tokens the prompt shares with other requests, and the identifier of
@@ -48,8 +48,8 @@
 // Dispatch describes how a request is sent to an upstream.
 type Dispatch struct {
 	Upstream *snipedirectory.Upstream
-	// Left is the time that the upstream may take.
-	Left time.Duration
+	// TimeLeft is the time that the upstream may take.
+	TimeLeft time.Duration
 	// Version is the adapter version that the upstream must hold; zero for any.
 	Version int64
 	// Priority ranks the request among the upstream's requests; 0 is the most urgent.
@@ -65,10 +65,10 @@
 	Running, Waiting, Slots int
 }
 
-// Verdict is what an upstream's answer states in addition to its content.
-type Verdict struct {
-	// Genuine is set if the answer carries the upstream's signature.
-	Genuine bool
+// AnswerState is what an upstream's answer states in addition to its content.
+type AnswerState struct {
+	// Signed is set if the answer carries the upstream's signature.
+	Signed bool
 	// NotRun is set if the upstream states that it did not run the request.
 	NotRun bool
 	// Elsewhere is set if another upstream answered at the address.
@@ -84,8 +84,8 @@
 // signalApplies reports whether an answer's signal, or the lack of one, applies to the upstream
 // that the request was sent to. The lack of a signal counts only in an answer that this upstream
 // signed.
-func (v *Verdict) signalApplies() bool {
-	return !v.Elsewhere && (v.Genuine || v.Signal != (snipesignal.Signal{}))
+func (v *AnswerState) signalApplies() bool {
+	return !v.Elsewhere && (v.Signed || v.Signal != (snipesignal.Signal{}))
 }
 
 // Protocol translates between the gateway and the formats of callers and upstreams.
@@ -94,8 +94,8 @@
 	Decode func(r *http.Request) (Request, error)
 	// Prepare turns a caller's header into the header of a request to an upstream.
 	Prepare func(h http.Header, d Dispatch)
-	// Judge reads what an upstream's answer states in addition to its content.
-	Judge func(a *http.Response, d Dispatch) Verdict
+	// Classify reads what an upstream's answer states in addition to its content.
+	Classify func(a *http.Response, d Dispatch) AnswerState
 	// Sign adds the request's identifier to an answer of this instance.
 	Sign func(h http.Header, id string)
 }
--- a/snipegateway/snipegateway.go
+++ b/snipegateway/snipegateway.go
@@ -37,16 +37,16 @@
 
 // Gateway serves requests. Exported fields are set before the first request.
 type Gateway struct {
-	Catalog  *snipecatalog.Keeper
+	Catalog  *snipecatalog.Cache
 	Chooser  *Chooser
 	Balancer *snipebalance.Balancer
 	Links    *snipelink.Pool
-	Signals  *snipesignal.Book
+	Signals  *snipesignal.Tracker
 	Protocol Protocol
 	Quotas   Quotas
-	// Begin blocks a request that arrives before routes and upstreams are known, for a short time
+	// WaitForStart blocks a request that arrives before routes and upstreams are known, for a short time
 	// after the start.
-	Begin func(ctx context.Context)
+	WaitForStart func(ctx context.Context)
 	// Outdated reports whether operators may have declared something that this instance has not
 	// read.
 	Outdated func() bool
--- a/snipegateway/stream.go
+++ b/snipegateway/stream.go
@@ -100,7 +100,7 @@
 // streamError records a stream that broke off and returns its error.
 func (c *call) streamError(ctx context.Context, id string, err error) error {
 	if ctx.Err() == nil {
-		c.gateway.Balancer.Broken(id)
+		c.gateway.Balancer.Unanswered(id)
 		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, err.Error())
 	}
 	return snipeerror.New(snipeerror.ErrDeadline, snipeerror.MayHaveRun, err.Error())
--- a/snipegateway/use.go
+++ b/snipegateway/use.go
@@ -9,7 +9,7 @@
 
 // useReportInterval is the time between two reports of an engine that has requests in flight and no
 // changes. The repetition makes up for a lost report.
-const useReportInterval = snipeadapter.UseLife / 3
+const useReportInterval = snipeadapter.UseTTL / 3
 
 // engineUse is this instance's use of one engine.
 type engineUse struct {
@@ -73,10 +73,10 @@
 	}
 }
 
-// TakeUses returns the use of adapters, by engine, that is due to be reported to the engines'
+// TakeUseReports returns the use of adapters, by engine, that is due to be reported to the engines'
 // owners. An engine is due if a request has begun or ended there since its last report, or if
 // requests are in flight there and its last report is older than useReportInterval.
-func (c *Chooser) TakeUses() map[string]map[snipecatalog.Adapter]snipeadapter.Use {
+func (c *Chooser) TakeUseReports() map[string]map[snipecatalog.Adapter]snipeadapter.Use {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	now := time.Now()
--- a/snipegateway/use_test.go
+++ b/snipegateway/use_test.go
@@ -26,24 +26,24 @@
 		endBase := c.Use("e2", snipecatalog.Adapter{Model: "base"})
 		must.Eq(t, uses{
 			"e1": {a: {Begun: 2, Running: true}, b: {Begun: 1, Running: true}}, "e2": {},
-		}, c.TakeUses())
+		}, c.TakeUseReports())
 		reports := 0
 		for range 25 {
 			time.Sleep(tick)
-			if taken := c.TakeUses(); len(taken) > 0 {
+			if taken := c.TakeUseReports(); len(taken) > 0 {
 				reports++
 				must.Eq(t, uses{"e1": {a: {Running: true}, b: {Running: true}}, "e2": {}}, taken)
 			}
 		}
 		must.Between(t, 3, reports, 4)
 		endA()
-		must.Eq(t, uses{"e1": {a: {}, b: {Running: true}}}, c.TakeUses())
-		must.MapEmpty(t, c.TakeUses())
+		must.Eq(t, uses{"e1": {a: {}, b: {Running: true}}}, c.TakeUseReports())
+		must.MapEmpty(t, c.TakeUseReports())
 		endB()
 		endBase()
-		must.Eq(t, uses{"e1": {b: {}}, "e2": {}}, c.TakeUses())
+		must.Eq(t, uses{"e1": {b: {}}, "e2": {}}, c.TakeUseReports())
 		time.Sleep(time.Minute)
-		must.MapEmpty(t, c.TakeUses())
+		must.MapEmpty(t, c.TakeUseReports())
 	})
 }
 
@@ -54,17 +54,17 @@
 		c := &snipegateway.Chooser{}
 		c.Use("e1", snipecatalog.Adapter{Model: "base", Name: "a"})
 		last := time.Now()
-		c.TakeUses()
+		c.TakeUseReports()
 		lost := false
 		for range 100 {
 			time.Sleep(80 * time.Millisecond)
-			if len(c.TakeUses()) == 0 {
+			if len(c.TakeUseReports()) == 0 {
 				continue
 			}
 			if lost = !lost; lost {
 				continue
 			}
-			must.Less(t, snipeadapter.UseLife, time.Since(last))
+			must.Less(t, snipeadapter.UseTTL, time.Since(last))
 			last = time.Now()
 		}
 	})
--- a/snipegateway/waiting_test.go
+++ b/snipegateway/waiting_test.go
@@ -19,12 +19,12 @@
 // another engine.
 func TestWordWhileWaiting(t *testing.T) {
 	tests := map[string]func(c *snipegateway.Chooser, engine string){
-		"Leaves": func(c *snipegateway.Chooser, engine string) { c.Directory.Leave(engine) },
+		"Leaves": func(c *snipegateway.Chooser, engine string) { c.Directory.MarkLeaving(engine) },
 		"Rests": func(c *snipegateway.Chooser, engine string) {
-			c.Signals.Hear(engine, time.Now(), snipesignal.Signal{Rest: time.Minute})
+			c.Signals.Record(engine, time.Now(), snipesignal.Signal{Backoff: time.Minute})
 		},
 		"LimitReached": func(c *snipegateway.Chooser, engine string) {
-			c.Signals.Hear(engine, time.Now(), snipesignal.Signal{Limit: 0.1, Limited: true})
+			c.Signals.Record(engine, time.Now(), snipesignal.Signal{Limit: 0.1, Limited: true})
 		},
 	}
 	for name, signal := range tests {
--- a/snipegateway/workspace.go
+++ b/snipegateway/workspace.go
@@ -16,8 +16,8 @@
 	// Take charges a request. If the quota is used up, it returns false and the time until enough
 	// of the quota is available.
 	Take func(ctx context.Context, w *snipecatalog.Workspace, units float64) (wait time.Duration, ok bool)
-	// Again charges a request that runs once more.
-	Again func(w *snipecatalog.Workspace, units float64)
+	// TakeAgain charges a request that runs once more.
+	TakeAgain func(w *snipecatalog.Workspace, units float64)
 	// Return refunds the charge of a request that was not run.
 	Return func(w *snipecatalog.Workspace, units float64)
 }
@@ -27,7 +27,7 @@
 
 // identifyWorkspace finds the workspace of the request's key.
 func (c *call) identifyWorkspace() error {
-	if !c.catalog.Keyed() {
+	if !c.catalog.RequiresKeys() {
 		return nil
 	}
 	key, ok := snipecall.BearerKey(c.request.Header)
@@ -84,7 +84,7 @@
 	if !c.hasQuota() {
 		return nil
 	}
-	units := c.workspace.Quota.Cost(c.PromptTokens+c.OutputTokens, c.Sized)
+	units := c.workspace.Quota.Cost(c.PromptTokens+c.OutputTokens, c.SizeStated)
 	c.cost = units
 	wait, ok := c.gateway.Quotas.Take(ctx, c.workspace, units)
 	if !ok {
@@ -103,7 +103,7 @@
 // run it.
 func (c *call) takeQuotaAgain() {
 	if c.units > 0 && c.mayHaveRun > 0 {
-		c.gateway.Quotas.Again(c.workspace, c.units)
+		c.gateway.Quotas.TakeAgain(c.workspace, c.units)
 	}
 }
 
--- a/snipehealth/gray_test.go
+++ b/snipehealth/gray_test.go
@@ -75,7 +75,7 @@
 			key := sniperoute.Hash(strconv.Itoa(n))
 			choice := candidates(grayEngines)
 			if tracked {
-				tracker.Mark(key, choice)
+				tracker.MarkUnusable(key, choice)
 			}
 			c := &snipecall.Call{ID: strconv.Itoa(n), Base: "b", Upstream: choice[sniperoute.Pick(key, choice)].Name}
 			all.Go(func() {
@@ -133,7 +133,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		tracker.Mark(1, all)
+		tracker.MarkUnusable(1, all)
 	}
 }
 
--- a/snipehealth/mark.go
+++ b/snipehealth/mark.go
@@ -6,9 +6,9 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// Mark marks the candidates that must not get the call as unusable. key is the hash
+// MarkUnusable marks the candidates that must not get the call as unusable. key is the hash
 // of the call, and decides which calls go to an upstream in the state Ramp.
-func (t *Tracker) Mark(key uint64, candidates []sniperoute.Candidate) {
+func (t *Tracker) MarkUnusable(key uint64, candidates []sniperoute.Candidate) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	now := time.Now()
@@ -65,10 +65,10 @@
 	return float64(h>>(64-bits)) / (1 << bits)
 }
 
-// Least returns the index of the less loaded of the two usable candidates that rank
+// LeastLoaded returns the index of the less loaded of the two usable candidates that rank
 // first for the key, or -1 if none is usable. The load counts only calls of this
 // instance.
-func (t *Tracker) Least(key uint64, candidates []sniperoute.Candidate) int {
+func (t *Tracker) LeastLoaded(key uint64, candidates []sniperoute.Candidate) int {
 	first := sniperoute.Pick(key, candidates)
 	if first < 0 {
 		return first
--- a/snipehealth/snipehealth.go
+++ b/snipehealth/snipehealth.go
@@ -285,10 +285,10 @@
 	return 1
 }
 
-// Hear records a state that another instance has announced. It expires after ttl.
+// RecordAnnouncement records a state that another instance has announced. It expires after ttl.
 // A state other than Up that this instance has detected itself takes precedence,
 // and an unknown state or reason is ignored.
-func (t *Tracker) Hear(name string, s State, r Reason, ttl time.Duration) {
+func (t *Tracker) RecordAnnouncement(name string, s State, r Reason, ttl time.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	now := time.Now()
@@ -316,9 +316,9 @@
 	t.restricted[name] = u
 }
 
-// Outs returns the upstreams that are out as detected by this instance, with the
+// DetectedOut returns the upstreams that are out as detected by this instance, with the
 // reasons. It omits states announced by others.
-func (t *Tracker) Outs() map[string]Reason {
+func (t *Tracker) DetectedOut() map[string]Reason {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	outs := map[string]Reason{}
--- a/snipehealth/snipehealth_test.go
+++ b/snipehealth/snipehealth_test.go
@@ -31,7 +31,7 @@
 // usable returns the names of the n candidates that Mark leaves usable for a call.
 func usable(tracker *Tracker, key uint64, n int) []string {
 	all := candidates(n)
-	tracker.Mark(key, all)
+	tracker.MarkUnusable(key, all)
 	var names []string
 	for _, c := range all {
 		if c.Usable {
@@ -182,12 +182,12 @@
 func TestHear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker()
-		tracker.Hear("0", Out, Unreachable, 30*time.Second)
+		tracker.RecordAnnouncement("0", Out, Unreachable, 30*time.Second)
 		must.Eq(t, []string{"1", "2"}, usable(tracker, 1, 3))
 		time.Sleep(31 * time.Second)
 		must.Eq(t, []string{"0", "1", "2"}, usable(tracker, 1, 3))
 		tracker.Observe("0", Observation{})
-		tracker.Hear("0", Up, None, 30*time.Second)
+		tracker.RecordAnnouncement("0", Up, None, 30*time.Second)
 		must.Eq(t, []string{"1", "2"}, usable(tracker, 1, 3))
 	})
 }
--- a/snipehealth/watch.go
+++ b/snipehealth/watch.go
@@ -52,12 +52,12 @@
 	t.upstream(name, time.Now()).inFlight += n
 }
 
-// Hop records the failure of a call that was forwarded to another instance. If the
+// ObserveForward records the failure of a call that was forwarded to another instance. If the
 // failure is NotRun and indicates that the owner or the upstream is unavailable,
 // stopping or overloaded, this instance sends the upstream no calls for a backoff.
 // The backoff is not announced to other instances, because the fault may lie in the
 // connection between this instance and the owner.
-func (t *Tracker) Hop(c *snipecall.Call, err error) {
+func (t *Tracker) ObserveForward(c *snipecall.Call, err error) {
 	var f *snipeerror.CallError
 	if !errors.As(err, &f) || f.Outcome != snipeerror.NotRun {
 		return
--- a/snipeinstance/certificates.go
+++ b/snipeinstance/certificates.go
@@ -14,7 +14,7 @@
 
 // loadCertificates reads the certificates of the listeners that use TLS.
 func (i *Instance) loadCertificates() error {
-	i.certificates = map[string]*snipecert.Keeper{}
+	i.certificates = map[string]*snipecert.Reloader{}
 	for name, files := range map[string]*snipecert.Files{
 		"Callers":   i.Config.CallersTLS,
 		"Operators": i.Config.OperatorsTLS,
@@ -23,7 +23,7 @@
 		if files == nil {
 			continue
 		}
-		k := &snipecert.Keeper{Files: *files, Name: name, Poll: certificatePoll, Log: i.Log}
+		k := &snipecert.Reloader{Files: *files, Name: name, Poll: certificatePoll, Log: i.Log}
 		if err := k.Load(); err != nil {
 			return errors.Wrapf(err, "%sTLS", name)
 		}
--- a/snipeinstance/claims.go
+++ b/snipeinstance/claims.go
@@ -21,11 +21,11 @@
 
 // buildClaims wraps the attempts of a with claims and returns the function that executes a call.
 func (i *Instance) buildClaims(
-	guard *snipeplatform.Guard, a *sniperetry.Attempts,
+	guard *snipeplatform.Guard, a *sniperetry.Retrier,
 ) func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	i.claims = &snipeclaim.Claims{
 		Table: guard.For(snipeplatform.Claims), SweepTable: guard.For(snipeplatform.Sweeps), Instance: i.Config.Name, Serve: a.Serve, Dispatch: a.Execute,
-		Live: i.live, Mine: i.sweepsPartition, Sweep: sweepInterval, Timeout: claimTimeout,
+		IsLive: i.live, SweepsPartition: i.sweepsPartition, SweepInterval: sweepInterval, Timeout: claimTimeout,
 		Operation: rand.Text, Log: i.Log,
 	}
 	a.Execute = i.claims.Execute
--- a/snipeinstance/health.go
+++ b/snipeinstance/health.go
@@ -81,7 +81,7 @@
 	}
 	h.mergeAnnouncements()
 	h.tracker.Step(ctx, h.shouldProbe, h.probe)
-	for name, reason := range h.tracker.Outs() {
+	for name, reason := range h.tracker.DetectedOut() {
 		h.announce(name, snipehealth.Out, reason)
 	}
 	h.tracker.Forget(h.declared)
@@ -99,7 +99,7 @@
 		}
 		var a announcedHealth
 		if err := json.Unmarshal(d.Data, &a); err == nil {
-			h.tracker.Hear(d.Key, a.State, a.Reason, healthTTL)
+			h.tracker.RecordAnnouncement(d.Key, a.State, a.Reason, healthTTL)
 		}
 	}
 	h.versions = versions
--- a/snipeinstance/limits.go
+++ b/snipeinstance/limits.go
@@ -117,7 +117,7 @@
 		if err != nil || d.Origin == l.instance.Config.Name || !(demand >= 0) {
 			continue
 		}
-		l.teams.Hear(d.Key, d.Origin, demand, demandTTL)
+		l.teams.RecordDemand(d.Key, d.Origin, demand, demandTTL)
 	}
 	l.teams.Step()
 	if l.instance.settings.Current() != nil {
--- a/snipeinstance/listen.go
+++ b/snipeinstance/listen.go
@@ -40,7 +40,7 @@
 	// connections bounds the open connections.
 	connections int
 	// certificate is the certificate for TLS; nil serves without TLS.
-	certificate *snipecert.Keeper
+	certificate *snipecert.Reloader
 	log         *snipelog.Logger
 }
 
--- a/snipeinstance/members.go
+++ b/snipeinstance/members.go
@@ -86,14 +86,14 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, goneTimeout)
 	defer cancel()
-	i.members.Gone(bounded)
+	i.members.AnnounceLeft(bounded)
 }
 
 // leaseMembers returns the functions of the membership that the lease holder uses.
 func (i *Instance) leaseMembers() snipelease.Members {
 	return snipelease.Members{
 		All:      func() ([]snipemember.Member, bool) { return i.members.Members(), i.members.Joined() },
-		Announce: i.members.Announce, Digests: i.members.Digests, Reached: i.members.LastContact,
+		Announce: i.members.Announce, Digests: i.members.Digests, LastContact: i.members.LastContact,
 		Peers: i.randomPeers, HTTP: i.members.HTTP,
 	}
 }
--- a/snipeinstance/quarantine.go
+++ b/snipeinstance/quarantine.go
@@ -60,10 +60,10 @@
 func (i *Instance) buildQuarantine() {
 	q := &quarantine{instance: i, self: memberID(i.holder.Self), versions: map[string]uint64{}}
 	client := &snipequarantine.Client{
-		HTTP:    &snipepeer.SecretClient{Client: i.forward.HTTP, Secret: i.Config.PeerSecret},
+		HTTP:    &snipepeer.SecretClient{Client: i.forward.Pooled, Secret: i.Config.PeerSecret},
 		Address: q.address,
 	}
-	registry := &snipequarantine.Registry{Self: q.self, Settle: settleTime, Linger: lingerTime, Hold: quarantineHold}
+	registry := &snipequarantine.Registry{Self: q.self, SettleTime: settleTime, Linger: lingerTime, Retention: quarantineHold}
 	q.guard = &snipequarantine.Guard{
 		Registry: registry, Members: q.liveMembers, Begin: client.Begin, Finish: client.Finish, Replicate: client.Replicate,
 		Spread: q.announce, Run: i.execute, Isolation: &snipequarantine.Isolation{Linger: lingerTime},
@@ -103,7 +103,7 @@
 // announce publishes a crash record. A record without open crashes is published for clearedTTL
 // only, which is long enough to replace the earlier announcements.
 func (q *quarantine) announce(f snipequarantine.Fingerprint, record []byte, ttl time.Duration) {
-	if !q.guard.Registry.Suspects(f) {
+	if !q.guard.Registry.IsSuspect(f) {
 		ttl = clearedTTL
 	}
 	q.instance.members.Announce(quarantineTopic, f.String(), record, min(ttl, quarantineHold))
@@ -197,7 +197,7 @@
 		return all
 	}
 	f := snipequarantine.FingerprintOf(c)
-	if !q.guard.Registry.Suspects(f) {
+	if !q.guard.Registry.IsSuspect(f) {
 		return all
 	}
 	var usable []string
--- a/snipeinstance/retries.go
+++ b/snipeinstance/retries.go
@@ -3,8 +3,8 @@
 import "snipepitch.example/snipepitch/sniperetry"
 
 // retries returns the Attempts that executes calls and retries them.
-func (i *Instance) retries() *sniperetry.Attempts {
-	return &sniperetry.Attempts{
+func (i *Instance) retries() *sniperetry.Retrier {
+	return &sniperetry.Retrier{
 		Choose: i.choose, Execute: i.quarantine.guard.Execute, Budget: sniperetry.DefaultBudget(), Log: i.Log,
 	}
 }
--- a/snipeinstance/routes.go
+++ b/snipeinstance/routes.go
@@ -66,7 +66,7 @@
 		o, owned := v.Owners[name]
 		r.engines[e.Base] = append(r.engines[e.Base], sniperoute.Candidate{
 			Name: name, Hash: sniperoute.Hash(name),
-			Usable: owned && !o.Giving && !e.Leaving && i.reachable(o.Instance),
+			Usable: owned && !o.HandingOver && !e.Leaving && i.reachable(o.Instance),
 		})
 	}
 	return r
--- a/snipeinstance/settings.go
+++ b/snipeinstance/settings.go
@@ -23,7 +23,7 @@
 func (i *Instance) buildSettings(table snipeplatform.Table) {
 	i.settings = &snipetree.Store{
 		Table: table, Poll: i.Config.Poll.Value(), Log: i.Log, Operation: rand.Text,
-		Peers: i.randomPeers, HTTP: i.members.HTTP, Noticed: i.noticedRevision,
+		Peers: i.randomPeers, HTTP: i.members.HTTP, AnnouncedRevision: i.noticedRevision,
 		Announce: func(revision uint64) {
 			i.members.Announce(settingsTopic, revisionKey, binary.AppendUvarint(nil, revision), revisionTTL)
 		},
--- a/snipeinstance/snipeinstance.go
+++ b/snipeinstance/snipeinstance.go
@@ -76,7 +76,7 @@
 	router   router
 	replicas replicas
 	// certificates holds the TLS certificates by listener name.
-	certificates map[string]*snipecert.Keeper
+	certificates map[string]*snipecert.Reloader
 	members      *snipemember.Node
 	// rowSeeds are the seeds from the last read of the lease rows, rowSeedsRead is the time of that
 	// read. Only the goroutine of members accesses them.
@@ -168,7 +168,7 @@
 	i.dispatch = &snipedispatch.Dispatcher{
 		Tree:   i.settings.Current,
 		Fence:  func(engine string) (uint64, bool) { return i.holder.Fence(engine) },
-		Holds:  func(engine string, fence uint64) bool { return i.holder.Holds(engine, fence) },
+		Holds:  func(engine string, fence uint64) bool { return i.holder.Owns(engine, fence) },
 		Record: aliasRecords(table),
 		Budget: i.permits.Acquire,
 		Client: snipeupstream.NewPooled(dial), Fresh: snipeupstream.NewFresh(dial),
@@ -178,11 +178,11 @@
 	i.buildHealth()
 	toPeers := i.peerDial("ToPeers")
 	i.forward = &snipepeer.Client{
-		HTTP: snipeupstream.NewPooled(toPeers), Fresh: snipeupstream.NewFresh(toPeers),
+		Pooled: snipeupstream.NewPooled(toPeers), Fresh: snipeupstream.NewFresh(toPeers),
 		Secret: c.PeerSecret, Progress: c.Progress.Value(), Log: i.Log,
 	}
 	i.peers = &snipepeer.Handler{
-		Execute: i.health.execute, Secret: c.PeerSecret, Beat: peerBeat, Window: 2 * c.Progress.Value(),
+		Execute: i.health.execute, Secret: c.PeerSecret, HeartbeatInterval: peerBeat, ResumeWindow: 2 * c.Progress.Value(),
 		WriteTimeout: c.Progress.Value(), MaxBody: c.MaxBody, MaxCalls: c.MaxCalls,
 	}
 }
@@ -239,11 +239,11 @@
 	defer i.router.buffers.Put(buffer)
 	candidates := *buffer
 	call := sniperoute.Hash(c.ID)
-	i.health.tracker.Mark(call, candidates)
+	i.health.tracker.MarkUnusable(call, candidates)
 	candidates = i.quarantine.isolate(c, candidates)
 	var n int
 	if c.Service != "" {
-		n = i.health.tracker.Least(call, candidates)
+		n = i.health.tracker.LeastLoaded(call, candidates)
 	} else {
 		key := sniperoute.AdapterHash(c.Adapter)
 		n = sniperoute.PickReplica(key, call, i.replicas.count(key), candidates)
@@ -267,7 +267,7 @@
 		return i.health.execute(ctx, c, sink)
 	}
 	err := i.forward.Forward(ctx, o.Instance.PeerAddress, c, sink)
-	i.health.tracker.Hop(c, err)
+	i.health.tracker.ObserveForward(c, err)
 	return err
 }
 
--- a/snipelease/check.go
+++ b/snipelease/check.go
@@ -15,10 +15,10 @@
 	}
 }
 
-// Holds reports whether this instance still owns the engine under the fencing number, also while
+// Owns reports whether this instance still owns the engine under the fencing number, also while
 // it hands the engine over, and past its lease while an outage of the table extends the ownership.
 // An action that must not happen past the lease requires a write with OwnerCheck, which fails then.
-func (h *Holder) Holds(engine string, fence uint64) bool {
+func (h *Holder) Owns(engine string, fence uint64) bool {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	o, ok := h.owned[engine]
--- a/snipelease/lease_test.go
+++ b/snipelease/lease_test.go
@@ -123,8 +123,8 @@
 			d := snipemember.Digest{Origin: n.member.Name, Topic: topic, Key: key, Data: data}
 			n.digests[topic+"/"+key] = expiringDigest{d, time.Now().Add(ttl)}
 		},
-		Digests: func(topic string) []snipemember.Digest { return c.digestsSeenBy(n, topic) },
-		Reached: func() time.Time { return c.lastContact(n) },
+		Digests:     func(topic string) []snipemember.Digest { return c.digestsSeenBy(n, topic) },
+		LastContact: func() time.Time { return c.lastContact(n) },
 	}
 }
 
@@ -479,7 +479,7 @@
 		must.Eq(t, before, c.ownedBy(1))
 		must.Eq(t, 6-before, c.ownedEngines())
 		for _, e := range c.nodes[1].holder.Owned() {
-			must.True(t, c.nodes[0].holder.View().Owners[e].Giving)
+			must.True(t, c.nodes[0].holder.View().Owners[e].HandingOver)
 		}
 		c.set(&c.nodes[1].busy, false)
 		c.advance(2 * time.Second)
@@ -519,9 +519,9 @@
 				engine := h.Owned()[0]
 				fence, ok := h.Fence(engine)
 				must.True(t, ok)
-				must.False(t, h.Holds(engine, fence-1))
+				must.False(t, h.Owns(engine, fence-1))
 				tc.do(c)
-				must.Eq(t, tc.holds, h.Holds(engine, fence))
+				must.Eq(t, tc.holds, h.Owns(engine, fence))
 				_, serves := h.Fence(engine)
 				must.Eq(t, tc.holds, serves)
 				err := c.table.Write(t.Context(), rand.Text(), []snipeplatform.Change{snipelease.OwnerCheck(engine, fence)})
--- a/snipelease/move.go
+++ b/snipelease/move.go
@@ -46,7 +46,7 @@
 		}
 		return h.mayClaimNow(rank, h.ownerlessSince[engine]) && h.takeEngine(ctx, engine, row, nil)
 	}
-	if silence := time.Since(h.Members.Reached()); len(h.observed.all) > 1 && silence > h.Renew && silence < isolatedTakeoverDelay {
+	if silence := time.Since(h.Members.LastContact()); len(h.observed.all) > 1 && silence > h.Renew && silence < isolatedTakeoverDelay {
 		return false
 	}
 	// An owner row that was announced or returned by a peer is only a hint: a takeover requires a
--- a/snipelease/renew.go
+++ b/snipelease/renew.go
@@ -157,7 +157,7 @@
 	h.Members.Announce(tableLostTopic, "", flagSet, 2*(h.Duration/3+h.Renew))
 	h.observed.tableLost[h.Self.Name] = true
 	without, known, outage := h.outage()
-	inContact := known < 2 || time.Since(h.Members.Reached()) < h.Renew
+	inContact := known < 2 || time.Since(h.Members.LastContact()) < h.Renew
 	h.updateExtension(outage && inContact, inContact, snipelog.Fields{"Without": without, "Known": known})
 }
 
--- a/snipelease/snipelease.go
+++ b/snipelease/snipelease.go
@@ -105,8 +105,8 @@
 	Instance Instance
 	// Fence is the fencing number of the owner's orders.
 	Fence uint64
-	// Giving reports that the owner accepts no new calls for the engine and hands it over.
-	Giving bool
+	// HandingOver reports that the owner accepts no new calls for the engine and hands it over.
+	HandingOver bool
 }
 
 // View is an immutable snapshot of instances and owners.
@@ -143,8 +143,8 @@
 	// Announce and Digests send and return announcements; see snipemember.Node.
 	Announce func(topic, key string, data []byte, ttl time.Duration)
 	Digests  func(topic string) []snipemember.Digest
-	// Reached returns the time of the last contact with another instance.
-	Reached func() time.Time
+	// LastContact returns the time of the last contact with another instance.
+	LastContact func() time.Time
 	// Peers returns the addresses of up to n random live peers, and HTTP sends requests to them.
 	// Both are nil when owners are not requested from peers.
 	Peers func(n int) []netip.AddrPort
--- a/snipelease/step.go
+++ b/snipelease/step.go
@@ -321,7 +321,7 @@
 	v.Instances[self.Name] = self
 	for engine, r := range h.rows {
 		if i, ok := v.Instances[r.Instance]; ok {
-			v.Owners[engine] = Ownership{Instance: i, Fence: r.version, Giving: r.handingOver}
+			v.Owners[engine] = Ownership{Instance: i, Fence: r.version, HandingOver: r.handingOver}
 		}
 	}
 	h.view.Store(v)
--- a/snipelimit/teams.go
+++ b/snipelimit/teams.go
@@ -199,9 +199,9 @@
 	}
 }
 
-// Hear records the demand, in calls per second, that another instance has
+// RecordDemand records the demand, in calls per second, that another instance has
 // announced. The record expires after ttl.
-func (t *Teams) Hear(team, instance string, demand float64, ttl time.Duration) {
+func (t *Teams) RecordDemand(team, instance string, demand float64, ttl time.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
 	t.account(team).others[instance] = announcement{demand, time.Now().Add(ttl)}
--- a/snipelimit/teams_test.go
+++ b/snipelimit/teams_test.go
@@ -89,7 +89,7 @@
 			time.AfterFunc(time.Second, func() {
 				for j, o := range d.instances {
 					if j != i {
-						o.Hear(team, strconv.Itoa(i), demand, ttl)
+						o.RecordDemand(team, strconv.Itoa(i), demand, ttl)
 					}
 				}
 			})
--- a/snipelink/snipelink.go
+++ b/snipelink/snipelink.go
@@ -51,13 +51,13 @@
 	Dial func(ctx context.Context, address netip.AddrPort) (net.Conn, error)
 	// DialTimeout bounds each call of Dial.
 	DialTimeout time.Duration
-	// Idle is how long an idle connection is kept for its next request. If the
+	// IdleTimeout is how long an idle connection is kept for its next request. If the
 	// upstream announces a shorter time, that one applies.
-	Idle time.Duration
-	// Kept is the maximum number of idle connections to one upstream.
-	Kept int
-	// Belongs reports whether an answer belongs to the request.
-	Belongs func(request *http.Request, answer *http.Response) bool
+	IdleTimeout time.Duration
+	// MaxIdle is the maximum number of idle connections to one upstream.
+	MaxIdle int
+	// IsAnswerTo reports whether an answer belongs to the request.
+	IsAnswerTo func(request *http.Request, answer *http.Response) bool
 	// KeepAlive returns how long the upstream keeps an idle connection, as the answer
 	// announces; zero when it does not.
 	KeepAlive func(answer *http.Response) time.Duration
@@ -161,7 +161,7 @@
 		if answer.StatusCode < http.StatusOK {
 			continue
 		}
-		if !a.pool.Belongs(r, answer) {
+		if !a.pool.IsAnswerTo(r, answer) {
 			return errors.Wrap(ErrForeign, answer.Status)
 		}
 		a.Response = answer
@@ -187,7 +187,7 @@
 		_ = a.connection.conn.Close()
 		return
 	}
-	idle := a.pool.Idle
+	idle := a.pool.IdleTimeout
 	if kept := a.pool.KeepAlive(a.Response); kept > 0 {
 		idle = min(idle, kept)
 	}
@@ -246,7 +246,7 @@
 		p.idle = make(map[netip.AddrPort][]*connection)
 	}
 	all := p.idle[c.address]
-	if len(all) >= p.Kept {
+	if len(all) >= p.MaxIdle {
 		_ = all[0].conn.Close()
 		all = append(all[:0], all[1:]...)
 	}
--- a/snipelink/snipelink_test.go
+++ b/snipelink/snipelink_test.go
@@ -63,9 +63,9 @@
 
 func newPool() *snipelink.Pool {
 	return &snipelink.Pool{
-		Dial: snipelink.Dialer(), DialTimeout: time.Second, Idle: time.Minute, Kept: 4,
-		Belongs:   func(r *http.Request, a *http.Response) bool { return a.Header.Get("Id") == r.Header.Get("Id") },
-		KeepAlive: func(*http.Response) time.Duration { return 0 },
+		Dial: snipelink.Dialer(), DialTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4,
+		IsAnswerTo: func(r *http.Request, a *http.Response) bool { return a.Header.Get("Id") == r.Header.Get("Id") },
+		KeepAlive:  func(*http.Response) time.Duration { return 0 },
 	}
 }
 
@@ -242,7 +242,7 @@
 		t.Run(name, func(t *testing.T) {
 			u := newUpstream(t, goodAnswer, goodAnswer)
 			p := newPool()
-			p.Idle = 0
+			p.IdleTimeout = 0
 			_, _, err := exchange(t, p, u.address)
 			must.NoError(t, err)
 			end(p, u)
--- a/snipemember/snipemember.go
+++ b/snipemember/snipemember.go
@@ -245,8 +245,8 @@
 	n.wakePusher()
 }
 
-// Gone announces that this instance ends now. It waits for one round of pushes.
-func (n *Node) Gone(ctx context.Context) {
+// AnnounceLeft announces that this instance ends now. It waits for one round of pushes.
+func (n *Node) AnnounceLeft(ctx context.Context) {
 	n.start()
 	n.lock.Lock()
 	n.self.Status = Left
--- a/snipemirror/follow.go
+++ b/snipemirror/follow.go
@@ -43,31 +43,31 @@
 	Mirror *Mirror
 	// Store reads the store.
 	Store Source
-	// Near returns a function that reads the copy of another instance, or false if this
+	// PeerWatch returns a function that reads the copy of another instance, or false if this
 	// instance must read the store itself. Its arguments are the number of consecutive
 	// failures of other instances, and whether the store does not answer this instance.
-	Near func(failures int, lost bool) (watchFunc, bool)
-	// Begin waits, before the first read, until it is known whose copy can be followed. Nil
+	PeerWatch func(failures int, lost bool) (watchFunc, bool)
+	// WaitForPeers waits, before the first read, until it is known whose copy can be followed. Nil
 	// means no wait.
-	Begin func(ctx context.Context)
-	// Hasten reports whether the next read of the store follows after HastenedInterval if that
+	WaitForPeers func(ctx context.Context)
+	// ReadSooner reports whether the next read of the store follows after HastenedInterval if that
 	// is shorter than Pace. Nil means never.
-	Hasten func() bool
-	// Rare reports whether this instance is one of many that read no store for others. While
+	ReadSooner func() bool
+	// ReadsStoreSeldom reports whether this instance is one of many that read no store for others. While
 	// the store does not answer, such an instance reads the copies of other instances, and the
 	// store itself seldom. Nil means never.
-	Rare func() bool
+	ReadsStoreSeldom func() bool
 	// Changed receives the changed rows of each read. It is also called with no rows for a
 	// read without changes.
 	Changed func(rows []Row, position uint64)
-	// Lost is called once when the store stops answering, and Back once when a page is read
+	// StoreLost is called once when the store stops answering, and Back once when a page is read
 	// again, from the store or from another instance.
-	Lost func(err error)
-	Back func()
-	// Pace is the minimum time between two reads of the store, and Wait is the maximum time
+	StoreLost     func(err error)
+	StoreRestored func()
+	// MinInterval is the minimum time between two reads of the store, and Wait is the maximum time
 	// that a read waits for a change.
-	Pace time.Duration
-	Wait time.Duration
+	MinInterval time.Duration
+	Wait        time.Duration
 	// MaxAge returns the maximum age of another instance's copy; above it this instance reads
 	// the store itself. It exceeds Pace plus Wait, since a read that waits in vain can follow
 	// the pause after a read that did not wait.
@@ -87,8 +87,8 @@
 
 // Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
-	if f.Begin != nil {
-		f.Begin(ctx)
+	if f.WaitForPeers != nil {
+		f.WaitForPeers(ctx)
 	}
 	for ctx.Err() == nil {
 		start := time.Now()
@@ -124,16 +124,16 @@
 
 // interval returns the minimum time between two reads of the store.
 func (f *Follower) interval() time.Duration {
-	if f.Hasten != nil && f.Hasten() {
-		return min(f.Pace, HastenedInterval)
+	if f.ReadSooner != nil && f.ReadSooner() {
+		return min(f.MinInterval, HastenedInterval)
 	}
-	return f.Pace
+	return f.MinInterval
 }
 
 // step reads and applies one page, and reports whether the read went to another instance.
 func (f *Follower) step(ctx context.Context) (fromPeer bool, err error) {
 	page, fromPeer, err := f.read(ctx)
-	if errors.Is(err, snipeplatform.ErrHistory) {
+	if errors.Is(err, snipeplatform.ErrHistoryGone) {
 		f.needAll = true
 		return fromPeer, nil
 	}
@@ -144,12 +144,12 @@
 		f.needAll = true
 		return fromPeer, nil
 	}
-	if page.Whole {
+	if page.Complete {
 		f.needAll = false
 	}
 	if f.lost {
 		f.lost, f.failures = false, 0
-		f.Back()
+		f.StoreRestored()
 	}
 	f.Changed(f.Mirror.Apply(page), page.Position)
 	return fromPeer, nil
@@ -210,7 +210,7 @@
 // peer returns how to read another instance's copy, or false if the next read goes to the
 // store.
 func (f *Follower) peer() (watchFunc, bool) {
-	if f.Near == nil {
+	if f.PeerWatch == nil {
 		return nil, false
 	}
 	if f.lost {
@@ -223,7 +223,7 @@
 			f.readsSinceStore = 0
 			return nil, false
 		}
-		return f.Near(f.failures, true)
+		return f.PeerWatch(f.failures, true)
 	}
 	if f.storeNext {
 		f.storeNext = false
@@ -232,10 +232,10 @@
 	if time.Now().After(f.failuresExpire) {
 		f.failures = 0
 	}
-	return f.Near(f.failures, false)
+	return f.PeerWatch(f.failures, false)
 }
 
-func (f *Follower) rare() bool { return f.Rare != nil && f.Rare() }
+func (f *Follower) rare() bool { return f.ReadsStoreSeldom != nil && f.ReadsStoreSeldom() }
 
 // setCancel sets the function that Interrupt calls; nil while no read of the store is in
 // progress.
@@ -258,7 +258,7 @@
 // storeFailed records a failed read of the store, and calls Lost for the first one.
 func (f *Follower) storeFailed(err error) {
 	if !f.lost {
-		f.Lost(err)
+		f.StoreLost(err)
 	}
 	f.lost = true
 }
--- a/snipemirror/snipemirror.go
+++ b/snipemirror/snipemirror.go
@@ -41,8 +41,8 @@
 	Value   []byte
 	Version uint64
 	Removed bool
-	// Renewed reports that the row was rewritten with an unchanged value, which is left out.
-	Renewed bool
+	// Unchanged reports that the row was rewritten with an unchanged value, which is left out.
+	Unchanged bool
 }
 
 // entry is a row of a mirror.
@@ -62,8 +62,8 @@
 	Rows []Row
 	// Position is the store's version at the time of the read.
 	Position uint64
-	// Whole reports that Rows holds all rows of the table.
-	Whole bool
+	// Complete reports that Rows holds all rows of the table.
+	Complete bool
 	// Age is the time since the store itself was read; zero for a page from the store.
 	Age time.Duration
 }
@@ -75,9 +75,9 @@
 // Mirror is the copy of one table. Exported fields are set before the first call. The zero
 // value is not usable: call New.
 type Mirror struct {
-	// Same reports whether a new value has the same meaning as the old one, so that it need
+	// Equivalent reports whether a new value has the same meaning as the old one, so that it need
 	// not be passed on. Nil means that each version is a change.
-	Same func(old, now []byte) bool
+	Equivalent func(old, now []byte) bool
 
 	lock         sync.Mutex // guards the fields below
 	rows         map[string]entry
@@ -126,7 +126,7 @@
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if !m.known {
-		return nil, 0, snipeplatform.ErrUnread
+		return nil, 0, snipeplatform.ErrNotRead
 	}
 	for _, r := range m.rows {
 		if r.cursor > since && !r.Removed {
@@ -147,7 +147,7 @@
 		}
 		row := r.Row
 		if after > 0 && !r.Removed && r.valueVersion <= after {
-			row.Value, row.Renewed = nil, true
+			row.Value, row.Unchanged = nil, true
 		}
 		rows = append(rows, row)
 	}
@@ -165,7 +165,7 @@
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	for _, r := range p.Rows {
-		if old, ok := m.rows[r.Key]; r.Renewed && (!ok || old.Removed && old.Version < r.Version) {
+		if old, ok := m.rows[r.Key]; r.Unchanged && (!ok || old.Removed && old.Version < r.Version) {
 			return true
 		}
 	}
@@ -186,7 +186,7 @@
 			changed = append(changed, r)
 		}
 	}
-	if p.Whole {
+	if p.Complete {
 		changed = append(changed, m.removeMissing(present, p.Position)...)
 	}
 	m.changeCount += uint64(len(changed))
@@ -217,12 +217,12 @@
 	}
 	delete(m.removed, r.Key)
 	now := entry{Row: r, changeVersion: r.Version, valueVersion: r.Version, cursor: m.cursor}
-	now.Renewed = false
+	now.Unchanged = false
 	known := ok && !old.Removed
-	if known && (r.Renewed || bytes.Equal(old.Value, r.Value)) {
+	if known && (r.Unchanged || bytes.Equal(old.Value, r.Value)) {
 		now.Value, now.valueVersion = old.Value, old.valueVersion
 	}
-	if known && m.Same != nil && m.Same(old.Value, now.Value) {
+	if known && m.Equivalent != nil && m.Equivalent(old.Value, now.Value) {
 		now.changeVersion, now.cursor = old.changeVersion, old.cursor
 		m.rows[r.Key] = now
 		return false
@@ -286,11 +286,11 @@
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if !m.known {
-		return Page{}, m.changed, snipeplatform.ErrUnread
+		return Page{}, m.changed, snipeplatform.ErrNotRead
 	}
 	p := Page{Position: m.position, Age: time.Since(m.readAt)}
 	if after < m.historyStart {
-		p.Whole = true
+		p.Complete = true
 		after = 0
 	}
 	p.Rows = m.rowsAfter(after)
--- a/snipemirror/snipemirror_test.go
+++ b/snipemirror/snipemirror_test.go
@@ -27,7 +27,7 @@
 }
 
 func whole(position uint64, rows ...snipemirror.Row) snipemirror.Page {
-	return snipemirror.Page{Whole: true, Position: position, Rows: rows}
+	return snipemirror.Page{Complete: true, Position: position, Rows: rows}
 }
 
 func part(position uint64, rows ...snipemirror.Row) snipemirror.Page {
@@ -53,7 +53,7 @@
 		t.Run(name, func(t *testing.T) {
 			m := snipemirror.New()
 			_, _, err := m.Rows(0)
-			must.ErrorIs(t, err, snipeplatform.ErrUnread)
+			must.ErrorIs(t, err, snipeplatform.ErrNotRead)
 			for _, p := range tt.pages {
 				m.Apply(p)
 			}
@@ -72,14 +72,14 @@
 		m.Apply(whole(5, row("a", 3), row("b", 5)))
 		p, err := m.Watch(t.Context(), 0, time.Second)
 		must.NoError(t, err)
-		must.True(t, p.Whole)
+		must.True(t, p.Complete)
 		must.Len(t, 2, p.Rows)
 		time.AfterFunc(300*time.Millisecond, func() { m.Apply(part(8, tombstone(7), row("c", 8))) })
 		start := time.Now()
 		p, err = m.Watch(t.Context(), p.Position, time.Second)
 		must.NoError(t, err)
 		must.Eq(t, 300*time.Millisecond, time.Since(start))
-		must.False(t, p.Whole)
+		must.False(t, p.Complete)
 		must.Eq(t, []snipemirror.Row{tombstone(7), row("c", 8)}, p.Rows)
 		p, err = m.Watch(t.Context(), p.Position, time.Second)
 		must.NoError(t, err)
@@ -89,7 +89,7 @@
 		m.Apply(part(9, row("d", 9)))
 		p, err = m.Watch(t.Context(), 5, time.Second)
 		must.NoError(t, err)
-		must.True(t, p.Whole)
+		must.True(t, p.Complete)
 	})
 }
 
@@ -110,7 +110,7 @@
 // returned by Watch or Rows.
 func TestHeartbeats(t *testing.T) {
 	m := snipemirror.New()
-	m.Same = sameState
+	m.Equivalent = sameState
 	m.Apply(whole(2, heartbeat("a", "ready", 1), heartbeat("b", "ready", 2)))
 	_, mark, err := m.Rows(0)
 	must.NoError(t, err)
@@ -160,7 +160,7 @@
 	source.Apply(part(4, renewed("a", 3), renewed("b", 4)))
 	p := follow(2)
 	must.Eq(t, []snipemirror.Row{
-		{Key: "a", Version: 3, Renewed: true}, {Key: "b", Version: 4, Renewed: true},
+		{Key: "a", Version: 3, Unchanged: true}, {Key: "b", Version: 4, Unchanged: true},
 	}, p.Rows)
 	incomplete := snipemirror.New()
 	incomplete.Apply(whole(2, renewed("a", 1)))
@@ -176,8 +176,8 @@
 	source.Apply(part(7, snipemirror.Row{Key: "a", Version: 7, Value: row("a", 5).Value}))
 	p = follow(4)
 	must.Eq(t, row("a", 5).Value, p.Rows[0].Value)
-	must.True(t, p.Rows[1].Renewed)
-	must.True(t, follow(5).Rows[0].Renewed)
+	must.True(t, p.Rows[1].Unchanged)
+	must.True(t, follow(5).Rows[0].Unchanged)
 }
 
 // TestLackingValues checks that a follower reads all rows after it receives a row without its
@@ -197,11 +197,11 @@
 			case after == 0:
 				return whole(4, row("a", 3), row("b", 4)), nil
 			}
-			return part(4, snipemirror.Row{Key: "b", Version: 4, Renewed: true}), nil
+			return part(4, snipemirror.Row{Key: "b", Version: 4, Unchanged: true}), nil
 		}
 		f := &snipemirror.Follower{
 			Mirror: snipemirror.New(), Changed: func([]snipemirror.Row, uint64) {}, MaxAge: func() time.Duration { return time.Second },
-			Near: func(int, bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
+			PeerWatch: func(int, bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 				return near, true
 			},
 		}
@@ -236,7 +236,7 @@
 	if s.lost {
 		return snipemirror.Page{}, snipeplatform.ErrUnavailable
 	}
-	return snipemirror.Page{Whole: all, Position: s.version, Rows: []snipemirror.Row{row("a", s.version)}}, nil
+	return snipemirror.Page{Complete: all, Position: s.version, Rows: []snipemirror.Row{row("a", s.version)}}, nil
 }
 
 func (s *fakeStore) watch(ctx context.Context, after uint64, wait time.Duration) (snipemirror.Page, error) {
@@ -267,8 +267,8 @@
 	lost, back = new(atomic.Int32), new(atomic.Int32)
 	f.Mirror = snipemirror.New()
 	f.Changed = func([]snipemirror.Row, uint64) {}
-	f.Lost, f.Back = func(error) { lost.Add(1) }, func() { back.Add(1) }
-	f.Pace, f.MaxAge = time.Second, func() time.Duration { return 1400 * time.Millisecond }
+	f.StoreLost, f.StoreRestored = func(error) { lost.Add(1) }, func() { back.Add(1) }
+	f.MinInterval, f.MaxAge = time.Second, func() time.Duration { return 1400 * time.Millisecond }
 	if f.Wait == 0 {
 		f.Wait = time.Second
 	}
@@ -318,7 +318,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &fakeStore{version: 3}
 				f := &snipemirror.Follower{Store: snipemirror.Source{Read: s.read, Watch: s.watch}}
-				f.Near = func(int, bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
+				f.PeerWatch = func(int, bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 					return func(_ context.Context, after uint64, wait time.Duration) (snipemirror.Page, error) {
 						if tt.err == nil && after >= tt.page.Position {
 							time.Sleep(wait)
@@ -352,7 +352,7 @@
 				reader := snipemirror.New()
 				reader.Apply(whole(5, row("a", 5)))
 				f := &snipemirror.Follower{Store: snipemirror.Source{Read: s.read, Watch: s.watch}}
-				f.Near = func(int, bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
+				f.PeerWatch = func(int, bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 					return func(ctx context.Context, after uint64, wait time.Duration) (snipemirror.Page, error) {
 						if frozen && after > 0 {
 							time.Sleep(wait + 100*time.Millisecond)
@@ -389,7 +389,7 @@
 			all[n] = &snipemirror.Follower{
 				Store: snipemirror.Source{Read: s.read, Watch: watch}, Wait: 200 * time.Millisecond,
 			}
-			all[n].Near = func(failures int, _ bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
+			all[n].PeerWatch = func(failures int, _ bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 				rank := failures % followers
 				return func(ctx context.Context, after uint64, wait time.Duration) (snipemirror.Page, error) {
 					if rank == 0 && dead.Load() {
@@ -430,9 +430,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &fakeStore{version: 3, lost: true}
 				f := &snipemirror.Follower{Store: snipemirror.Source{Read: s.read, Watch: s.watch}}
-				f.Rare = func() bool { return tt.rare }
+				f.ReadsStoreSeldom = func() bool { return tt.rare }
 				peerAnswers := &atomic.Bool{}
-				f.Near = func(_ int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
+				f.PeerWatch = func(_ int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 					return func(context.Context, uint64, time.Duration) (snipemirror.Page, error) {
 						if peerAnswers.Load() {
 							return part(7, row("n", 7)), nil
@@ -458,7 +458,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{version: 3, lost: true}
 		f := &snipemirror.Follower{Store: snipemirror.Source{Read: s.read, Watch: s.watch}}
-		f.Near = func(failures int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
+		f.PeerWatch = func(failures int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 			return func(_ context.Context, _ uint64, wait time.Duration) (snipemirror.Page, error) {
 				if failures < 2 {
 					return snipemirror.Page{}, errors.New("gone")
--- a/snipeoperator/drain.go
+++ b/snipeoperator/drain.go
@@ -14,8 +14,8 @@
 		return nil, err
 	}
 	name := r.GetInstance()
-	if name == "" || name == s.Own.Name {
-		s.Own.Drain()
+	if name == "" || name == s.Local.Name {
+		s.Local.Drain()
 		return &snipeproto.DrainResponse{}, nil
 	}
 	i, ok := s.View().Instances[name]
--- a/snipeoperator/gather.go
+++ b/snipeoperator/gather.go
@@ -62,8 +62,8 @@
 
 // describe returns the status of one instance; it calls this instance directly.
 func (s *Server) describe(ctx context.Context, name string, address netip.AddrPort) (*snipeproto.DescribeResponse, error) {
-	if name == s.Own.Name {
-		return s.Own.Describe(ctx, nil)
+	if name == s.Local.Name {
+		return s.Local.Describe(ctx, nil)
 	}
 	bounded, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
--- a/snipeoperator/snipeoperator.go
+++ b/snipeoperator/snipeoperator.go
@@ -31,8 +31,8 @@
 	BootstrapKeyHash snipetree.KeyHash
 	// View returns the instances and the owners of engines.
 	View func() *snipelease.View
-	// Own provides the state that only this instance has.
-	Own *Own
+	// Local provides the state that only this instance has.
+	Local *LocalStatus
 	// Peers sends requests to other instances with the peer secret.
 	Peers snipeproto.HTTPClient
 }
--- a/snipeoperator/status.go
+++ b/snipeoperator/status.go
@@ -12,9 +12,9 @@
 // StatusPathPrefix is the path prefix at which the status service for peers is mounted.
 const StatusPathPrefix = snipeproto.StatusPathPrefix
 
-// Own provides the state that only this instance has. It implements snipeproto.Status for peers;
+// LocalStatus provides the state that only this instance has. It implements snipeproto.Status for peers;
 // the peers' listener checks the peer secret. Exported fields are set before the first request.
-type Own struct {
+type LocalStatus struct {
 	// Name is the instance's name.
 	Name string
 	// Revision returns the settings revision in force.
@@ -28,7 +28,7 @@
 }
 
 // Describe implements snipeproto.Status.
-func (o *Own) Describe(context.Context, *snipeproto.DescribeRequest) (*snipeproto.DescribeResponse, error) {
+func (o *LocalStatus) Describe(context.Context, *snipeproto.DescribeRequest) (*snipeproto.DescribeResponse, error) {
 	out := &snipeproto.DescribeResponse{Name: o.Name, Revision: o.Revision()}
 	for engine, owner := range o.View().Owners {
 		if owner.Instance.Name != o.Name {
@@ -46,7 +46,7 @@
 }
 
 // Stop implements snipeproto.Status.
-func (o *Own) Stop(context.Context, *snipeproto.StopRequest) (*snipeproto.StopResponse, error) {
+func (o *LocalStatus) Stop(context.Context, *snipeproto.StopRequest) (*snipeproto.StopResponse, error) {
 	o.Drain()
 	return &snipeproto.StopResponse{}, nil
 }
--- a/snipeowner/outage.go
+++ b/snipeowner/outage.go
@@ -44,22 +44,22 @@
 	rowsAgeError = 100 * time.Millisecond
 )
 
-// Question is a request for a lease extension: it asks an instance not to take over engines for
+// ExtensionRequest is a request for a lease extension: it asks an instance not to take over engines for
 // as long as their owner may order them without the store.
-type Question struct {
+type ExtensionRequest struct {
 	Owner   netip.AddrPort
 	Engines []netip.AddrPort
 	// Unanswered is how long the store has not answered the owner.
 	Unanswered time.Duration
 }
 
-// ErrNoPromise reports that an instance refuses a lease extension, because it reaches the store
+// ErrExtensionRefused reports that an instance refuses a lease extension, because it reaches the store
 // or has another owner recorded.
-var ErrNoPromise = errors.New("lease extension refused")
+var ErrExtensionRefused = errors.New("lease extension refused")
 
-// Promise sends a request for a lease extension to an instance. Its error wraps ErrNoPromise if
+// ExtensionFunc sends a request for a lease extension to an instance. Its error wraps ErrNoPromise if
 // the instance refuses; any other error means that the instance did not answer.
-type Promise func(ctx context.Context, peer netip.AddrPort, q Question) error
+type ExtensionFunc func(ctx context.Context, peer netip.AddrPort, q ExtensionRequest) error
 
 // outage records whether the store answers the renewals of this instance, and since when the
 // rows have been observed. It is safe for concurrent use.
@@ -187,10 +187,10 @@
 	return o.observedSince + observationTime
 }
 
-// Grant answers a request for a lease extension. It returns true if this instance does not take
+// GrantExtension answers a request for a lease extension. It returns true if this instance does not take
 // over the engines for the duration of a lease, because the store answers neither the owner nor
 // this instance.
-func (h *Holder) Grant(q Question) bool {
+func (h *Holder) GrantExtension(q ExtensionRequest) bool {
 	v := h.View()
 	for _, engine := range q.Engines {
 		if o, ok := v.Owners[engine]; ok && o.Instance.Peer != q.Owner {
@@ -211,10 +211,10 @@
 	return h.outage.grant(h.Clock(), standbyLost)
 }
 
-// RunProlong extends the right to order while the store answers no instance, until ctx ends.
+// RunExtendLease extends the right to order while the store answers no instance, until ctx ends.
 // During such an outage no instance can take over an engine, since a takeover is a write to the
 // store, and the grantors agree not to take over as soon as the store is back.
-func (h *Holder) RunProlong(ctx context.Context) error {
+func (h *Holder) RunExtendLease(ctx context.Context) error {
 	return snipetime.Every(ctx, extensionInterval, h.ExtendLease)
 }
 
@@ -223,11 +223,11 @@
 func (h *Holder) ExtendLease(ctx context.Context) {
 	asked := h.Clock()
 	engines, deadline := h.orderable(asked)
-	if h.Promise == nil || len(engines) == 0 || deadline-asked > extensionLead || !h.outage.storeLost(asked) {
+	if h.RequestExtension == nil || len(engines) == 0 || deadline-asked > extensionLead || !h.outage.storeLost(asked) {
 		return
 	}
 	required, optional := h.grantors()
-	q := Question{Owner: h.Self.Peer, Engines: engines, Unanswered: h.outage.unanswered(asked)}
+	q := ExtensionRequest{Owner: h.Self.Peer, Engines: engines, Unanswered: h.outage.unanswered(asked)}
 	if err := h.requestExtension(ctx, required, optional, q); err != nil {
 		h.Log.Error(snipelog.OwnershipRefused, err, snipelog.Fields{
 			"Engines": len(engines), "Milliseconds": (deadline - asked).Milliseconds(),
@@ -290,14 +290,14 @@
 // requestExtension requests a lease extension from all grantors at once. It returns the first
 // error that prevents the extension: a required grantor that does not grant it, or any grantor
 // that refuses.
-func (h *Holder) requestExtension(ctx context.Context, required, optional []netip.AddrPort, q Question) error {
+func (h *Holder) requestExtension(ctx context.Context, required, optional []netip.AddrPort, q ExtensionRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, extensionTimeout)
 	defer cancel()
 	answers := make(chan error, len(required)+len(optional))
 	for n, peer := range slices.Concat(required, optional) {
 		go func() {
-			err := h.Promise(ctx, peer, q)
-			if err == nil || n >= len(required) && !errors.Is(err, ErrNoPromise) {
+			err := h.RequestExtension(ctx, peer, q)
+			if err == nil || n >= len(required) && !errors.Is(err, ErrExtensionRefused) {
 				answers <- nil
 				return
 			}
--- a/snipeowner/simulation_test.go
+++ b/snipeowner/simulation_test.go
@@ -259,7 +259,7 @@
 }
 
 // requestExtension sends a request for a lease extension to an instance.
-func (s *simulation) requestExtension(ctx context.Context, peer netip.AddrPort, q snipeowner.Question) error {
+func (s *simulation) requestExtension(ctx context.Context, peer netip.AddrPort, q snipeowner.ExtensionRequest) error {
 	s.lock.Lock()
 	h, unreachable := s.holderByPeer[peer], s.unreachable[peer]
 	s.lock.Unlock()
@@ -268,10 +268,10 @@
 		return ctx.Err()
 	}
 	time.Sleep(3 * time.Millisecond)
-	granted := h.Grant(q)
+	granted := h.GrantExtension(q)
 	time.Sleep(3 * time.Millisecond)
 	if !granted {
-		return snipeowner.ErrNoPromise
+		return snipeowner.ErrExtensionRefused
 	}
 	return nil
 }
@@ -394,7 +394,7 @@
 			Name:  fmt.Sprint("i", n), Incarnation: fmt.Sprint(n, began.UnixNano()),
 			Peer: peerAddress(n),
 		},
-		Promise: s.requestExtension, RowsAge: link.age,
+		RequestExtension: s.requestExtension, RowsAge: link.age,
 		Engines: func() []netip.AddrPort {
 			if time.Since(began) < time.Duration(s.directoryDelay.Load()) {
 				return nil
@@ -414,7 +414,7 @@
 	s.holderByPeer[h.Self.Peer] = h
 	s.lock.Unlock()
 	s.running.Go(func() { _ = h.Run(ctx) })
-	s.running.Go(func() { _ = h.RunProlong(ctx) })
+	s.running.Go(func() { _ = h.RunExtendLease(ctx) })
 }
 
 // shutDown stops all instances and waits for late writes.
--- a/snipeowner/snipeowner.go
+++ b/snipeowner/snipeowner.go
@@ -144,14 +144,14 @@
 	Clock func() time.Duration
 	// Operation returns a new identifier for a write.
 	Operation func() string
-	// Promise requests a lease extension from another instance while the store does not
+	// RequestExtension requests a lease extension from another instance while the store does not
 	// answer; nil disables extensions.
-	Promise Promise
+	RequestExtension ExtensionFunc
 	// RowsAge returns the age of the rows that List returns; nil when it is unknown.
 	RowsAge func() time.Duration
-	// Reached, if not nil, is called after each renewal and reports whether the table answered.
-	Reached func(ok bool)
-	Log     *snipelog.Logger
+	// RenewalEnded, if not nil, is called after each renewal and reports whether the table answered.
+	RenewalEnded func(ok bool)
+	Log          *snipelog.Logger
 
 	readRequestOnce sync.Once // creates readRequested
 	readRequested   chan struct{}
@@ -240,7 +240,7 @@
 // Run maintains the row and the ownerships until ctx ends.
 func (h *Holder) Run(ctx context.Context) error {
 	h.initialize()
-	for errors.Is(h.read(ctx), snipeplatform.ErrUnread) {
+	for errors.Is(h.read(ctx), snipeplatform.ErrNotRead) {
 		if !snipetime.Sleep(ctx, startPollInterval) {
 			return nil
 		}
@@ -320,9 +320,9 @@
 	}
 }
 
-// Nudge requests that the rows be read before the next step, for callers that wait for their
+// RequestRead requests that the rows be read before the next step, for callers that wait for their
 // content.
-func (h *Holder) Nudge() {
+func (h *Holder) RequestRead() {
 	select {
 	case h.readRequests() <- struct{}{}:
 	default: // a read is requested already
@@ -362,7 +362,7 @@
 	h.outage.beginStep(h.Clock())
 	h.enginesKnown = len(h.Engines()) > 0
 	err := h.read(ctx)
-	if errors.Is(err, snipeplatform.ErrUnread) {
+	if errors.Is(err, snipeplatform.ErrNotRead) {
 		return
 	}
 	h.readFailed = err != nil
@@ -376,7 +376,7 @@
 		return
 	}
 	err = h.renew(ctx, standby)
-	h.outage.endRenewal(h.Clock(), snipeplatform.Answered(err))
+	h.outage.endRenewal(h.Clock(), snipeplatform.IsDefinite(err))
 	h.reportRenewal(err)
 	h.publish()
 }
@@ -384,8 +384,8 @@
 // reportRenewal reports to Reached whether the table answered a renewal. It logs the first
 // failure and the first success after it.
 func (h *Holder) reportRenewal(err error) {
-	if h.Reached != nil {
-		h.Reached(snipeplatform.Answered(err))
+	if h.RenewalEnded != nil {
+		h.RenewalEnded(snipeplatform.IsDefinite(err))
 	}
 	switch {
 	case err != nil && !h.renewalFailed:
--- a/snipeowner/snipeowner_test.go
+++ b/snipeowner/snipeowner_test.go
@@ -70,8 +70,8 @@
 		for n, h := range s.holders {
 			v := h.View()
 			must.MapLen(t, 12, v.Owners)
-			must.Len(t, 2, v.Others)
-			must.False(t, slices.Contains(v.Others, peerAddress(n)))
+			must.Len(t, 2, v.OtherOwners)
+			must.False(t, slices.Contains(v.OtherOwners, peerAddress(n)))
 			must.True(t, slices.Equal(s.holders[0].View().Ranked, v.Ranked))
 			must.MapLen(t, len(v.Ranked), v.Live)
 		}
@@ -84,7 +84,7 @@
 		s.runAndCheck(8 * time.Second)
 		v := s.holders[0].View()
 		must.MapLen(t, 12, v.Owners)
-		must.True(t, slices.Equal([]netip.AddrPort{peerAddress(2)}, v.Others))
+		must.True(t, slices.Equal([]netip.AddrPort{peerAddress(2)}, v.OtherOwners))
 		must.Len(t, 2, v.Ranked)
 	})
 }
--- a/snipeowner/view.go
+++ b/snipeowner/view.go
@@ -28,8 +28,8 @@
 	Lapsed []netip.AddrPort
 	// Owners maps the addresses of engines to their live owners. Others holds the addresses of
 	// those owners that are other instances.
-	Owners map[netip.AddrPort]Owner
-	Others []netip.AddrPort
+	Owners      map[netip.AddrPort]Owner
+	OtherOwners []netip.AddrPort
 	// Read is when the view was created, which is after each attempt to read the rows.
 	Read time.Time
 }
@@ -62,9 +62,9 @@
 		v.Ranked = h.rankInstances(v.Live)
 	}
 	if unchanged && !h.ownersChanged && last.Owners != nil {
-		v.Owners, v.Others = last.Owners, last.Others
+		v.Owners, v.OtherOwners = last.Owners, last.OtherOwners
 	} else {
-		v.Owners, v.Others = h.ownersAmong(v.Live)
+		v.Owners, v.OtherOwners = h.ownersAmong(v.Live)
 	}
 	h.ownersChanged = false
 	h.view.Store(v)
--- a/snipepeer/reach_test.go
+++ b/snipepeer/reach_test.go
@@ -20,7 +20,7 @@
 		address := netip.MustParseAddrPort("192.0.2.1:1")
 		refused := roundTrip(func(*http.Request) (*http.Response, error) { return nil, errRefused })
 		client := &http.Client{Transport: refused}
-		p := &snipepeer.Client{HTTP: client, Fresh: client, Progress: time.Second}
+		p := &snipepeer.Client{Pooled: client, Fresh: client, Progress: time.Second}
 		must.True(t, p.Reach.Usable(address))
 		c := &snipecall.Call{ID: "c", Upstream: "e", Deadline: time.Now().Add(time.Minute), Idempotent: true}
 		must.Error(t, p.Forward(t.Context(), address, c, func(snipecall.Chunk) error { return nil }))
--- a/snipepeer/server.go
+++ b/snipepeer/server.go
@@ -37,11 +37,11 @@
 	Execute func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
 	// Secret is the secret that peers must send.
 	Secret string
-	// Beat is the time between two heartbeats of a hop.
-	Beat time.Duration
-	// Window is how long a hop without a connection continues, and how long an
+	// HeartbeatInterval is the time between two heartbeats of a hop.
+	HeartbeatInterval time.Duration
+	// ResumeWindow is how long a hop without a connection continues, and how long an
 	// ended hop can be resumed.
-	Window time.Duration
+	ResumeWindow time.Duration
 	// WriteTimeout bounds one write to a connection that is not read.
 	WriteTimeout time.Duration
 	// MaxBody bounds the body of a call in bytes, and MaxCalls the calls in flight.
@@ -94,7 +94,7 @@
 	// The call continues without a connection for up to Window.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), c.Deadline)
 	defer cancel()
-	s := &session{call: c, cancel: cancel, window: h.Window, done: make(chan struct{})}
+	s := &session{call: c, cancel: cancel, window: h.ResumeWindow, done: make(chan struct{})}
 	if err := h.add(id, s); err != nil {
 		snipeerror.From(err).Write(w, c.ID)
 		return
@@ -104,7 +104,7 @@
 	s.attach(out, 0)
 	stopWatch := context.AfterFunc(r.Context(), func() { s.detach(out) })
 	defer stopWatch()
-	stopHeartbeats := s.sendHeartbeats(h.Beat)
+	stopHeartbeats := s.sendHeartbeats(h.HeartbeatInterval)
 	defer stopHeartbeats()
 	if err := h.Execute(ctx, c, s.sendChunk); err != nil {
 		s.sendFailure(snipeerror.From(err))
@@ -160,7 +160,7 @@
 		remove()
 		return
 	}
-	time.AfterFunc(h.Window, remove)
+	time.AfterFunc(h.ResumeWindow, remove)
 }
 
 // find returns the session of a hop, or nil if the hop is unknown.
--- a/snipepeer/snipepeer.go
+++ b/snipepeer/snipepeer.go
@@ -85,10 +85,10 @@
 
 // Client forwards calls. Exported fields are set before the first call.
 type Client struct {
-	// HTTP sends idempotent calls over reused connections. Fresh opens a
+	// Pooled sends idempotent calls over reused connections. Fresh opens a
 	// connection for each request and sends all others: resumes, cancels, and
 	// calls that may not be repeated.
-	HTTP, Fresh *http.Client
+	Pooled, Fresh *http.Client
 	// Secret proves to the peer that the sender is an instance.
 	Secret string
 	// Progress is the longest silence of a connection before it is closed.
@@ -126,7 +126,7 @@
 
 // run begins the hop and resumes it when its connection breaks.
 func (h *hop) run(ctx context.Context) error {
-	client := h.client.HTTP
+	client := h.client.Pooled
 	if !h.call.Idempotent {
 		client = h.client.Fresh
 	}
@@ -220,7 +220,7 @@
 	if err != nil {
 		return snipeerror.New(snipeerror.ErrBadRequest, snipeerror.NotRun, err.Error())
 	}
-	x, err := snipeupstream.Begin(client, r, snipeupstream.SilenceLimit{Progress: h.client.Progress, Pool: h.client.HTTP})
+	x, err := snipeupstream.Begin(client, r, snipeupstream.SilenceLimit{Progress: h.client.Progress, Pool: h.client.Pooled})
 	h.maybeSent = h.maybeSent || x.MaybeSent
 	if err != nil {
 		if ctx.Err() == nil {
--- a/snipepeer/snipepeer_test.go
+++ b/snipepeer/snipepeer_test.go
@@ -50,17 +50,17 @@
 func newFixture(t *testing.T) *fixture {
 	f := &fixture{network: &snipestand.Network{}}
 	f.handler = &Handler{
-		Execute: execute(10), Secret: "s", Beat: time.Second, Window: 10 * time.Second,
+		Execute: execute(10), Secret: "s", HeartbeatInterval: time.Second, ResumeWindow: 10 * time.Second,
 		WriteTimeout: 5 * time.Second, MaxBody: 100, MaxCalls: 2,
 	}
 	f.serve()
 	f.client = &Client{
-		HTTP: snipeupstream.NewPooled(f.network.Dial), Fresh: snipeupstream.NewFresh(f.network.Dial),
+		Pooled: snipeupstream.NewPooled(f.network.Dial), Fresh: snipeupstream.NewFresh(f.network.Dial),
 		Secret: "s", Progress: 5 * time.Second,
 	}
 	t.Cleanup(func() {
 		_ = f.server.Close()
-		f.client.HTTP.CloseIdleConnections()
+		f.client.Pooled.CloseIdleConnections()
 		f.network.Cut()
 		time.Sleep(time.Minute)
 	})
@@ -169,7 +169,7 @@
 		f.handler.Execute = execute(1000)
 		ctx, cancel := context.WithCancel(t.Context())
 		f.client.Fresh = snipeupstream.NewFresh((&snipestand.Network{}).Dial)
-		f.client.HTTP = snipeupstream.NewPooled(f.network.Dial)
+		f.client.Pooled = snipeupstream.NewPooled(f.network.Dial)
 		go func() {
 			time.Sleep(3500 * time.Millisecond)
 			cancel()
@@ -192,7 +192,7 @@
 	}{
 		"nobody listens": {
 			func(f *fixture, _ *snipecall.Call) {
-				f.client.HTTP = snipeupstream.NewPooled((&snipestand.Network{}).Dial)
+				f.client.Pooled = snipeupstream.NewPooled((&snipestand.Network{}).Dial)
 			},
 			snipeerror.ErrNoUpstream, snipeerror.NotRun, 0,
 		},
@@ -359,7 +359,7 @@
 		f := newFixture(t)
 		// The clock of the synctest bubble does not advance while a heartbeat waits for the
 		// session's lock.
-		f.handler.Beat = time.Hour
+		f.handler.HeartbeatInterval = time.Hour
 		sink, got := collect()
 		must.NoError(t, f.client.Forward(t.Context(), ownerAddress, newCall(), func(c snipecall.Chunk) error {
 			if c.Sequence == 3 {
--- a/snipeplatform/snipeplatform.go
+++ b/snipeplatform/snipeplatform.go
@@ -26,17 +26,17 @@
 	// ErrUnavailable is returned if a read failed, or if the service did not accept a write.
 	// Nothing was written.
 	ErrUnavailable = errors.New("table service unavailable")
-	// ErrUnread is returned if the table has not been read yet.
-	ErrUnread = errors.New("table not read yet")
-	// ErrHistory is returned if the changes after the requested position are no longer kept.
-	ErrHistory = errors.New("history is gone")
+	// ErrNotRead is returned if the table has not been read yet.
+	ErrNotRead = errors.New("table not read yet")
+	// ErrHistoryGone is returned if the changes after the requested position are no longer kept.
+	ErrHistoryGone = errors.New("history is gone")
 	// ErrUnknown is returned if the outcome of a write is unknown. It may have taken effect.
 	ErrUnknown = errors.New("write outcome unknown")
 )
 
-// Answered reports whether err, the result of a write, is a definite answer of the table: the write
+// IsDefinite reports whether err, the result of a write, is a definite answer of the table: the write
 // was done, or a condition did not hold.
-func Answered(err error) bool { return err == nil || errors.Is(err, ErrConflict) }
+func IsDefinite(err error) bool { return err == nil || errors.Is(err, ErrConflict) }
 
 // Key identifies a row.
 type Key struct {
--- a/snipepolicy/fakes.go
+++ b/snipepolicy/fakes.go
@@ -75,7 +75,7 @@
 
 func (e *engine) load(ctx context.Context, alias, _ string) error {
 	if err := e.store.load(ctx); err != nil {
-		return errors.Wrap(snipeslot.ErrUnclear, err.Error())
+		return errors.Wrap(snipeslot.ErrOutcomeUnknown, err.Error())
 	}
 	if e.fails(alias) {
 		return errLoad
--- a/snipepolicy/snipepolicy.go
+++ b/snipepolicy/snipepolicy.go
@@ -163,13 +163,13 @@
 			Engine: strconv.Itoa(n), Capacity: e.capacity, Fence: 1,
 			Number: func() uint64 { lock.Lock(); defer lock.Unlock(); number++; return number },
 			Load:   e.load, Unload: e.unload, Aliases: e.aliases,
-			Budget: permits[n%d.instances].Acquire, Timeout: time.Minute, Log: snipelog.Discard(),
+			AcquirePermission: permits[n%d.instances].Acquire, Timeout: time.Minute, Log: snipelog.Discard(),
 		}
 		switch {
 		case sm.policy.clairvoyant:
-			s.Worth = sm.nextUse
+			s.Value = sm.nextUse
 		case sm.policy.noValue:
-			s.Worth = func(snipecall.Adapter) float64 { return 0 }
+			s.Value = func(snipecall.Adapter) float64 { return 0 }
 		}
 		sm.slots = append(sm.slots, s)
 	}
--- a/snipequarantine/guard.go
+++ b/snipequarantine/guard.go
@@ -295,7 +295,7 @@
 	if err := g.Registry.Merge(f, record); err != nil {
 		return err
 	}
-	g.Spread(f, record, g.Registry.Hold)
+	g.Spread(f, record, g.Registry.Retention)
 	return nil
 }
 
--- a/snipequarantine/interleaving_test.go
+++ b/snipequarantine/interleaving_test.go
@@ -225,7 +225,7 @@
 
 // BenchmarkRegistry measures the start and the end of an attempt at its coordinator.
 func BenchmarkRegistry(b *testing.B) {
-	r := &Registry{Settle: time.Second, Linger: time.Second, Hold: time.Hour}
+	r := &Registry{SettleTime: time.Second, Linger: time.Second, Retention: time.Hour}
 	a := Attempt{ID: "a", Upstream: "e", Left: time.Minute}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/snipequarantine/registry.go
+++ b/snipequarantine/registry.go
@@ -29,14 +29,14 @@
 type Registry struct {
 	// Self is this instance's member ID.
 	Self string
-	// Settle is how long no suspect starts after a crash or a change of the members.
+	// SettleTime is how long no suspect starts after a crash or a change of the members.
 	// After that time every instance has received the crash and has moved its attempts
 	// to their new coordinators.
-	Settle time.Duration
+	SettleTime time.Duration
 	// Linger is how long an abandoned attempt may still crash its upstream.
 	Linger time.Duration
-	// Hold is how long the record of a fingerprint is kept after its last crash.
-	Hold time.Duration
+	// Retention is how long the record of a fingerprint is kept after its last crash.
+	Retention time.Duration
 	// Announce sends a changed record to all instances; nil sends nothing.
 	Announce func(f Fingerprint, record []byte, ttl time.Duration)
 
@@ -120,7 +120,7 @@
 	if r.membersChanged.After(settled) {
 		settled = r.membersChanged
 	}
-	if wait := settled.Add(r.Settle).Sub(now); wait > 0 {
+	if wait := settled.Add(r.SettleTime).Sub(now); wait > 0 {
 		return Verdict{Decision: Wait, Wait: wait}
 	}
 	if len(r.running(a.Fingerprint, now)) > 0 || !r.leads(a.Fingerprint) {
@@ -236,7 +236,7 @@
 	for _, other := range r.active[a.Fingerprint] {
 		other.counted = other.counted || other.Upstream == a.Upstream
 	}
-	record.extend(now.Add(r.Hold))
+	record.extend(now.Add(r.Retention))
 	return record.add(crash{id: crashID(a.ID, a.Upstream), upstream: upstream, when: now}, now)
 }
 
@@ -272,7 +272,7 @@
 
 // Merge merges a record that another instance has announced.
 func (r *Registry) Merge(f Fingerprint, data []byte) error {
-	in, err := DecodeRecord(data, r.Hold)
+	in, err := DecodeRecord(data, r.Retention)
 	if err != nil {
 		return err
 	}
@@ -308,8 +308,8 @@
 	return known.expires.Sub(now), true
 }
 
-// Suspects reports whether a fingerprint has an uncleared crash.
-func (r *Registry) Suspects(f Fingerprint) bool {
+// IsSuspect reports whether a fingerprint has an uncleared crash.
+func (r *Registry) IsSuspect(f Fingerprint) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	known := r.recordOf(f, time.Now())
--- a/snipequarantine/simulation_test.go
+++ b/snipequarantine/simulation_test.go
@@ -87,7 +87,7 @@
 	i.ctx, i.kill = context.WithCancel(context.Background())
 	cl.instances = append(cl.instances, i)
 	cl.lock.Unlock()
-	r := &Registry{Self: i.id, Settle: 3 * time.Second, Linger: 2 * time.Second, Hold: time.Hour}
+	r := &Registry{Self: i.id, SettleTime: 3 * time.Second, Linger: 2 * time.Second, Retention: time.Hour}
 	i.guard = &Guard{
 		Registry: r, Members: i.members, Begin: i.begin, Finish: i.finish, Run: i.forward,
 		Replicate: i.replicate, Spread: i.announce,
