--- a/snipequarantine/wire_test.go
+++ b/snipequarantine/wire_test.go
@@ -17,7 +17,7 @@
 
 // newRemote returns the registry of member "m" and a client that calls it over HTTP.
 func newRemote(t *testing.T) (*Registry, *Client) {
-	r := &Registry{Self: "m", Settle: time.Millisecond, Linger: time.Second, Hold: time.Hour}
+	r := &Registry{Self: "m", SettleTime: time.Millisecond, Linger: time.Second, Retention: time.Hour}
 	g := &Guard{Registry: r, Spread: func(Fingerprint, []byte, time.Duration) {}, Log: snipelog.Discard()}
 	server := httptest.NewServer(g.Handler())
 	t.Cleanup(server.Close)
@@ -49,7 +49,7 @@
 	must.Len(t, 1, decoded.Crashes)
 	must.Less(t, 512, len(record))
 	must.NoError(t, client.Replicate(t.Context(), "m", Fingerprint{2}, record))
-	must.True(t, r.Suspects(Fingerprint{2}))
+	must.True(t, r.IsSuspect(Fingerprint{2}))
 }
 
 func TestWireRefuses(t *testing.T) {
@@ -106,7 +106,7 @@
 // TestMeasureTraffic logs the bytes that one call costs between its entry instance and
 // its coordinator, and bounds them.
 func TestMeasureTraffic(t *testing.T) {
-	g := &Guard{Registry: &Registry{Self: "m", Hold: time.Hour}, Log: snipelog.Discard()}
+	g := &Guard{Registry: &Registry{Self: "m", Retention: time.Hour}, Log: snipelog.Discard()}
 	server := httptest.NewUnstartedServer(g.Handler())
 	l := &countingListener{Listener: server.Listener}
 	server.Listener = l
--- a/snipequota/account.go
+++ b/snipequota/account.go
@@ -89,9 +89,9 @@
 	return decision{}, r
 }
 
-// Again counts a request that runs once more. Such a request can no longer be refused, so its units
+// Charge counts a request that runs once more. Such a request can no longer be refused, so its units
 // are deducted from later grants if none are left.
-func (a *Account) Again(w *snipecatalog.Workspace, units float64) { a.add(w, -units) }
+func (a *Account) Charge(w *snipecatalog.Workspace, units float64) { a.add(w, -units) }
 
 // Return returns the units that were taken for a request that did not run.
 func (a *Account) Return(w *snipecatalog.Workspace, units float64) { a.add(w, units) }
--- a/snipequota/allowance.go
+++ b/snipequota/allowance.go
@@ -100,7 +100,7 @@
 
 // ask returns the ask for the issuer.
 func (p *allowance) ask(name string, now time.Time) Ask {
-	q := Ask{Workspace: name, Held: p.remaining, Alone: p.fallbackUsed, Demand: p.demand}
+	q := Ask{Workspace: name, Held: p.remaining, FallbackUsed: p.fallbackUsed, Demand: p.demand}
 	for n, r := range p.waiting {
 		if n == 0 {
 			q.First = r.units - p.remaining
@@ -115,7 +115,7 @@
 	q.Need, q.First = max(q.Need, 0), max(q.First, 0)
 	q.Ahead = p.ahead()
 	if !p.levelAt.IsZero() {
-		q.Level, q.Age, q.Known = p.level, now.Sub(p.levelAt), true
+		q.Level, q.LevelAge, q.LevelKnown = p.level, now.Sub(p.levelAt), true
 	}
 	return q
 }
--- a/snipequota/faults_test.go
+++ b/snipequota/faults_test.go
@@ -124,7 +124,7 @@
 		}
 		must.GreaterEq(t, first, took())
 		for range 3 {
-			a.Again(c.workspace(), 10_000)
+			a.Charge(c.workspace(), 10_000)
 		}
 		time.Sleep(1200 * time.Millisecond)
 		// A second adds the units of 29 requests, which the requests that ran again have already
--- a/snipequota/issuer.go
+++ b/snipequota/issuer.go
@@ -138,8 +138,8 @@
 // adoptLevel lowers the level of the bucket to the one that a previous issuer reported to an
 // instance that asks for the first time, plus what the rate may have added since.
 func (b *bucket) adoptLevel(a Ask, q snipecatalog.Quota) {
-	if a.Known {
-		b.level = min(b.level, a.Level+q.PerSecond*a.Age.Seconds())
+	if a.LevelKnown {
+		b.level = min(b.level, a.Level+q.PerSecond*a.LevelAge.Seconds())
 	}
 }
 
@@ -151,7 +151,7 @@
 		b.withheld -= p.withheldShare
 		p.withheldSince = time.Time{}
 	}
-	b.level = min(b.level-a.Alone, q.Burst)
+	b.level = min(b.level-a.FallbackUsed, q.Burst)
 }
 
 // fill adds the units that the rate has produced. Units that instances hold count towards the
--- a/snipequota/snipequota.go
+++ b/snipequota/snipequota.go
@@ -66,15 +66,15 @@
 	Need, First, Ahead float64
 	// Held is the number of units left of previous grants.
 	Held float64
-	// Alone is the number of units used without an issuer since the last answer of one.
-	Alone float64
+	// FallbackUsed is the number of units used without an issuer since the last answer of one.
+	FallbackUsed float64
 	// Demand is the rate of arriving requests, in units per second.
 	Demand float64
 	// Level is the level of the bucket that an issuer last reported, and Age the time since then.
 	// Both are set only if Known is true.
-	Level float64
-	Age   time.Duration
-	Known bool
+	Level      float64
+	LevelAge   time.Duration
+	LevelKnown bool
 }
 
 // Grant is the answer to an Ask.
--- a/sniperetry/outage_test.go
+++ b/sniperetry/outage_test.go
@@ -88,7 +88,7 @@
 
 // caller sends one request until it is answered or five calls have failed. It
 // waits for the stated retry delay, at least 100 ms, after each failed call.
-func (k *cluster) caller(a *Attempts, id string, n int) {
+func (k *cluster) caller(a *Retrier, id string, n int) {
 	for try := range 5 {
 		c := &snipecall.Call{
 			ID: id + "." + strconv.Itoa(try), Team: "t" + strconv.Itoa(n%7), Idempotent: true,
@@ -119,7 +119,7 @@
 			}
 			return "", snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "none")
 		}
-		a := &Attempts{Choose: choose, Execute: k.execute, Budget: budget, Log: snipelog.Discard()}
+		a := &Retrier{Choose: choose, Execute: k.execute, Budget: budget, Log: snipelog.Discard()}
 		var all sync.WaitGroup
 		for n := range int(outageLength/time.Second) * outageRate {
 			time.Sleep(time.Second / outageRate)
--- a/sniperetry/sniperetry.go
+++ b/sniperetry/sniperetry.go
@@ -39,9 +39,9 @@
 	minRetryAfter = 2 * time.Second
 )
 
-// Attempts executes calls with retries. The exported fields must be set before
+// Retrier executes calls with retries. The exported fields must be set before
 // the first call.
-type Attempts struct {
+type Retrier struct {
 	// Choose returns the upstream for the next attempt, given the upstreams at
 	// which earlier attempts failed.
 	Choose func(c *snipecall.Call, failed []string) (string, error)
@@ -57,7 +57,7 @@
 // Serve executes c, and retries it until an attempt succeeds or no retry is
 // allowed. There is no retry after a chunk was passed to sink. The errors of Serve
 // are of type *snipeerror.CallError.
-func (a *Attempts) Serve(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
+func (a *Retrier) Serve(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	chunkSent := false
 	trackingSink := func(k snipecall.Chunk) error {
 		chunkSent = true
@@ -94,7 +94,7 @@
 // waitForRetry reports whether attempt n, counted from 0, is followed by another
 // one. If the deadline and the budget permit a retry, waitForRetry spends one and
 // waits for the pause. It reports false if ctx ends in the meantime.
-func (a *Attempts) waitForRetry(ctx context.Context, c *snipecall.Call, n int) bool {
+func (a *Retrier) waitForRetry(ctx context.Context, c *snipecall.Call, n int) bool {
 	pause := time.Duration(jitter(c.ID, n) * float64(maxFirstPause<<n))
 	if n == maxAttempts-1 || time.Until(c.Deadline) <= pause {
 		return false
--- a/sniperetry/sniperetry_test.go
+++ b/sniperetry/sniperetry_test.go
@@ -106,7 +106,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &script{failures: test.failures, chunk: test.chunk, upstreams: []string{"a", "b", "c"}}
-				a := &Attempts{Choose: s.choose, Execute: s.execute, Budget: test.budget, Log: snipelog.Discard()}
+				a := &Retrier{Choose: s.choose, Execute: s.execute, Budget: test.budget, Log: snipelog.Discard()}
 				left := test.left
 				if left == 0 {
 					left = time.Minute
@@ -130,7 +130,7 @@
 func TestServeLeavesSharedFailure(t *testing.T) {
 	shared := snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "test")
 	s := &script{failures: []error{shared}, upstreams: []string{"a"}}
-	a := &Attempts{Choose: s.choose, Execute: s.execute, Log: snipelog.Discard()}
+	a := &Retrier{Choose: s.choose, Execute: s.execute, Log: snipelog.Discard()}
 	c := &snipecall.Call{ID: "call", Deadline: time.Now().Add(time.Minute)}
 	must.Error(t, a.Serve(t.Context(), c, nil))
 	must.Zero(t, shared.RetryAfter)
@@ -146,7 +146,7 @@
 		t.Run(name, func(t *testing.T) {
 			s := &script{upstreams: []string{"a", "b"}}
 			s.failures = []error{failure(snipeerror.ErrIncomplete, snipeerror.MayHaveRun), second}
-			a := &Attempts{Choose: s.choose, Execute: s.execute, Log: snipelog.Discard()}
+			a := &Retrier{Choose: s.choose, Execute: s.execute, Log: snipelog.Discard()}
 			c := &snipecall.Call{ID: "call", Idempotent: true, Deadline: time.Now().Add(time.Minute)}
 			err := a.Serve(t.Context(), c, nil)
 			must.ErrorIs(t, err, snipeerror.From(second).Kind)
@@ -159,7 +159,7 @@
 // redirects an attempt, the upstream that it was redirected to is excluded.
 func TestServeExcludesDirected(t *testing.T) {
 	var chosen [][]string
-	a := &Attempts{
+	a := &Retrier{
 		Choose: func(_ *snipecall.Call, failed []string) (string, error) {
 			chosen = append(chosen, failed)
 			return "a", nil
--- a/sniperetry/window.go
+++ b/sniperetry/window.go
@@ -41,8 +41,8 @@
 // windowSlot counts the requests and retries in one interval of the span.
 type windowSlot struct{ requests, retries int }
 
-// Count counts a request, which permits Share retries.
-func (w *Window) Count() {
+// CountRequest counts a request, which permits Share retries.
+func (w *Window) CountRequest() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	w.advance(time.Now())
--- a/sniperetry/window_test.go
+++ b/sniperetry/window_test.go
@@ -27,7 +27,7 @@
 		w := newWindow(2)
 		budget := &Budget{Share: testShare, Burst: 2, TeamBurst: 2}
 		for range 11 * 10 {
-			w.Count()
+			w.CountRequest()
 			budget.Earn("")
 			time.Sleep(time.Second / 11)
 		}
@@ -61,7 +61,7 @@
 				}
 				time.Sleep(time.Duration(r.ExpFloat64() / rate * float64(time.Second)))
 				requests = append(requests, time.Now())
-				w.Count()
+				w.CountRequest()
 				for r.Float64() < failing && w.Spend() {
 					retries = append(retries, time.Now())
 				}
@@ -96,7 +96,7 @@
 func TestWindowEdges(t *testing.T) {
 	count := func(w *Window, n int) {
 		for range n {
-			w.Count()
+			w.CountRequest()
 		}
 	}
 	tests := map[string]struct {
@@ -104,8 +104,8 @@
 		want   int
 	}{
 		"FirstQuarter":    {func(*Window) {}, 1},
-		"SlackGrows":      {func(w *Window) { w.Count(); time.Sleep(testSpan / 2) }, 2},
-		"SlackWhole":      {func(w *Window) { w.Count(); time.Sleep(2 * testSpan) }, 4},
+		"SlackGrows":      {func(w *Window) { w.CountRequest(); time.Sleep(testSpan / 2) }, 2},
+		"SlackWhole":      {func(w *Window) { w.CountRequest(); time.Sleep(2 * testSpan) }, 4},
 		"RequestsAtOnce":  {func(w *Window) { count(w, 50) }, 11},
 		"RequestsLapse":   {func(w *Window) { count(w, 50); time.Sleep(11 * time.Second) }, 4},
 		"LongPause":       {func(w *Window) { count(w, 50); time.Sleep(time.Hour) }, 4},
--- a/snipesignal/news.go
+++ b/snipesignal/news.go
@@ -14,8 +14,8 @@
 	limitEndLife = 12 * time.Second
 )
 
-// Statement is the state of an upstream, in the form in which instances exchange it.
-type Statement struct {
+// Update is the state of an upstream, in the form in which instances exchange it.
+type Update struct {
 	Upstream string
 	State
 	// Age is the time since the upstream sent its limit or the end of it.
@@ -52,49 +52,49 @@
 	}
 }
 
-// News returns the states of upstreams that other instances must be notified of now, and records
+// PendingUpdates returns the states of upstreams that other instances must be notified of now, and records
 // that they have been notified. It returns only states with a signal that this instance received
 // from the upstream itself.
-func (b *Book) News() []Statement {
+func (b *Tracker) PendingUpdates() []Update {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
-	var all []Statement
+	var all []Update
 	for id, e := range b.entries {
 		if !e.notifications.due(e, now) {
 			continue
 		}
 		e.notifications.received, e.notifications.notified, e.notifications.notifiedAt = false, e.State, now
-		all = append(all, Statement{id, e.State, now.Sub(e.signaledAt)})
+		all = append(all, Update{id, e.State, now.Sub(e.signaledAt)})
 	}
 	return all
 }
 
-// Statements returns the states of the upstreams that have a limit, whose limit has ended within
+// CurrentUpdates returns the states of the upstreams that have a limit, whose limit has ended within
 // limitEndLife, or that are leaving.
-func (b *Book) Statements() []Statement {
+func (b *Tracker) CurrentUpdates() []Update {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
-	var all []Statement
+	var all []Update
 	for id, e := range b.entries {
 		age := now.Sub(e.signaledAt)
 		if e.Limited || e.Leaving || !e.signaledAt.IsZero() && age < limitEndLife {
-			all = append(all, Statement{id, e.State, age})
+			all = append(all, Update{id, e.State, age})
 		}
 	}
 	return all
 }
 
-// Learn merges states that another instance reports. A newer limit that is known here is kept.
-func (b *Book) Learn(all []Statement) {
+// Merge merges states that another instance reports. A newer limit that is known here is kept.
+func (b *Tracker) Merge(all []Update) {
 	for _, s := range all {
 		change, changed := b.merge(s)
 		b.reportChange(change, changed)
 	}
 }
 
-func (b *Book) merge(s Statement) (Change, bool) {
+func (b *Tracker) merge(s Update) (Change, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
--- a/snipesignal/part.go
+++ b/snipesignal/part.go
@@ -21,39 +21,39 @@
 	minLimit = 0.1
 )
 
-// Part is the share of one instance in a limit.
-type Part struct {
+// Share is the share of one instance in a limit.
+type Share struct {
 	// Interval is the minimum time between two requests. First is the time from the start of the
 	// limit to the first request.
 	Interval time.Duration
 	First    time.Duration
-	// Slot is how long a send slot may be used after it begins; one begins every Interval. If Slot
+	// SlotTime is how long a send slot may be used after it begins; one begins every Interval. If SlotTime
 	// is zero, an unused send slot may be used at any later time.
-	Slot time.Duration
+	SlotTime time.Duration
 	// Rank is the rank of the instance among those that share the limit.
 	Rank int
 }
 
 // Divide returns the share of the instance with the given rank, which counts from 0, in a limit in
 // requests per second that the given number of instances share.
-func Divide(limit float64, instances, rank int) Part {
+func Divide(limit float64, instances, rank int) Share {
 	limit = max(limit, minLimit)
 	instances = max(instances, rank+1)
 	shares := spareShares + int(min(limit, float64(instances)))
 	shares = min(shares, instances)
-	p := Part{Rank: rank}
+	p := Share{Rank: rank}
 	if rank < shares {
 		p.setIntervals(sharedFraction*limit, shares, rank)
 		return p
 	}
 	p.setIntervals(probeFraction*limit, instances-shares, rank-shares)
-	p.Slot = probeWindow
+	p.SlotTime = probeWindow
 	return p
 }
 
 // setIntervals sets the interval and the first send time of one of several sharers, which together
 // send perSecond requests per second, in the order of their index.
-func (p *Part) setIntervals(perSecond float64, sharers, index int) {
+func (p *Share) setIntervals(perSecond float64, sharers, index int) {
 	p.Interval = time.Duration(float64(sharers) / perSecond * float64(time.Second))
 	p.First = time.Duration(float64(p.Interval) * float64(index+1) / float64(sharers))
 }
--- a/snipesignal/rest_test.go
+++ b/snipesignal/rest_test.go
@@ -14,7 +14,7 @@
 
 // backoffSignal returns a signal that asks for a backoff.
 func backoffSignal(backoff time.Duration) snipesignal.Signal {
-	return snipesignal.Signal{Rest: backoff}
+	return snipesignal.Signal{Backoff: backoff}
 }
 
 // TestRest guards against requests to an upstream during the backoff that it asked for, also when
@@ -42,12 +42,12 @@
 	for name, steps := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := &snipesignal.Book{}
+				b := &snipesignal.Tracker{}
 				begun := time.Now()
 				for _, s := range steps {
 					time.Sleep(s.at - time.Since(begun))
 					if s.signal != nil {
-						b.Hear(upstream, time.Now(), *s.signal)
+						b.Record(upstream, time.Now(), *s.signal)
 					}
 					must.Eq(t, s.want, b.Open(upstream), must.Sprint(s.at))
 					_, ok := b.Take(upstream)
@@ -61,10 +61,10 @@
 // TestRestIsOnesOwn guards against a backoff that also stops instances other than the one that the
 // upstream asked for it.
 func TestRestIsOnesOwn(t *testing.T) {
-	asked, other := &snipesignal.Book{}, &snipesignal.Book{}
-	asked.Hear(upstream, time.Now(), backoffSignal(second))
-	other.Learn(asked.News())
-	other.Learn(asked.Statements())
+	asked, other := &snipesignal.Tracker{}, &snipesignal.Tracker{}
+	asked.Record(upstream, time.Now(), backoffSignal(second))
+	other.Merge(asked.PendingUpdates())
+	other.Merge(asked.CurrentUpdates())
 	must.False(t, asked.Open(upstream))
 	must.True(t, other.Open(upstream))
 }
@@ -73,8 +73,8 @@
 // backoff took the send slot and could not be sent.
 func TestRestNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &snipesignal.Book{}
-		b.Hear(upstream, time.Now(), backoffSignal(second))
+		b := &snipesignal.Tracker{}
+		b.Record(upstream, time.Now(), backoffSignal(second))
 		time.Sleep(second)
 		undo, ok := b.Take(upstream)
 		must.True(t, ok)
@@ -88,19 +88,19 @@
 // or all at the same moment after it.
 func TestPromiseAfterRest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &snipesignal.Book{}
-		b.Hear(upstream, time.Now(), backoffSignal(3*second))
-		b.Hear("u2", time.Now(), backoffSignal(2*second))
+		b := &snipesignal.Tracker{}
+		b.Record(upstream, time.Now(), backoffSignal(3*second))
+		b.Record("u2", time.Now(), backoffSignal(2*second))
 		previous := time.Duration(0)
 		for range 10 {
-			wait, ok := b.Promise([]string{upstream, "u2", "unknown"})
+			wait, ok := b.RetryAfter([]string{upstream, "u2", "unknown"})
 			must.True(t, ok)
 			must.Between(t, 2*second, wait, 2500*time.Millisecond)
 			must.Greater(t, previous, wait)
 			previous = wait
 		}
 		time.Sleep(3 * second)
-		_, ok := b.Promise([]string{upstream, "u2"})
+		_, ok := b.RetryAfter([]string{upstream, "u2"})
 		must.False(t, ok)
 	})
 }
--- a/snipesignal/snipesignal.go
+++ b/snipesignal/snipesignal.go
@@ -36,10 +36,10 @@
 	Limited bool
 	// Leaving reports that the upstream accepts no new work.
 	Leaving bool
-	// Rest is the backoff that the upstream asks of the instance that it answers; zero for none.
-	Rest time.Duration
-	// Wrong describes what could not be parsed, for the log; empty if everything could.
-	Wrong string
+	// Backoff is the backoff that the upstream asks of the instance that it answers; zero for none.
+	Backoff time.Duration
+	// Invalid describes what could not be parsed, for the log; empty if everything could.
+	Invalid string
 }
 
 // State is the known state of an upstream, from its answers to any instance.
@@ -76,22 +76,22 @@
 	Before   State
 	Now      State
 	Source   Source
-	// Part is the share of this instance in the limit.
-	Part Part
+	// Share is the share of this instance in the limit.
+	Share Share
 }
 
-// Book tracks the signals of all upstreams for one instance. Exported fields are set before the
+// Tracker tracks the signals of all upstreams for one instance. Exported fields are set before the
 // first call. It is safe for concurrent use.
-type Book struct {
-	// Part returns the share of this instance in the limit of an upstream. If it is nil, the
+type Tracker struct {
+	// Share returns the share of this instance in the limit of an upstream. If it is nil, the
 	// instance uses the whole limit.
-	Part func(upstream string, limit float64) Part
+	Share func(upstream string, limit float64) Share
 	// Changed is called for each change, Rested when an upstream asks for a backoff while none is
 	// in force, and Wrong once for each upstream that sends a signal that cannot be parsed. Each
 	// may be nil. They are called without the lock held.
-	Changed func(c Change)
-	Rested  func(upstream string, backoff time.Duration)
-	Wrong   func(upstream, text string)
+	Changed        func(c Change)
+	BackoffStarted func(upstream string, backoff time.Duration)
+	Invalid        func(upstream, text string)
 
 	lock    sync.Mutex // guards entries
 	entries map[string]*entry
@@ -113,8 +113,8 @@
 	invalid bool
 }
 
-// Hear records the signal of an answer that has just arrived. sent is when its request was sent.
-func (b *Book) Hear(upstream string, sent time.Time, s Signal) {
+// Record records the signal of an answer that has just arrived. sent is when its request was sent.
+func (b *Tracker) Record(upstream string, sent time.Time, s Signal) {
 	b.lock.Lock()
 	if b.entries[upstream] == nil && s == (Signal{}) {
 		b.lock.Unlock()
@@ -123,8 +123,8 @@
 	e := b.entry(upstream)
 	now := time.Now()
 	invalid, backedOff := e.recordInvalid(s), false
-	if s.Rest > 0 {
-		backedOff = e.backoff.extend(s.Rest, now)
+	if s.Backoff > 0 {
+		backedOff = e.backoff.extend(s.Backoff, now)
 	} else {
 		e.backoff.served(now)
 	}
@@ -137,18 +137,18 @@
 	}
 	change, changed := e.pendingChange(upstream, Answer)
 	b.lock.Unlock()
-	if invalid && b.Wrong != nil {
-		b.Wrong(upstream, s.Wrong)
+	if invalid && b.Invalid != nil {
+		b.Invalid(upstream, s.Invalid)
 	}
-	if backedOff && b.Rested != nil {
-		b.Rested(upstream, s.Rest)
+	if backedOff && b.BackoffStarted != nil {
+		b.BackoffStarted(upstream, s.Backoff)
 	}
 	b.reportChange(change, changed)
 }
 
 // recordInvalid records a signal that cannot be parsed, and reports whether it is the first one.
 func (e *entry) recordInvalid(s Signal) bool {
-	if s.Wrong == "" || e.invalid {
+	if s.Invalid == "" || e.invalid {
 		return false
 	}
 	e.invalid = true
@@ -157,7 +157,7 @@
 
 // setLimit records a limit, or its end, as of the time at which the upstream sent it. The lock must
 // be held.
-func (b *Book) setLimit(upstream string, e *entry, limit float64, limited bool, signaledAt, now time.Time) {
+func (b *Tracker) setLimit(upstream string, e *entry, limit float64, limited bool, signaledAt, now time.Time) {
 	begins := limited && !e.Limited
 	changes := limited && limit != e.Limit
 	e.Limit, e.Limited, e.signaledAt = limit, limited, signaledAt
@@ -170,7 +170,7 @@
 }
 
 // entry returns the entry of an upstream, and creates it if there is none. The lock must be held.
-func (b *Book) entry(upstream string) *entry {
+func (b *Tracker) entry(upstream string) *entry {
 	if b.entries == nil {
 		b.entries = make(map[string]*entry)
 	}
@@ -186,19 +186,19 @@
 	if e.similar(e.reported) {
 		return Change{}, false
 	}
-	c := Change{Upstream: upstream, Before: e.reported, Now: e.State, Source: source, Part: e.slots.share}
+	c := Change{Upstream: upstream, Before: e.reported, Now: e.State, Source: source, Share: e.slots.share}
 	e.reported = e.State
 	return c, true
 }
 
-func (b *Book) reportChange(c Change, changed bool) {
+func (b *Tracker) reportChange(c Change, changed bool) {
 	if changed && b.Changed != nil {
 		b.Changed(c)
 	}
 }
 
 // Limited reports whether an upstream has a limit in force.
-func (b *Book) Limited(upstream string) bool {
+func (b *Tracker) Limited(upstream string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	e := b.entries[upstream]
@@ -206,7 +206,7 @@
 }
 
 // Leaving reports whether an upstream has signaled that it is leaving.
-func (b *Book) Leaving(upstream string) bool {
+func (b *Tracker) Leaving(upstream string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	e := b.entries[upstream]
@@ -214,7 +214,7 @@
 }
 
 // CountLimited returns how many upstreams have a limit in force.
-func (b *Book) CountLimited() int {
+func (b *Tracker) CountLimited() int {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	n := 0
@@ -226,8 +226,8 @@
 	return n
 }
 
-// Keep removes the state of all upstreams for which registered returns false.
-func (b *Book) Keep(registered func(upstream string) bool) {
+// Retain removes the state of all upstreams for which registered returns false.
+func (b *Tracker) Retain(registered func(upstream string) bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	maps.DeleteFunc(b.entries, func(id string, _ *entry) bool { return !registered(id) })
--- a/snipesignal/turn.go
+++ b/snipesignal/turn.go
@@ -15,7 +15,7 @@
 
 // sendSlots determines when this instance may send requests to an upstream that names a limit.
 type sendSlots struct {
-	share   Part
+	share   Share
 	shareAt time.Time
 	// next is the earliest time of the next request. lastRetry is the retry time that was last
 	// given to a refused caller.
@@ -24,12 +24,12 @@
 }
 
 // begin starts a limit.
-func (s *sendSlots) begin(p Part, now time.Time) {
+func (s *sendSlots) begin(p Share, now time.Time) {
 	*s = sendSlots{share: p, shareAt: now, next: now.Add(p.First)}
 }
 
 // setShare replaces the share.
-func (s *sendSlots) setShare(p Part, now time.Time) {
+func (s *sendSlots) setShare(p Share, now time.Time) {
 	s.share, s.shareAt = p, now
 	if latest := now.Add(p.Interval); s.next.After(latest) {
 		s.next = latest
@@ -41,15 +41,15 @@
 // while each send slot lasts, and only after probeAfter without an update.
 func (s *sendSlots) open(now time.Time, sinceSignal time.Duration) bool {
 	since := now.Sub(s.next)
-	if s.share.Slot == 0 || since < 0 {
+	if s.share.SlotTime == 0 || since < 0 {
 		return since >= 0
 	}
-	return sinceSignal >= probeAfter && since%s.share.Interval < s.share.Slot
+	return sinceSignal >= probeAfter && since%s.share.Interval < s.share.SlotTime
 }
 
 // use takes the send slot that is open.
 func (s *sendSlots) use(now time.Time) {
-	if s.share.Slot == 0 {
+	if s.share.SlotTime == 0 {
 		s.next = now.Add(s.share.Interval)
 		return
 	}
@@ -58,15 +58,15 @@
 }
 
 // share returns the share of this instance in the limit of an upstream.
-func (b *Book) share(upstream string, limit float64) Part {
-	if b.Part == nil {
+func (b *Tracker) share(upstream string, limit float64) Share {
+	if b.Share == nil {
 		return Divide(limit, 1, 0)
 	}
-	return b.Part(upstream, limit)
+	return b.Share(upstream, limit)
 }
 
 // Open reports whether a request may be sent to an upstream now.
-func (b *Book) Open(upstream string) bool {
+func (b *Tracker) Open(upstream string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	e := b.entries[upstream]
@@ -80,7 +80,7 @@
 // Take takes the send slot for a request that is about to be sent to an upstream. It returns false
 // if the request may not be sent. The returned function must be called if the request was not sent
 // after all: it makes the send slot available again.
-func (b *Book) Take(upstream string) (undo func(), ok bool) {
+func (b *Tracker) Take(upstream string) (undo func(), ok bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	e := b.entries[upstream]
@@ -106,10 +106,10 @@
 	}, true
 }
 
-// Promise returns the time after which a request that could be sent to none of the given upstreams
+// RetryAfter returns the time after which a request that could be sent to none of the given upstreams
 // may be retried. It considers the upstreams that have named a limit or asked for a backoff, and
 // gives each caller another time. It returns false if there is no such upstream.
-func (b *Book) Promise(upstreams []string) (time.Duration, bool) {
+func (b *Tracker) RetryAfter(upstreams []string) (time.Duration, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	now := time.Now()
--- a/snipesignal/world_test.go
+++ b/snipesignal/world_test.go
@@ -41,7 +41,7 @@
 // instance is an instance of the simulation.
 type instance struct {
 	name   string
-	book   *snipesignal.Book
+	book   *snipesignal.Tracker
 	demand float64
 	// known is how many instances it has discovered.
 	known int
@@ -58,7 +58,7 @@
 }
 
 // divide returns the share of an instance; see snipesignal.Divide.
-type divide func(limit float64, instances, rank int) snipesignal.Part
+type divide func(limit float64, instances, rank int) snipesignal.Share
 
 func newSimulation(seed uint64, count int, d divide) *simulation {
 	s := &simulation{rand: rand.New(rand.NewPCG(seed, 1))}
@@ -71,7 +71,7 @@
 // add starts an instance that has discovered the given number of instances.
 func (s *simulation) add(known int, d divide) {
 	p := &instance{name: fmt.Sprint("i", len(s.instances)), known: known}
-	p.book = &snipesignal.Book{Part: func(upstream string, limit float64) snipesignal.Part {
+	p.book = &snipesignal.Tracker{Share: func(upstream string, limit float64) snipesignal.Share {
 		return d(limit, p.known, s.rank(p, upstream))
 	}}
 	s.instances = append(s.instances, p)
@@ -134,20 +134,20 @@
 	for len(s.answers) > 0 && !s.answers[0].at.After(time.Now()) {
 		a := s.answers[0]
 		s.answers = s.answers[1:]
-		a.to.book.Hear(upstream, a.sent, a.signal)
+		a.to.book.Record(upstream, a.sent, a.signal)
 	}
 }
 
 // exchangeUpdates sends the updates of each instance to the other ones.
 func (s *simulation) exchangeUpdates() {
 	for _, p := range s.instances {
-		updates := p.book.News()
+		updates := p.book.PendingUpdates()
 		if p.partitioned || len(updates) == 0 {
 			continue
 		}
 		for _, other := range s.instances {
 			if other != p && !other.partitioned {
-				other.book.Learn(updates)
+				other.book.Merge(updates)
 			}
 		}
 	}
@@ -284,14 +284,14 @@
 // the single update about the end of a limit was lost.
 func TestEndIsToldAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &snipesignal.Book{}
-		b.Hear(upstream, time.Now(), snipesignal.Signal{Limit: 3, Limited: true})
-		must.Len(t, 1, b.News())
+		b := &snipesignal.Tracker{}
+		b.Record(upstream, time.Now(), snipesignal.Signal{Limit: 3, Limited: true})
+		must.Len(t, 1, b.PendingUpdates())
 		time.Sleep(time.Second)
-		b.Hear(upstream, time.Now(), snipesignal.Signal{})
+		b.Record(upstream, time.Now(), snipesignal.Signal{})
 		announced := 0
 		for range 30 {
-			for _, u := range b.News() {
+			for _, u := range b.PendingUpdates() {
 				must.False(t, u.Limited)
 				announced++
 			}
@@ -306,12 +306,12 @@
 // upstream.
 func TestNewsOfTwo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &snipesignal.Book{}
-		b.Hear(upstream, time.Now(), snipesignal.Signal{Leaving: true})
-		b.Learn([]snipesignal.Statement{{Upstream: upstream, State: snipesignal.State{Limit: 3, Limited: true}}})
-		updates := b.News()
+		b := &snipesignal.Tracker{}
+		b.Record(upstream, time.Now(), snipesignal.Signal{Leaving: true})
+		b.Merge([]snipesignal.Update{{Upstream: upstream, State: snipesignal.State{Limit: 3, Limited: true}}})
+		updates := b.PendingUpdates()
 		must.Len(t, 1, updates)
 		must.True(t, updates[0].Leaving && updates[0].Limited)
-		must.SliceEmpty(t, b.News())
+		must.SliceEmpty(t, b.PendingUpdates())
 	})
 }
--- a/snipeslot/audit.go
+++ b/snipeslot/audit.go
@@ -102,7 +102,7 @@
 // ignores fencing numbers, late orders can only unload aliases on the committed
 // list of retired aliases, which the last owner can no longer extend.
 func (s *Slots) neutralizeLateOrders(ctx context.Context) error {
-	if s.GiveUp == nil {
+	if s.CommitRetired == nil {
 		barrier := Alias{Fence: s.Fence}
 		err := s.closeIfFenced(s.Unload(ctx, barrier.String()))
 		if err != nil && !errors.Is(err, ErrRefused) {
@@ -110,7 +110,7 @@
 		}
 		return nil
 	}
-	retired, err := s.Inherit(ctx)
+	retired, err := s.ReadRetired(ctx)
 	if err != nil {
 		return errors.Wrap(err, "read what was given up")
 	}
--- a/snipeslot/bench_test.go
+++ b/snipeslot/bench_test.go
@@ -13,7 +13,7 @@
 func busySlots(b *testing.B) *Slots {
 	b.Helper()
 	s := newFakeOwners(newFakeEngine(16, true)).takeOver()
-	s.Budget = nil
+	s.AcquirePermission = nil
 	must.NoError(b, s.Open(b.Context()))
 	for n := range maxScores * s.Capacity {
 		k := key{adapter(strconv.Itoa(n)), HashPath("p")}
--- a/snipeslot/capacity.go
+++ b/snipeslot/capacity.go
@@ -138,8 +138,8 @@
 
 // value returns the value of keeping an adapter. s.lock is held.
 func (s *Slots) value(k key, now time.Time) float64 {
-	if s.Worth != nil {
-		return s.Worth(k.adapter)
+	if s.Value != nil {
+		return s.Value(k.adapter)
 	}
 	return s.scores[k].decayed(now)
 }
--- a/snipeslot/counts.go
+++ b/snipeslot/counts.go
@@ -25,9 +25,9 @@
 	return true
 }
 
-// Orders returns the number of load orders in progress. Evictions are not
+// LoadsInProgress returns the number of load orders in progress. Evictions are not
 // counted, since the next owner does not have to wait for them.
-func (s *Slots) Orders() int {
+func (s *Slots) LoadsInProgress() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	n := 0
--- a/snipeslot/fake_test.go
+++ b/snipeslot/fake_test.go
@@ -70,16 +70,16 @@
 	case faultEngineError:
 		return errors.New("internal error")
 	case faultRequestLost:
-		return ErrUnclear
+		return ErrOutcomeUnknown
 	case faultDelayed:
 		time.AfterFunc(late, func() { _ = f.apply(fence, do) })
-		return ErrUnclear
+		return ErrOutcomeUnknown
 	case faultSenderFrozen:
 		time.Sleep(late)
 	}
 	err := f.apply(fence, do)
 	if kind != faultNone {
-		return ErrUnclear
+		return ErrOutcomeUnknown
 	}
 	return err
 }
@@ -210,17 +210,17 @@
 			return o.engine.unload(fence, alias)
 		},
 		Aliases: o.engine.aliases, Busy: o.engine.busy,
-		Budget: func(context.Context, *snipeweight.Demand) (func(bool), error) {
+		AcquirePermission: func(context.Context, *snipeweight.Demand) (func(bool), error) {
 			return func(bool) {}, nil
 		},
 		Timeout: time.Minute, Log: snipelog.Discard(),
 	}
 	if !o.engine.checksFence {
-		r := &Record{
+		r := &RetiredRecord{
 			Table: o.table.Client(), Engine: "e1", Fence: fence, Operation: operation,
 			Owner: snipeplatform.Change{Key: row, Expect: fence},
 		}
-		s.GiveUp, s.Inherit = r.GiveUp, r.Inherit
+		s.CommitRetired, s.ReadRetired = r.Commit, r.Read
 	}
 	return s
 }
--- a/snipeslot/orders.go
+++ b/snipeslot/orders.go
@@ -86,7 +86,7 @@
 		if err := s.claim(ctx); err != nil {
 			return err
 		}
-		release, err := s.Budget(ctx, e.demand)
+		release, err := s.AcquirePermission(ctx, e.demand)
 		if err != nil {
 			s.releaseClaim()
 			return errors.Wrap(err, "wait for the weight store")
@@ -102,7 +102,7 @@
 		bounded, cancel := context.WithTimeout(s.lifetime, s.Timeout)
 		err = s.closeIfFenced(s.Load(bounded, e.name, path))
 		cancel()
-		e.outcomeUnknown = errors.Is(err, ErrUnclear) // only load reads it before the entry is evicted
+		e.outcomeUnknown = errors.Is(err, ErrOutcomeUnknown) // only load reads it before the entry is evicted
 		release(err != nil && !errors.Is(err, ErrRefused))
 		return err
 	}
@@ -161,7 +161,7 @@
 	if err != nil {
 		// The order may still be carried out, so the alias is not used again.
 		e.mustEvict = true
-		e.outcomeUnknown = e.outcomeUnknown || errors.Is(err, ErrUnclear)
+		e.outcomeUnknown = e.outcomeUnknown || errors.Is(err, ErrOutcomeUnknown)
 		s.Log.Error(snipelog.EvictionFailed, err, f)
 		return s.closed
 	}
@@ -209,13 +209,13 @@
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return time.Since(s.opened) >= s.Settle
+	return time.Since(s.opened) >= s.PreviousCallTime
 }
 
 // commitRetired ensures that the committed list, which the next owner reads,
 // contains the alias.
 func (s *Slots) commitRetired(ctx context.Context, e *entry) error {
-	if s.GiveUp == nil {
+	if s.CommitRetired == nil {
 		return nil
 	}
 	s.retire(e.name)
@@ -228,7 +228,7 @@
 	if committed {
 		return nil
 	}
-	if err := s.GiveUp(ctx, list); err != nil {
+	if err := s.CommitRetired(ctx, list); err != nil {
 		return errors.Wrapf(err, "commit that %s is retired", e.name)
 	}
 	s.lock.Lock()
--- a/snipeslot/record.go
+++ b/snipeslot/record.go
@@ -21,11 +21,11 @@
 	Aliases []string
 }
 
-// Record stores the list of retired aliases of one engine in the table. Each
+// RetiredRecord stores the list of retired aliases of one engine in the table. Each
 // write checks the owner row in the same transaction: an owner that has lost
 // the engine can no longer add to the list, so the list that the next owner
 // reads after its takeover is final.
-type Record struct {
+type RetiredRecord struct {
 	// Table is the platform's table.
 	Table snipeplatform.Table
 	// Engine is the engine's name and Fence the fencing number of the ownership.
@@ -39,14 +39,14 @@
 	version uint64
 }
 
-func (r *Record) key() snipeplatform.Key {
+func (r *RetiredRecord) key() snipeplatform.Key {
 	return snipeplatform.Key{Partition: retiredPartition, Sort: r.Engine}
 }
 
-// Inherit returns the list that the last owner committed, or nil if there is
+// Read returns the list that the last owner committed, or nil if there is
 // none. It must be called before GiveUp, which expects the row version read
 // here.
-func (r *Record) Inherit(ctx context.Context) ([]string, error) {
+func (r *RetiredRecord) Read(ctx context.Context) ([]string, error) {
 	row, err := r.Table.Get(ctx, r.key())
 	if errors.Is(err, snipeplatform.ErrNotFound) {
 		r.version = 0
@@ -63,9 +63,9 @@
 	return g.Aliases, nil
 }
 
-// GiveUp replaces the committed list by aliases. It returns an error unless the
+// Commit replaces the committed list by aliases. It returns an error unless the
 // write is known to have taken effect. It is not safe for concurrent use.
-func (r *Record) GiveUp(ctx context.Context, aliases []string) error {
+func (r *RetiredRecord) Commit(ctx context.Context, aliases []string) error {
 	data, err := json.Marshal(retiredDocument{Fence: r.Fence, Aliases: aliases})
 	if err != nil {
 		return errors.Wrap(err, "encode given-up aliases")
@@ -86,7 +86,7 @@
 // confirm reads the row after a write that was refused or whose outcome is
 // unknown. It returns nil if the row holds this write, whose reply was lost,
 // and an error that wraps cause otherwise.
-func (r *Record) confirm(ctx context.Context, operation string, cause error) error {
+func (r *RetiredRecord) confirm(ctx context.Context, operation string, cause error) error {
 	row, err := r.Table.Get(ctx, r.key())
 	if err != nil {
 		return errors.Wrapf(cause, "read given-up aliases of %s back: %v", r.Engine, err)
--- a/snipeslot/record_test.go
+++ b/snipeslot/record_test.go
@@ -30,25 +30,25 @@
 			owner := snipeplatform.Change{Key: snipeplatform.Key{Partition: "Owners", Sort: "e1"}, Data: []byte("{}")}
 			must.NoError(t, table.Write(t.Context(), "take", []snipeplatform.Change{owner}))
 			n := 0
-			r := Record{
+			r := RetiredRecord{
 				Table: table.Client(), Engine: "e1", Fence: 1,
 				Owner:     snipeplatform.Change{Key: owner.Key, Expect: 1},
 				Operation: func() string { n++; return strconv.Itoa(n) },
 			}
-			_, err := r.Inherit(t.Context())
+			_, err := r.Read(t.Context())
 			must.NoError(t, err)
 			if c.taken {
 				owner.Expect = 1
 				must.NoError(t, table.Write(t.Context(), "take again", []snipeplatform.Change{owner}))
 			}
 			table.SetFault(c.fault)
-			must.ErrorIs(t, r.GiveUp(t.Context(), []string{"x"}), c.err)
+			must.ErrorIs(t, r.Commit(t.Context(), []string{"x"}), c.err)
 			table.SetFault(snipestand.TableFault{})
-			got, err := r.Inherit(t.Context())
+			got, err := r.Read(t.Context())
 			must.NoError(t, err)
 			must.Eq(t, c.want, got)
 			if !c.taken {
-				must.NoError(t, r.GiveUp(t.Context(), []string{"y"}))
+				must.NoError(t, r.Commit(t.Context(), []string{"y"}))
 			}
 		})
 	}
--- a/snipeslot/snipeslot.go
+++ b/snipeslot/snipeslot.go
@@ -51,8 +51,8 @@
 var (
 	// ErrRefused means that the engine refused the order because of its slots.
 	ErrRefused = errors.New("order refused")
-	// ErrUnclear means that the order may have been carried out, or may be later.
-	ErrUnclear = errors.New("order outcome unknown")
+	// ErrOutcomeUnknown means that the order may have been carried out, or may be later.
+	ErrOutcomeUnknown = errors.New("order outcome unknown")
 	// ErrFenced means that a later owner has sent orders to the engine.
 	ErrFenced = errors.New("a later owner exists")
 )
@@ -140,22 +140,22 @@
 	// margin. It is nil if the engine does not report busy aliases: aliases of
 	// earlier owners are then kept for Settle.
 	Busy func(ctx context.Context) (map[string]bool, error)
-	// GiveUp commits the list of retired aliases, which later owners must not
+	// CommitRetired commits the list of retired aliases, which later owners must not
 	// use. It is nil if the engine refuses late orders.
-	GiveUp func(ctx context.Context, aliases []string) error
-	// Inherit returns the list that the last owner committed. It is called only
+	CommitRetired func(ctx context.Context, aliases []string) error
+	// ReadRetired returns the list that the last owner committed. It is called only
 	// if GiveUp is set.
-	Inherit func(ctx context.Context) ([]string, error)
-	// Budget waits for the weight store's permission to load. The returned
+	ReadRetired func(ctx context.Context) ([]string, error)
+	// AcquirePermission waits for the weight store's permission to load. The returned
 	// function must be called when the load has ended.
-	Budget func(ctx context.Context, d *snipeweight.Demand) (func(failed bool), error)
-	// Worth returns the value of keeping an adapter; the adapter of lowest value
+	AcquirePermission func(ctx context.Context, d *snipeweight.Demand) (func(failed bool), error)
+	// Value returns the value of keeping an adapter; the adapter of lowest value
 	// is evicted first. If it is nil, the value is the score of recent uses.
-	Worth func(a snipecall.Adapter) float64
+	Value func(a snipecall.Adapter) float64
 	// Timeout bounds each order and, except after a refused load, each audit.
 	Timeout time.Duration
-	// Settle is how long calls of an earlier owner may last after the takeover.
-	Settle time.Duration
+	// PreviousCallTime is how long calls of an earlier owner may last after the takeover.
+	PreviousCallTime time.Duration
 	// Log receives the events.
 	Log *snipelog.Logger
 
--- a/snipeslot/wait_test.go
+++ b/snipeslot/wait_test.go
@@ -19,7 +19,7 @@
 	s := newFakeOwners(f).takeOver()
 	permission := make(chan error)
 	budgetCalls := 0
-	s.Budget = func(ctx context.Context, d *snipeweight.Demand) (func(bool), error) {
+	s.AcquirePermission = func(ctx context.Context, d *snipeweight.Demand) (func(bool), error) {
 		budgetCalls++
 		d.Expect(time.Now().Add(10 * time.Second))
 		select {
--- a/snipesoak/instance.go
+++ b/snipesoak/instance.go
@@ -86,7 +86,7 @@
 		Table: i.store, OrderGap: snipejson.Duration(orderGap), RetryShare: 1, RetrySlack: 1000,
 		RetrySpan: snipejson.Duration(snipeentry.DefaultRetrySpan), QuotaSpan: snipejson.Duration(snipeentry.DefaultQuotaSpan),
 		StopTimeout: snipejson.Duration(stopTimeout), LogLevel: "info",
-		DrainTime: snipejson.Duration(snipeentry.DefaultFreshness), ApplyTime: snipejson.Duration(snipeentry.DefaultFreshness),
+		DrainTime: snipejson.Duration(snipeentry.DefaultMaxStaleness), ApplyTime: snipejson.Duration(snipeentry.DefaultMaxStaleness),
 	}
 	for _, other := range i.soak.instances {
 		settings.Seeds = append(settings.Seeds, other.peers)
--- a/snipestory/read.go
+++ b/snipestory/read.go
@@ -21,9 +21,9 @@
 	id           string
 	requestLines []Line
 	changes      []Line
-	// Unread counts the lines that were skipped because they are invalid, too long, or beyond
+	// Skipped counts the lines that were skipped because they are invalid, too long, or beyond
 	// maxChanges.
-	Unread int
+	Skipped int
 }
 
 // NewLog returns an empty log for the request with the given identifier.
@@ -42,7 +42,7 @@
 			return errors.Wrap(err, "read log")
 		}
 		if long {
-			l.Unread++
+			l.Skipped++
 			if err := skipLine(lines); err != nil {
 				return err
 			}
@@ -74,7 +74,7 @@
 	line, err := Decode(raw)
 	switch {
 	case err != nil:
-		l.Unread++
+		l.Skipped++
 	case line.Request == l.id:
 		l.requestLines = append(l.requestLines, line)
 	case line.Request != "":
@@ -82,7 +82,7 @@
 	case len(l.changes) < maxChanges:
 		l.changes = append(l.changes, line)
 	default:
-		l.Unread++
+		l.Skipped++
 	}
 }
 
--- a/snipestory/snipestory.go
+++ b/snipestory/snipestory.go
@@ -50,9 +50,9 @@
 	Evidence []Line
 }
 
-// Tell returns the story of the request from the lines that have been read. It returns
+// Reconstruct returns the story of the request from the lines that have been read. It returns
 // ErrNoRequest if none of them is a line of the request.
-func (l *Log) Tell() (*Story, error) {
+func (l *Log) Reconstruct() (*Story, error) {
 	if len(l.requestLines) == 0 {
 		return nil, errors.Wrap(ErrNoRequest, l.id)
 	}
--- a/snipestory/snipestory_test.go
+++ b/snipestory/snipestory_test.go
@@ -138,7 +138,7 @@
 			for n := len(tt.lines) - 1; n >= 0; n-- {
 				must.NoError(t, log.Read(strings.NewReader(tt.lines[n]+"\n"+other+"\n"+appeared+"\n")))
 			}
-			story, err := log.Tell()
+			story, err := log.Reconstruct()
 			must.NoError(t, err)
 			must.Eq(t, tt.kind, story.Cause.Kind)
 			must.NotEq(t, "", story.Cause.Text)
@@ -158,7 +158,7 @@
 func TestNoRequest(t *testing.T) {
 	log := snipestory.NewLog("q7")
 	must.NoError(t, log.Read(strings.NewReader(other+"\n"+unload)))
-	_, err := log.Tell()
+	_, err := log.Reconstruct()
 	must.ErrorIs(t, err, snipestory.ErrNoRequest)
 }
 
@@ -168,8 +168,8 @@
 	text := "goroutine 7 [running]:\n{}\n" + strings.Repeat("x", 3<<20) + "\n\n" + end("210", `"Status":200`)
 	log := snipestory.NewLog("q1")
 	must.NoError(t, log.Read(strings.NewReader(text)))
-	must.Eq(t, 3, log.Unread)
-	_, err := log.Tell()
+	must.Eq(t, 3, log.Skipped)
+	_, err := log.Reconstruct()
 	must.NoError(t, err)
 }
 
--- a/snipetree/fleet_test.go
+++ b/snipetree/fleet_test.go
@@ -60,8 +60,8 @@
 			}
 			return all
 		},
-		Noticed:  func() uint64 { return f.recordAnnouncement(0) },
-		Announce: func(revision uint64) { f.recordAnnouncement(revision) },
+		AnnouncedRevision: func() uint64 { return f.recordAnnouncement(0) },
+		Announce:          func(revision uint64) { f.recordAnnouncement(revision) },
 	}
 	f.network.Listen(peerAddress(n), s.Handler())
 	f.stores = append(f.stores, s)
--- a/snipetree/store.go
+++ b/snipetree/store.go
@@ -56,9 +56,9 @@
 	Peers func(n int) []netip.AddrPort
 	// HTTP sends requests to peers.
 	HTTP snipeproto.HTTPClient
-	// Noticed returns the highest revision that any instance has announced; nil if revisions
+	// AnnouncedRevision returns the highest revision that any instance has announced; nil if revisions
 	// are not announced.
-	Noticed func() uint64
+	AnnouncedRevision func() uint64
 	// Announce announces a revision that was accepted here; nil if revisions are not announced.
 	Announce func(revision uint64)
 	// Jitter returns a random duration up to the given limit, so that instances do not all
@@ -150,10 +150,10 @@
 }
 
 func (s *Store) announcedRevision() uint64 {
-	if s.Noticed == nil {
+	if s.AnnouncedRevision == nil {
 		return 0
 	}
-	return s.Noticed()
+	return s.AnnouncedRevision()
 }
 
 func (s *Store) revision() uint64 {
--- a/snipeupstream/answer.go
+++ b/snipeupstream/answer.go
@@ -52,7 +52,7 @@
 // run sends the first request and resumes the answer up to maxResumes times
 // after its connection breaks.
 func (a *answer) run(ctx context.Context, first requestMaker) error {
-	client := a.engine.Client
+	client := a.engine.Pooled
 	if !a.call.Idempotent {
 		client = a.engine.Fresh
 	}
@@ -103,7 +103,7 @@
 	if err != nil {
 		return errors.Wrap(err, "make request")
 	}
-	x, err := Begin(client, r, SilenceLimit{Progress: a.engine.Progress, Pool: a.engine.Client})
+	x, err := Begin(client, r, SilenceLimit{Progress: a.engine.Progress, Pool: a.engine.Pooled})
 	if err != nil {
 		return a.sendError(ctx, x.MaybeSent, err)
 	}
--- a/snipeupstream/engine_test.go
+++ b/snipeupstream/engine_test.go
@@ -46,11 +46,11 @@
 	go func() { _ = server.Serve(l) }()
 	s.engine = &Engine{
 		Name: "engine-1", Address: engineAddress, Progress: 5 * time.Second, FirstChunk: 30 * time.Second,
-		Client: NewPooled(s.network.Dial), Fresh: NewFresh(s.network.Dial),
+		Pooled: NewPooled(s.network.Dial), Fresh: NewFresh(s.network.Dial),
 	}
 	t.Cleanup(func() {
 		_ = server.Close()
-		s.engine.Client.CloseIdleConnections()
+		s.engine.Pooled.CloseIdleConnections()
 		s.network.Cut()
 		time.Sleep(time.Minute)
 	})
--- a/snipeupstream/fuzz_test.go
+++ b/snipeupstream/fuzz_test.go
@@ -46,7 +46,7 @@
 			body := io.NopCloser(strings.NewReader(string(stream)))
 			return &http.Response{StatusCode: http.StatusOK, Body: body, Request: r}, nil
 		})}
-		e := &Engine{Name: "engine-1", Address: engineAddress, Client: client, Fresh: client, Progress: time.Minute}
+		e := &Engine{Name: "engine-1", Address: engineAddress, Pooled: client, Fresh: client, Progress: time.Minute}
 		c := modelCall()
 		c.Stream = streamed
 		if chat {
--- a/snipeupstream/report_test.go
+++ b/snipeupstream/report_test.go
@@ -33,7 +33,7 @@
 	server := httptest.NewServer(h)
 	t.Cleanup(server.Close)
 	address := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
-	return &Engine{Name: "e1", Address: address, Client: server.Client(), Fresh: server.Client(), Progress: time.Minute}
+	return &Engine{Name: "e1", Address: address, Pooled: server.Client(), Fresh: server.Client(), Progress: time.Minute}
 }
 
 func TestReport(t *testing.T) {
@@ -79,7 +79,7 @@
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, e.url(CompletionsPath),
 		strings.NewReader(`{"model":"t/a@1#1.1.3","prompt":"x","max_tokens":1000}`))
 	must.NoError(t, err)
-	response, err := e.Client.Do(r)
+	response, err := e.Pooled.Do(r)
 	must.NoError(t, err)
 	defer closeBody(response)
 	defer cancel()
--- a/snipeupstream/service.go
+++ b/snipeupstream/service.go
@@ -22,10 +22,10 @@
 	// Name and Address identify the upstream.
 	Name    string
 	Address netip.AddrPort
-	// Client sends calls that may be repeated. Fresh opens a connection for
+	// Pooled sends calls that may be repeated. Fresh opens a connection for
 	// each call and sends calls that may not be repeated, so that none of them
 	// is sent on a reused connection that has gone silent.
-	Client, Fresh *http.Client
+	Pooled, Fresh *http.Client
 	// Progress is the longest silence of a reused connection before the call is
 	// sent again on a new one, where it may take as long as its deadline
 	// allows. It is also the longest silence within an answer. Zero means no
@@ -47,7 +47,7 @@
 		delivered = true
 		return sink(k)
 	}
-	err := s.send(ctx, c, s.Client, s.Progress, tracked)
+	err := s.send(ctx, c, s.Pooled, s.Progress, tracked)
 	if !errors.Is(err, errSilent) || delivered {
 		return err
 	}
@@ -72,7 +72,7 @@
 	if c.Key != "" {
 		r.Header.Set("Idempotency-Key", c.Key)
 	}
-	x, err := Begin(client, r, SilenceLimit{Progress: progress, ReusedOnly: true, Pool: s.Client})
+	x, err := Begin(client, r, SilenceLimit{Progress: progress, ReusedOnly: true, Pool: s.Pooled})
 	if err != nil {
 		return s.sendError(ctx, x, err)
 	}
--- a/snipeupstream/service_test.go
+++ b/snipeupstream/service_test.go
@@ -18,7 +18,7 @@
 // service returns the client of a plain service at the address of the scripted engine.
 func (s *scriptedEngine) service() *Service {
 	return &Service{
-		Name: "orders-1", Address: engineAddress, Client: s.engine.Client, Fresh: s.engine.Fresh, Progress: 5 * time.Second,
+		Name: "orders-1", Address: engineAddress, Pooled: s.engine.Pooled, Fresh: s.engine.Fresh, Progress: 5 * time.Second,
 	}
 }
 
@@ -124,7 +124,7 @@
 				must.NoError(t, err)
 				r.GetBody = nil
 				r.Header.Set("Idempotency-Key", "k-1")
-				x, err := Begin(client(s), r, SilenceLimit{Pool: s.engine.Client})
+				x, err := Begin(client(s), r, SilenceLimit{Pool: s.engine.Pooled})
 				if err == nil {
 					x.Finish()
 				}
@@ -136,7 +136,7 @@
 		})
 		return runs
 	}
-	must.Eq(t, 3, send(t, func(s *scriptedEngine) *http.Client { return s.engine.Client }))
+	must.Eq(t, 3, send(t, func(s *scriptedEngine) *http.Client { return s.engine.Pooled }))
 	must.Eq(t, 2, send(t, func(s *scriptedEngine) *http.Client { return s.engine.Fresh }))
 }
 
--- a/snipeupstream/snipeupstream.go
+++ b/snipeupstream/snipeupstream.go
@@ -61,10 +61,10 @@
 	// Name and Address identify the engine.
 	Name    string
 	Address netip.AddrPort
-	// Client sends idempotent calls over reused connections. Fresh opens a
+	// Pooled sends idempotent calls over reused connections. Fresh opens a
 	// connection for each request and sends all others: orders, cancels,
 	// resumes, and calls that may not be repeated.
-	Client, Fresh *http.Client
+	Pooled, Fresh *http.Client
 	// Progress is the longest silence of a connection before it is closed: before
 	// the response's header and between two chunks.
 	Progress time.Duration
