--- a/snipeproto/adapter.twirp.go
+++ b/snipeproto/adapter.twirp.go
@@ -31,19 +31,19 @@
 // Adapter Interface
 // =================
 
-// Adapter is the desk that gives orders to the engines of one instance.
+// Adapter is the controller of the adapter loads on the engines that one instance owns.
 type Adapter interface {
 	// Ensure waits until an engine holds an adapter.
 	Ensure(context.Context, *AdapterEnsureRequest) (*AdapterEnsureResponse, error)
 
-	// Report tells how the engines of the instance that is called are used.
+	// Report reports how the sender uses the engines of the called instance.
 	Report(context.Context, *AdapterReportRequest) (*AdapterReportResponse, error)
 
-	// Loads tells what the called instance knows of the loads of all engines, and of what
-	// upstreams say of themselves.
+	// Loads returns the loads of all engines and the signals of upstreams that the called
+	// instance knows.
 	Loads(context.Context, *AdapterLoadsRequest) (*AdapterLoadsResponse, error)
 
-	// Signal tells the called instance what upstreams have said of themselves.
+	// Signal passes signals of upstreams to the called instance.
 	Signal(context.Context, *AdapterSignalRequest) (*AdapterSignalResponse, error)
 }
 
--- a/snipeproto/lease.twirp.go
+++ b/snipeproto/lease.twirp.go
@@ -26,9 +26,9 @@
 // Lease Interface
 // ===============
 
-// Lease tells who owns what to an instance that starts while the table is down.
+// Lease provides the owners of engines to an instance that starts while the table is unavailable.
 type Lease interface {
-	// GetOwners returns the owner rows as the called instance knows them.
+	// GetOwners returns the owner rows that the called instance knows.
 	GetOwners(context.Context, *GetOwnersRequest) (*GetOwnersResponse, error)
 }
 
--- a/snipeproto/member.twirp.go
+++ b/snipeproto/member.twirp.go
@@ -26,16 +26,16 @@
 // Member Interface
 // ================
 
-// Member is what instances ask each other to find out who lives. Every request
-// carries the peer secret. Both directions carry news.
+// Member detects failures of instances and spreads membership updates between them. Every request
+// carries the peer secret. Requests and answers carry updates (News).
 type Member interface {
-	// Probe asks whether the target lives and brings news.
+	// Probe checks whether the target is alive and carries updates.
 	Probe(context.Context, *ProbeRequest) (*ProbeResponse, error)
 
-	// Relay asks for a probe of another instance on the sender's behalf.
+	// Relay asks the called instance to probe another instance on behalf of the sender.
 	Relay(context.Context, *RelayRequest) (*RelayResponse, error)
 
-	// Sync compares all that both sides know, by sums over buckets.
+	// Sync compares the complete state of both sides by a sum over each bucket.
 	Sync(context.Context, *SyncRequest) (*SyncResponse, error)
 }
 
--- a/snipeproto/mirror.twirp.go
+++ b/snipeproto/mirror.twirp.go
@@ -26,9 +26,10 @@
 // Mirror Interface
 // ================
 
-// Mirror passes on copies of tables of the platform's store.
+// Mirror serves copies of tables of the platform's store to other instances.
 type Mirror interface {
-	// Watch returns what has changed after a position, waiting for it.
+	// Watch returns the changes of a table after a position. If there are none, it waits for
+	// one, at most for the time that the request states.
 	Watch(context.Context, *MirrorWatchRequest) (*MirrorWatchResponse, error)
 }
 
--- a/snipeproto/operator.twirp.go
+++ b/snipeproto/operator.twirp.go
@@ -26,36 +26,35 @@
 // Operator Interface
 // ==================
 
-// Operator is what snipectl calls. Every request carries the operator's key as
+// Operator is the interface of snipectl. Every request carries the operator's key as
 // a bearer token.
 type Operator interface {
-	// GetSettings returns one branch as JSON, or all branches the operator may see.
+	// GetSettings returns one branch as JSON, or all branches that the operator may see.
 	GetSettings(context.Context, *GetSettingsRequest) (*GetSettingsResponse, error)
 
-	// ApplySettings replaces one branch, provided that it still has the version
-	// that the operator has read.
+	// ApplySettings replaces one branch if it still has the version that the operator has read.
 	ApplySettings(context.Context, *ApplySettingsRequest) (*ApplySettingsResponse, error)
 
-	// GetHistory returns the accepted edits of a branch, the last one first.
+	// GetHistory returns the accepted edits of a branch, the latest first.
 	GetHistory(context.Context, *GetHistoryRequest) (*GetHistoryResponse, error)
 
-	// Rollback makes an earlier document of a branch its document again, as a new
-	// version.
+	// Rollback restores an earlier document of a branch as a new version.
 	Rollback(context.Context, *RollbackRequest) (*ApplySettingsResponse, error)
 
-	// ListInstances returns the live instances with the revision in force on each.
+	// ListInstances returns the live instances with the revision of the settings in force on
+	// each.
 	ListInstances(context.Context, *ListInstancesRequest) (*ListInstancesResponse, error)
 
-	// ListEngines returns the engines with owners and resident adapters.
+	// ListEngines returns the engines with their owners and resident adapters.
 	ListEngines(context.Context, *ListEnginesRequest) (*ListEnginesResponse, error)
 
-	// ListUpstreams returns engines and services' upstreams as they are declared.
+	// ListUpstreams returns the declared engines and upstreams of services.
 	ListUpstreams(context.Context, *ListUpstreamsRequest) (*ListUpstreamsResponse, error)
 
-	// ListAdapters returns the adapters that are resident somewhere.
+	// ListAdapters returns the adapters that are resident on at least one engine.
 	ListAdapters(context.Context, *ListAdaptersRequest) (*ListAdaptersResponse, error)
 
-	// ListLeases returns the leases and what is owned under each.
+	// ListLeases returns the leases and the engines that are owned under each.
 	ListLeases(context.Context, *ListLeasesRequest) (*ListLeasesResponse, error)
 
 	// Drain asks an instance to stop gracefully.
--- a/snipeproto/ownership.twirp.go
+++ b/snipeproto/ownership.twirp.go
@@ -26,13 +26,14 @@
 // Ownership Interface
 // ===================
 
-// Ownership lets an owner of engines go on while the platform's store answers nobody.
+// Ownership lets owners of engines keep their ownership while the platform's store does not answer.
 type Ownership interface {
-	// Promise asks an instance not to take engines over for the time of a lease.
+	// Promise asks the called instance for a lease extension: not to take over the engines for
+	// the duration of one lease.
 	Promise(context.Context, *OwnershipPromiseRequest) (*OwnershipPromiseResponse, error)
 
-	// Write makes a transaction on rows of ownership for an instance that does not reach the
-	// platform's store.
+	// Write makes a transaction on ownership rows on behalf of an instance that does not reach
+	// the platform's store.
 	Write(context.Context, *OwnershipWriteRequest) (*OwnershipWriteResponse, error)
 }
 
--- a/snipeproto/quarantine.twirp.go
+++ b/snipeproto/quarantine.twirp.go
@@ -26,16 +26,17 @@
 // Quarantine Interface
 // ====================
 
-// Quarantine is what instances ask the coordinators of a fingerprint. Every
+// Quarantine is the interface of the coordinators of a fingerprint for other instances. Every
 // request carries the peer secret.
 type Quarantine interface {
 	// Begin asks whether an attempt may start.
 	Begin(context.Context, *AttemptState) (*VerdictState, error)
 
-	// Finish tells how an attempt ended.
+	// Finish reports how an attempt ended.
 	Finish(context.Context, *FinishRequest) (*FinishResponse, error)
 
-	// Replicate gives a record of crashes to keep and to spread.
+	// Replicate passes a record of crashes to the called instance, which stores it and spreads
+	// it.
 	Replicate(context.Context, *ReplicateRequest) (*ReplicateResponse, error)
 }
 
--- a/snipeproto/quota.twirp.go
+++ b/snipeproto/quota.twirp.go
@@ -26,7 +26,7 @@
 // Quota Interface
 // ===============
 
-// Quota grants instances what they may use of the quotas of workspaces.
+// Quota grants instances units of the quotas of workspaces.
 type Quota interface {
 	Issue(context.Context, *QuotaIssueRequest) (*QuotaIssueResponse, error)
 }
--- a/snipeproto/settings.twirp.go
+++ b/snipeproto/settings.twirp.go
@@ -26,14 +26,14 @@
 // Settings Interface
 // ==================
 
-// Settings passes the settings in force from one instance to another, for
-// those that cannot reach the table or have just started.
+// Settings serves the settings in force to other instances that cannot reach the table or have just
+// started.
 type Settings interface {
 	// GetHead returns the head document in force.
 	GetHead(context.Context, *GetHeadRequest) (*GetHeadResponse, error)
 
-	// GetDocuments returns the compressed documents of branches by their hashes,
-	// as many as fit one answer.
+	// GetDocuments returns the compressed documents of branches by their hashes, as many as fit
+	// into one answer.
 	GetDocuments(context.Context, *GetDocumentsRequest) (*GetDocumentsResponse, error)
 }
 
--- a/snipeproto/status.twirp.go
+++ b/snipeproto/status.twirp.go
@@ -26,10 +26,10 @@
 // Status Interface
 // ================
 
-// Status is what an instance asks its peers on an operator's behalf, on the
-// peers' listener.
+// Status is the interface of an instance for requests that its peers send on behalf of an operator.
+// It is served on the listener for peers.
 type Status interface {
-	// Describe returns what only the called instance knows.
+	// Describe returns the state that only the called instance knows.
 	Describe(context.Context, *DescribeRequest) (*DescribeResponse, error)
 
 	// Stop makes the called instance stop gracefully.
--- a/snipeproto/weight.twirp.go
+++ b/snipeproto/weight.twirp.go
@@ -26,13 +26,13 @@
 // Weight Interface
 // ================
 
-// Weight is the queue for the weight store, on the instance that holds it.
+// Weight is the queue of loads from the weight store. One instance holds the queue.
 type Weight interface {
-	// Ask queues or renews a request for permission to load and waits for the
-	// permission for the time that it states.
+	// Ask queues or renews a request for permission to load, and waits for the permission at
+	// most for the time that the request states.
 	Ask(context.Context, *WeightAskRequest) (*WeightAskResponse, error)
 
-	// Leave takes a request out of the queue.
+	// Leave removes a request from the queue.
 	Leave(context.Context, *WeightLeaveRequest) (*WeightLeaveResponse, error)
 
 	// Done ends a permission.
