--- a/snipestand/cutter.go
+++ b/snipestand/cutter.go
@@ -11,46 +11,45 @@
 	"github.com/go-faster/errors"
 )
 
-// CutMode is what a cutter does with a link.
+// CutMode is how a cutter treats the traffic of a link.
 type CutMode string
 
 // The modes of a link.
 const (
-	// CutNone passes everything on.
+	// CutNone forwards everything.
 	CutNone CutMode = "none"
-	// CutBoth holds back all bytes; connections stay open and new ones are
-	// taken. What is held back goes on when the link is mended.
+	// CutBoth holds back the bytes of both directions. Connections stay open and new ones are
+	// accepted. The cutter forwards the held bytes once the mode no longer cuts their direction.
 	CutBoth CutMode = "both"
-	// CutForward holds back what the dialling side sends, CutBack what it
-	// should receive.
+	// CutForward holds back the bytes that the dialing side sends, CutBack the bytes sent to it.
 	CutForward CutMode = "forward"
 	CutBack    CutMode = "back"
-	// CutStale makes the connections that are open now silent for good, while
-	// new ones work.
+	// CutStale makes the connections that are open now silent permanently, while new
+	// connections work. The mode of the link stays as it was.
 	CutStale CutMode = "stale"
 	// CutRefuse closes all connections and refuses new ones.
 	CutRefuse CutMode = "refuse"
 )
 
-// ErrBadCut is returned for an unknown link or mode.
+// ErrBadCut reports an unknown link or mode.
 var ErrBadCut = errors.New("bad cut")
 
 const (
-	cutterBuffer = 32 << 10
-	cutterDial   = 5 * time.Second
+	cutterBufferSize  = 32 << 10
+	cutterDialTimeout = 5 * time.Second
 )
 
-// Link is one TCP listener of a cutter and where its connections lead.
+// Link is one TCP listener of a cutter and the address that its connections are forwarded to.
 type Link struct {
 	Listen, Target netip.AddrPort
 }
 
-// Cutter stands between parties and cuts their connections. Exported fields
-// are set before Run.
+// Cutter is a TCP proxy that interrupts connections on request. Exported fields must be set before
+// Listen is called.
 type Cutter struct {
 	Links []Link
 
-	lock  sync.Mutex // guards the fields of the links' states
+	lock  sync.Mutex // guards the fields of each linkState
 	state map[netip.AddrPort]*linkState
 }
 
@@ -58,24 +57,24 @@
 type linkState struct {
 	link    Link
 	mode    CutMode
-	changed chan struct{}
+	changed chan struct{} // closed and replaced at each change of mode or staleness
 	open    map[*cutConnection]bool
 }
 
-// cutConnection is one connection through the cutter.
+// cutConnection is one connection through the cutter. A stale one no longer forwards anything.
 type cutConnection struct {
 	client, server net.Conn
 	stale          bool
 }
 
 func (c *cutConnection) close() {
-	// Closing twice does no harm.
+	// A second Close returns an error that has no effect.
 	_ = c.client.Close()
 	_ = c.server.Close()
 }
 
-// Listen opens all links and serves them in the background. A port 0 is
-// replaced by the one that the system chose.
+// Listen opens all links and serves them in the background. It replaces a port of 0 in Links by
+// the port that the system has chosen.
 func (c *Cutter) Listen() error {
 	c.state = map[netip.AddrPort]*linkState{}
 	for n, l := range c.Links {
@@ -92,25 +91,26 @@
 	return nil
 }
 
-// Handler returns the cutter's own route, POST /Cut.
+// Handler returns the cutter's control route, POST /Cut.
 func (c *Cutter) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /Cut", func(w http.ResponseWriter, r *http.Request) {
-		var order struct {
+		var request struct {
 			Link netip.AddrPort
 			Mode CutMode
 		}
-		if !readJSON(w, r, &order) {
+		if !readJSON(w, r, &request) {
 			return
 		}
-		if err := c.Cut(order.Link, order.Mode); err != nil {
+		if err := c.Cut(request.Link, request.Mode); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 		}
 	})
 	return mux
 }
 
-// Cut sets the mode of the link that listens at an address.
+// Cut sets the mode of the link that listens at an address. It returns ErrBadCut for an unknown
+// link or mode.
 func (c *Cutter) Cut(listen netip.AddrPort, mode CutMode) error {
 	s, ok := c.state[listen]
 	if !ok {
@@ -138,6 +138,7 @@
 	return nil
 }
 
+// accept serves the connections of a link until its listener is closed.
 func (c *Cutter) accept(l *net.TCPListener, s *linkState) {
 	for {
 		client, err := l.Accept()
@@ -148,6 +149,7 @@
 	}
 }
 
+// connect forwards one connection to the target of its link until either side ends.
 func (c *Cutter) connect(client net.Conn, s *linkState) {
 	c.lock.Lock()
 	refused := s.mode == CutRefuse
@@ -156,7 +158,7 @@
 		_ = client.Close()
 		return
 	}
-	server, err := net.DialTimeout("tcp", s.link.Target.String(), cutterDial)
+	server, err := net.DialTimeout("tcp", s.link.Target.String(), cutterDialTimeout)
 	if err != nil {
 		_ = client.Close()
 		return
@@ -165,28 +167,28 @@
 	c.lock.Lock()
 	s.open[k] = true
 	c.lock.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { c.pass(s, k, client, server, CutForward) })
-	both.Go(func() { c.pass(s, k, server, client, CutBack) })
-	both.Wait()
+	var copies sync.WaitGroup
+	copies.Go(func() { c.forward(s, k, client, server, CutForward) })
+	copies.Go(func() { c.forward(s, k, server, client, CutBack) })
+	copies.Wait()
 	c.lock.Lock()
 	delete(s.open, k)
 	c.lock.Unlock()
 }
 
-// pass copies one direction until either side ends.
-func (c *Cutter) pass(s *linkState, k *cutConnection, from io.Reader, to io.Writer, direction CutMode) {
-	buffer := make([]byte, cutterBuffer)
+// forward copies the bytes of one direction until either side ends.
+func (c *Cutter) forward(s *linkState, k *cutConnection, from io.Reader, to io.Writer, direction CutMode) {
+	buffer := make([]byte, cutterBufferSize)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && c.gate(s, k, direction) {
+		if n > 0 && c.waitUncut(s, k, direction) {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				break
 			}
 		}
 		if err != nil {
-			// The end of a connection is held back as its bytes are.
-			if !c.gate(s, k, direction) {
+			// A cut holds back the end of a connection in the same way as its bytes.
+			if !c.waitUncut(s, k, direction) {
 				return
 			}
 			break
@@ -195,9 +197,9 @@
 	k.close()
 }
 
-// gate waits while the direction is cut. It reports false for a connection
-// that is silent for good.
-func (c *Cutter) gate(s *linkState, k *cutConnection, direction CutMode) bool {
+// waitUncut blocks while the direction is cut. It reports false for a connection that has become
+// stale: such a connection stays silent.
+func (c *Cutter) waitUncut(s *linkState, k *cutConnection, direction CutMode) bool {
 	for {
 		c.lock.Lock()
 		mode, stale, changed := s.mode, k.stale, s.changed
--- a/snipestand/cutter_test.go
+++ b/snipestand/cutter_test.go
@@ -11,7 +11,7 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// echo serves connections that send back what they get.
+// echo starts a TCP server that sends back all bytes that it receives, and returns its address.
 func echo(t *testing.T) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,15 +29,16 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// talk sends one byte and reads its echo.
-func talk(t *testing.T, c net.Conn, b byte) {
+// exchange sends one byte and reads its echo.
+func exchange(t *testing.T, c net.Conn, b byte) {
 	t.Helper()
 	_, err := c.Write([]byte{b})
 	must.NoError(t, err)
-	hear(t, c, b)
+	receive(t, c, b)
 }
 
-func hear(t *testing.T, c net.Conn, b byte) {
+// receive reads one byte and compares it with the expected one.
+func receive(t *testing.T, c net.Conn, b byte) {
 	t.Helper()
 	got := make([]byte, 1)
 	_, err := io.ReadFull(c, got)
@@ -45,7 +46,8 @@
 	must.Eq(t, b, got[0])
 }
 
-// TestCutter holds what becomes of connections in each mode.
+// TestCutter checks the effect of each mode on connections: a cut holds bytes back and does not
+// lose them, stale connections stay silent while new ones work, and refused connections are closed.
 func TestCutter(t *testing.T) {
 	c := &snipestand.Cutter{Links: []snipestand.Link{{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Target: echo(t)}}}
 	must.NoError(t, c.Listen())
@@ -57,19 +59,19 @@
 		return k
 	}
 	old := dial()
-	talk(t, old, 1)
+	exchange(t, old, 1)
 	for _, mode := range []snipestand.CutMode{snipestand.CutBoth, snipestand.CutForward, snipestand.CutBack} {
 		must.NoError(t, c.Cut(link, mode))
 		_, err := old.Write([]byte{2})
 		must.NoError(t, err)
-		// What was held back arrives when the link is mended.
+		// The byte that was held back arrives once the link is no longer cut.
 		must.NoError(t, c.Cut(link, snipestand.CutNone))
-		hear(t, old, 2)
+		receive(t, old, 2)
 	}
 	must.NoError(t, c.Cut(link, snipestand.CutStale))
 	_, err := old.Write([]byte{3})
 	must.NoError(t, err)
-	talk(t, dial(), 4)
+	exchange(t, dial(), 4)
 	must.NoError(t, c.Cut(link, snipestand.CutRefuse))
 	_, err = io.ReadFull(dial(), make([]byte, 1))
 	must.Error(t, err)
--- a/snipestand/declare.go
+++ b/snipestand/declare.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// DeclaredRoute is a route as the co-operative platform's operators declare it.
+// DeclaredRoute is a route as the operators of the co-operative platform declare it. Times are in
+// milliseconds.
 type DeclaredRoute struct {
 	Name        string  `json:"name"`
 	Host        string  `json:"host"`
@@ -19,7 +20,7 @@
 	Resumable   bool    `json:"resumable"`
 }
 
-// Kinds of routes.
+// The kinds of routes, as declared in DeclaredRoute.Kind.
 const (
 	RouteOnce   = "non_idempotent"
 	RouteOften  = "idempotent"
@@ -32,28 +33,28 @@
 	Engine *DeclaredEngine `json:"engine,omitempty"`
 }
 
-// DeclaredEngine describes the engines of a service.
+// DeclaredEngine describes the model engines of a service.
 type DeclaredEngine struct {
 	AdapterSlots int             `json:"adapterSlots"`
 	Models       []DeclaredModel `json:"models"`
 }
 
-// DeclaredModel is a base model of a service.
+// DeclaredModel is a base model that the engines of a service serve.
 type DeclaredModel struct {
 	Name string `json:"name"`
 }
 
-// DeclaredWorkspace is a workspace with its keys.
+// DeclaredWorkspace is a workspace with its API keys and its quota.
 type DeclaredWorkspace struct {
 	Name string   `json:"name"`
 	Keys []string `json:"apiKeys"`
-	// Unit, PerSecond and Burst are its quota; no quota where the rate is zero.
+	// Unit, PerSecond and Burst define the quota. The workspace has no quota if PerSecond is zero.
 	Unit      string  `json:"unit,omitempty"`
 	PerSecond float64 `json:"ratePerS,omitempty"`
 	Burst     float64 `json:"burst,omitempty"`
 }
 
-// Declared is what operators declare.
+// Declared is the configuration document that operators declare.
 type Declared struct {
 	Version    int                 `json:"version"`
 	Routes     []DeclaredRoute     `json:"routes"`
@@ -62,15 +63,15 @@
 	Limits     DeclaredLimits      `json:"limits"`
 }
 
-// DeclaredLimits bound what callers may send.
+// DeclaredLimits bounds the requests of callers.
 type DeclaredLimits struct {
 	BodyBytes int `json:"maxBodyBytes"`
 }
 
-// Declare writes a version of what operators declare.
+// Declare writes a version of the operators' configuration to the store.
 func (s *RowStore) Declare(d Declared) error { return s.Put("op", "config", d) }
 
-// NameVersion declares a new version of an adapter.
+// NameVersion declares a new version of an adapter in the store.
 func (s *RowStore) NameVersion(model, adapter string, version int64) error {
 	return s.Put("op", "version/"+model+"."+adapter, struct {
 		Model   string `json:"model"`
@@ -79,12 +80,13 @@
 	}{model, adapter, version})
 }
 
-// CallerHeader sets what a caller of the platform says of its request; model is empty
-// for plain services, and MODEL/ADAPTER for an adapter.
-func CallerHeader(h http.Header, id, key string, patience time.Duration, model string) {
+// CallerHeader sets the headers that a caller of the platform sends with a request: its API key,
+// the identifier of the attempt, and the time that the caller waits. The model is empty for plain
+// services, and MODEL/ADAPTER for an adapter.
+func CallerHeader(h http.Header, id, key string, maxWait time.Duration, model string) {
 	h.Set("Authorization", "Bearer "+key)
 	h.Set("X-Snipepitch-Attempt-Id", id)
-	h.Set("X-Snipepitch-Deadline-Ms", strconv.FormatInt(patience.Milliseconds(), 10))
+	h.Set("X-Snipepitch-Deadline-Ms", strconv.FormatInt(maxWait.Milliseconds(), 10))
 	if model != "" {
 		h.Set("X-Snipepitch-Model", model)
 	}
--- a/snipestand/dynamo.go
+++ b/snipestand/dynamo.go
@@ -12,8 +12,8 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// The part of the DynamoDB protocol (JSON 1.0 over HTTP) that the project's
-// client uses. Attribute values are objects with one member for the type.
+// These types are the part of the DynamoDB protocol (JSON 1.0 over HTTP) that the project's client
+// uses. An attribute value is an object with a single member, whose name is the type.
 type (
 	attribute struct {
 		S string `json:"S,omitempty"`
@@ -41,9 +41,10 @@
 	}
 )
 
+// targetPrefix precedes the name of the operation in the X-Amz-Target header.
 const targetPrefix = "DynamoDB_20120810."
 
-// Names of the protocol's exceptions.
+// The exceptions of the protocol that the table reports.
 const (
 	exceptionCanceled  = "TransactionCanceledException"
 	exceptionThrottled = "ProvisionedThroughputExceededException"
@@ -60,20 +61,22 @@
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/x-amz-json-1.0")
-		// The client may be gone; a stand-in has nobody to tell.
+		// An error means that the client has disconnected, which an emulator ignores.
 		_ = json.NewEncoder(w).Encode(out)
 	case errors.Is(err, snipeplatform.ErrConflict):
 		dynamoError(w, exceptionCanceled, err)
 	case errors.Is(err, snipeplatform.ErrUnavailable):
 		dynamoError(w, exceptionThrottled, err)
 	case errors.Is(err, snipeplatform.ErrUnknown):
-		// The write took effect; its reply is lost with the connection.
+		// The outcome of the write is unknown to the client: the connection closes without an
+		// answer, whether or not the write takes effect.
 		panic(http.ErrAbortHandler)
 	default:
 		dynamoError(w, exceptionInvalid, err)
 	}
 }
 
+// dynamoError answers with an exception of the protocol.
 func dynamoError(w http.ResponseWriter, exception string, err error) {
 	w.Header().Set("Content-Type", "application/x-amz-json-1.0")
 	w.WriteHeader(http.StatusBadRequest)
@@ -86,6 +89,7 @@
 
 var errUnsupported = errors.New("operation not supported")
 
+// serve executes one operation and returns the body of its answer.
 func (t *Table) serve(ctx context.Context, operation string, in dynamoRequest) (any, error) {
 	switch operation {
 	case "GetItem":
@@ -122,6 +126,7 @@
 	}
 }
 
+// changeOf returns the change that one item of a transaction asks for.
 func changeOf(x dynamoTransaction) snipeplatform.Change {
 	var w *dynamoWrite
 	c := snipeplatform.Change{}
@@ -139,7 +144,8 @@
 		return c
 	}
 	if v, ok := w.ExpressionAttributeValues[":expected"]; ok {
-		// The client writes decimal numbers; another value matches no row.
+		// The client writes decimal numbers. A malformed value becomes version 0, which no existing
+		// row has.
 		c.Expect, _ = strconv.ParseUint(v.N, 10, 64)
 	}
 	return c
--- a/snipestand/engine.go
+++ b/snipestand/engine.go
@@ -14,30 +14,30 @@
 	"time"
 )
 
-// Engine is a model engine: adapter slots, batched answers in streams with
-// resume and cancel, and orders. Exported fields are set before the first
-// request.
+// Engine emulates a model engine. It has adapter slots, accepts orders to load and unload adapters,
+// and produces answers in batches, as streams that can be resumed and canceled. Exported fields
+// must be set before the first request.
 type Engine struct {
-	// Slots is the number of adapters held at once, Batch the number of
-	// answers produced at once.
+	// Slots is the number of adapters that the engine holds at once, Batch the number of answers
+	// that it produces at once.
 	Slots, Batch int
-	// TokenTime is the time between two tokens.
+	// TokenTime is the time between two tokens of an answer.
 	TokenTime time.Duration
-	// ChecksFence makes the engine refuse orders with an old fencing number.
+	// ChecksFence makes the engine refuse orders whose fencing number is lower than an earlier one.
 	ChecksFence bool
-	// Weights is the weight store that loads come from; invalid for none.
+	// Weights is the address of the weight store that the engine loads from; invalid for none.
 	Weights netip.AddrPort
-	// Crash ends the process, for a prompt that contains CrashPrompt.
+	// Crash is called to end the process when a prompt contains CrashPrompt; nil for no crash.
 	Crash func()
-	// Executed records each call that the engine began to execute.
+	// Executed records each call that the engine has begun to execute.
 	Executed Executed
 
-	lock    sync.Mutex // guards the fields below
-	fence   uint64
+	lock    sync.Mutex        // guards the fields below
+	fence   uint64            // highest fencing number received
 	loaded  map[string]string // path by alias
 	answers map[string]*generation
-	next    int
-	batch   chan struct{}
+	created int           // answers so far, for their identifiers
+	batch   chan struct{} // one element for each answer in production
 	fault   EngineFault
 	started time.Time
 }
@@ -45,18 +45,19 @@
 // CrashPrompt is the text in a prompt that crashes the engine.
 const CrashPrompt = "CRASH-THE-ENGINE"
 
-// EngineFault are the faults of an engine.
+// EngineFault holds the faults of an engine.
 type EngineFault struct {
-	// SilentAfter makes each connection go silent after so many chunks; 0 is
-	// never. A resumed connection is not affected.
+	// SilentAfter is the number of chunks after which each connection stops sending while it stays
+	// open; 0 is never. A resumed connection is not affected.
 	SilentAfter int
-	// BreakAfter closes each connection after so many chunks; 0 is never.
+	// BreakAfter is the number of chunks after which each connection is closed; 0 is never. A
+	// resumed connection is not affected.
 	BreakAfter int
-	// FailLoads is how many of the next loads fail.
+	// FailLoads is the number of loads, counted from the next one, that fail.
 	FailLoads int
 }
 
-// defaultTokens is the length of an answer when the request states none.
+// defaultTokens is the length of an answer when the request does not state one.
 const defaultTokens = 16
 
 // Handler returns the engine's routes.
@@ -84,19 +85,21 @@
 	return mux
 }
 
-// SetFault switches faults.
+// SetFault replaces the faults in force.
 func (e *Engine) SetFault(f EngineFault) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.fault = f
 }
 
+// orderBody is the body of an order to load or unload an adapter.
 type orderBody struct {
 	Name string `json:"lora_name"`
 	Path string `json:"lora_path"`
 }
 
-// fenced reports whether an order carries a number that is too old.
+// fenced reports whether the engine must refuse an order because of its fencing number. It records
+// the highest number received. A missing or invalid number counts as 0.
 func (e *Engine) fenced(r *http.Request) bool {
 	n, err := strconv.ParseUint(r.Header.Get("Fencing-Number"), 10, 64)
 	if err != nil {
@@ -111,7 +114,8 @@
 	return false
 }
 
-// readOrder reads an order, or refuses it and reports false.
+// readOrder reads an order. If the order is invalid or fenced, it answers with an error and reports
+// false.
 func (e *Engine) readOrder(w http.ResponseWriter, r *http.Request) (orderBody, bool) {
 	var o orderBody
 	if !readJSON(w, r, &o) {
@@ -124,6 +128,7 @@
 	return o, true
 }
 
+// load loads an adapter into a free slot.
 func (e *Engine) load(w http.ResponseWriter, r *http.Request) {
 	o, ok := e.readOrder(w, r)
 	if !ok {
@@ -133,7 +138,7 @@
 		http.Error(w, "load failed", http.StatusInternalServerError)
 		return
 	}
-	if err := e.fetch(r.Context(), o.Path); err != nil {
+	if err := e.fetchWeights(r.Context(), o.Path); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
@@ -146,6 +151,7 @@
 	e.loaded[o.Name] = o.Path
 }
 
+// failLoad reports whether the current load must fail, and counts it against FailLoads.
 func (e *Engine) failLoad() bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -156,7 +162,8 @@
 	return true
 }
 
-func (e *Engine) fetch(ctx context.Context, path string) error {
+// fetchWeights fetches and discards the weights of an adapter from the weight store.
+func (e *Engine) fetchWeights(ctx context.Context, path string) error {
 	if !e.Weights.IsValid() {
 		return nil
 	}
@@ -182,6 +189,7 @@
 	delete(e.loaded, o.Name)
 }
 
+// models lists the aliases of the loaded adapters.
 func (e *Engine) models(w http.ResponseWriter, _ *http.Request) {
 	type model struct {
 		ID string `json:"id"`
@@ -195,6 +203,7 @@
 	writeJSON(w, map[string]any{"object": "list", "data": list})
 }
 
+// callBody is the part of a completion request that the engine evaluates.
 type callBody struct {
 	Model     string          `json:"model"`
 	Prompt    string          `json:"prompt"`
@@ -205,9 +214,9 @@
 	} `json:"stream_options"`
 }
 
-// Answer returns the tokens that the stand-in answers with: the path of the
-// adapter that produced them, then tokens that depend on path and prompt. The
-// replay computes the same to check an answer.
+// Answer returns the tokens of an engine's answer: the path of the adapter that produces them, then
+// tokens that depend on the path and the prompt. A count of zero or less stands for the default
+// length. The replay computes the same tokens to verify an answer.
 func Answer(path, prompt string, count int) []string {
 	if count <= 0 {
 		count = defaultTokens
@@ -221,6 +230,7 @@
 	return tokens
 }
 
+// generate starts an answer and streams it.
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
 	var c callBody
 	if !readJSON(w, r, &c) {
@@ -231,7 +241,7 @@
 		prompt = string(c.Messages)
 	}
 	if strings.Contains(prompt, CrashPrompt) && e.Crash != nil {
-		// The engine ends here in any case.
+		// The process ends here, whether or not the execution could be recorded.
 		_ = e.Executed.Add(Execution{Request: r.Header.Get("X-Request-Id"), Body: prompt})
 		e.Crash()
 	}
@@ -247,10 +257,10 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	e.next++
+	e.created++
 	ctx, cancel := context.WithCancel(context.Background())
 	g := &generation{
-		id: "cmpl-" + strconv.Itoa(e.next), alias: c.Model, path: path, chat: len(c.Messages) > 0,
+		id: "cmpl-" + strconv.Itoa(e.created), alias: c.Model, path: path, chat: len(c.Messages) > 0,
 		tokens: Answer(path, prompt, c.MaxTokens), usage: c.Options.Usage, cancel: cancel, changed: make(chan struct{}),
 	}
 	e.answers[g.id] = g
@@ -260,6 +270,7 @@
 	e.send(w, r, g, 0, fault)
 }
 
+// resume streams an answer again from the chunk after the one that the request names.
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	e.lock.Lock()
 	g, ok := e.answers[r.PathValue("id")]
@@ -272,12 +283,12 @@
 	e.send(w, r, g, after, EngineFault{})
 }
 
-// send streams an answer's chunks from the one after sent.
+// send streams the chunks of an answer, starting after the first sent ones.
 func (e *Engine) send(w http.ResponseWriter, r *http.Request, g *generation, sent int, fault EngineFault) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
 	flush := http.NewResponseController(w)
-	// The header goes out while the call waits for its place in the batch.
+	// The header is sent before the call gets a slot of the batch.
 	_ = flush.Flush()
 	for sent < len(g.tokens) {
 		if fault.BreakAfter > 0 && sent >= fault.BreakAfter {
@@ -312,6 +323,7 @@
 	_ = flush.Flush()
 }
 
+// cancelAnswer stops the production of an answer and removes it.
 func (e *Engine) cancelAnswer(w http.ResponseWriter, r *http.Request) {
 	e.lock.Lock()
 	g, ok := e.answers[r.PathValue("id")]
--- a/snipestand/executed.go
+++ b/snipestand/executed.go
@@ -10,37 +10,37 @@
 	"github.com/go-faster/errors"
 )
 
-// maxExecuted bounds how many executions a stand-in remembers.
+// maxExecuted is the largest number of executions that an emulator keeps in memory.
 const maxExecuted = 1 << 17
 
 // Execution is one request that an upstream began to execute.
 type Execution struct {
-	// Request is the identifier that the system gave the request.
+	// Request is the identifier that the serving layer gave the request.
 	Request string
-	// Key is the caller's request key, Body the body; services only.
+	// Key is the caller's request key, which only services record. Body is the request body, or the
+	// prompt that crashes an engine.
 	Key  string `json:",omitempty"`
 	Body string `json:",omitempty"`
 }
 
-// ExecutedList is the answer of GET /Executed.
+// ExecutedList is the body of the answer to GET /Executed.
 type ExecutedList struct {
-	// Dropped is how many executions found no room; a judge that sees any
-	// can tell nothing.
+	// Dropped is the number of executions that were not recorded because the list was full. If it
+	// is not zero, the list proves nothing.
 	Dropped    int
 	Executions []Execution
 }
 
-// Executed is the bounded record of an upstream's executions, safe for
-// concurrent use. With a file it outlives a kill of the process: a line is
-// written before the execution begins.
+// Executed is the bounded record of the executions of an upstream. It is safe for concurrent use.
+// With a file the record survives a kill of the process: each line is written before its execution
+// begins.
 type Executed struct {
 	lock sync.Mutex // guards the fields below
 	list ExecutedList
 	file *os.File
 }
 
-// Open reads the executions of earlier processes from a file and adds later
-// ones to it.
+// Open reads the executions of earlier processes from a file. Later executions are appended to it.
 func (x *Executed) Open(name string) error {
 	f, err := os.OpenFile(name, os.O_RDWR|os.O_CREATE|os.O_APPEND, 0o600)
 	if err != nil {
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// Add records an execution that is about to begin.
+// Add records an execution that is about to begin. It returns an error if the file cannot be
+// written.
 func (x *Executed) Add(e Execution) error {
 	x.lock.Lock()
 	defer x.lock.Unlock()
@@ -82,7 +83,7 @@
 	return nil
 }
 
-// keep remembers e in the memory. The lock is held.
+// keep adds an execution to the list in memory. The lock is held.
 func (x *Executed) keep(e Execution) {
 	if len(x.list.Executions) == maxExecuted {
 		x.list.Dropped++
@@ -91,7 +92,7 @@
 	x.list.Executions = append(x.list.Executions, e)
 }
 
-// ServeHTTP answers GET /Executed.
+// ServeHTTP answers GET /Executed with the list of executions.
 func (x *Executed) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	x.lock.Lock()
 	defer x.lock.Unlock()
--- a/snipestand/executed_test.go
+++ b/snipestand/executed_test.go
@@ -12,9 +12,9 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// TestExecutedOutlivesProcess holds that a restarted stand-in still knows what
-// it executed before: without this the judge could not see a call that ran
-// once before a kill and once after it.
+// TestExecutedOutlivesProcess checks that the record of executions survives a restart of the
+// emulator. Otherwise a check for repeated executions would miss a call that ran once before a kill
+// and once after it.
 func TestExecutedOutlivesProcess(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "record")
 	for range 2 {
--- a/snipestand/generation.go
+++ b/snipestand/generation.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// generation is one answer while it is produced and kept for resuming.
+// generation is one answer, from its start until it can no longer be resumed.
 type generation struct {
 	id, alias, path string
 	chat, usage     bool
@@ -16,12 +16,12 @@
 
 	lock     sync.Mutex // guards the fields below
 	running  bool
-	produced int
+	produced int // tokens produced so far
 	canceled bool
-	changed  chan struct{}
+	changed  chan struct{} // closed and replaced at each change
 }
 
-// produce makes the tokens of one answer in a place of the batch.
+// produce waits for a slot of the batch and produces the tokens of one answer.
 func (e *Engine) produce(ctx context.Context, g *generation) {
 	select {
 	case e.batch <- struct{}{}:
@@ -30,7 +30,7 @@
 		return
 	}
 	defer func() { <-e.batch }()
-	g.run()
+	g.markRunning()
 	t := time.NewTicker(max(e.TokenTime, time.Microsecond))
 	defer t.Stop()
 	for range g.tokens {
@@ -40,30 +40,32 @@
 			return
 		case <-t.C:
 		}
-		if !e.has(g.alias) {
-			// Evicted under a call: the answer goes on as garbage, which the
-			// replay finds.
+		if !e.holds(g.alias) {
+			// The adapter was evicted during the call. The rest of the answer is invalid, which the
+			// replay detects.
 			g.corrupt()
 		}
 		g.advance(false)
 	}
-	time.AfterFunc(keepAnswers, func() {
+	time.AfterFunc(answerRetention, func() {
 		e.lock.Lock()
 		defer e.lock.Unlock()
 		delete(e.answers, g.id)
 	})
 }
 
-// keepAnswers is how long a finished answer can be resumed.
-const keepAnswers = 30 * time.Second
+// answerRetention is how long a finished answer can be resumed.
+const answerRetention = 30 * time.Second
 
-func (e *Engine) has(alias string) bool {
+// holds reports whether an adapter is loaded.
+func (e *Engine) holds(alias string) bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	_, ok := e.loaded[alias]
 	return ok
 }
 
+// corrupt replaces the tokens that are not yet produced.
 func (g *generation) corrupt() {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -72,6 +74,7 @@
 	}
 }
 
+// advance counts one more token, or marks the answer as canceled, and wakes all readers.
 func (g *generation) advance(canceled bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -84,13 +87,15 @@
 	g.changed = make(chan struct{})
 }
 
-// state returns how many tokens there are and what to wait for.
+// state returns the number of tokens produced, whether the answer was canceled, and a channel that
+// is closed at the next change.
 func (g *generation) state() (int, bool, <-chan struct{}) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	return g.produced, g.canceled, g.changed
 }
 
+// chunk returns the n-th chunk of the stream as JSON.
 func (g *generation) chunk(n int) []byte {
 	g.lock.Lock()
 	token := g.tokens[n]
--- a/snipestand/leavingrule.go
+++ b/snipestand/leavingrule.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// LeavingBreaches returns which requests reached a runner later than a bound after one of its answers
-// had told the instance that sent them that it leaves; see LimitBreaches.
+// LeavingBreaches returns a description of each request that reached a runner later than the bound
+// after an answer of the runner first announced to the sending instance that the runner is leaving.
+// The parameters sender and excused are those of LimitBreaches.
 func LeavingBreaches(all []Arrival, bound time.Duration, sender func(id string) string, excused func(instance string, at time.Time) bool) []string {
 	var breaches []string
-	told := make(map[string]time.Time)
+	announced := make(map[string]time.Time)
 	for _, a := range all {
 		from := sender(a.ID)
 		if !a.Leaving {
-			// Another start of the runner.
-			clear(told)
+			// The runner has started again.
+			clear(announced)
 			continue
 		}
 		if excused != nil && excused(from, a.At) {
-			delete(told, from)
+			delete(announced, from)
 			continue
 		}
-		if _, ok := told[from]; !ok {
-			told[from] = a.At
+		if _, ok := announced[from]; !ok {
+			announced[from] = a.At
 		}
-		if late := a.At.Sub(told[from]); late > bound {
-			breaches = append(breaches, fmt.Sprintf("request %s came %s after an answer had told that the upstream leaves", a.ID, late))
+		if late := a.At.Sub(announced[from]); late > bound {
+			breaches = append(breaches, fmt.Sprintf("request %s arrived %s after an answer announced that the upstream is leaving", a.ID, late))
 		}
 	}
 	return breaches
--- a/snipestand/limitrule_test.go
+++ b/snipestand/limitrule_test.go
@@ -8,10 +8,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestLimitBreaches holds that the stand-in counts as its rule is worded: windows slide, those that
-// were not told do not count, and nothing is judged in the first seconds of a limit.
+// TestLimitBreaches checks which requests LimitBreaches counts: the window slides, requests of
+// instances that were not yet notified of the limit do not count, and no breach is reported in the
+// first seconds of a limit.
 func TestLimitBreaches(t *testing.T) {
-	// each returns requests of some instances, one after the other, at a steady pace.
+	// each returns requests of several instances in turn, at a constant interval.
 	each := func(count int, every time.Duration, limit float64, from ...string) []Arrival {
 		var all []Arrival
 		for n := range count {
@@ -21,8 +22,8 @@
 		}
 		return all
 	}
-	free := each(1, 0, 0, "a")
-	free[0].Limited = false
+	unlimited := each(1, 0, 0, "a")
+	unlimited[0].Limited = false
 	tests := map[string]struct {
 		arrivals []Arrival
 		excused  bool
@@ -35,7 +36,7 @@
 		"NotTold":       {each(26, 130*time.Millisecond, 3, strings.Split("abcdefghijklmnopqrstuvwxyz", "")...), false, false},
 		"Excused":       {each(60, 100*time.Millisecond, 3, "a", "b"), true, false},
 		"Zero":          {each(8, 700*time.Millisecond, 0, "a"), false, true},
-		"NamedNoMore":   {append(each(25, 110*time.Millisecond, 3, "a"), free...), false, false},
+		"NamedNoMore":   {append(each(25, 110*time.Millisecond, 3, "a"), unlimited...), false, false},
 		"FractionsFall": {each(30, 480*time.Millisecond, 0.5, "a", "b"), false, true},
 	}
 	for name, tt := range tests {
--- a/snipestand/network.go
+++ b/snipestand/network.go
@@ -11,19 +11,19 @@
 	"github.com/go-faster/errors"
 )
 
-// ErrRefused is returned for a dial where nobody listens.
+// ErrRefused reports a dial to an address without an open listener.
 var ErrRefused = errors.New("connection refused")
 
-// Network is a network in memory, for tests on a paused clock. Its connections
-// can be cut, and can go silent for good while new ones work.
+// Network is an in-memory network for tests that run on a paused clock. Its open connections can be
+// closed, or made silent permanently while new connections work.
 type Network struct {
 	lock      sync.Mutex // guards the fields below
 	listeners map[string]*networkListener
-	links     []*networkConn
+	ends      []*networkConn
 	opened    int
 }
 
-// Listen returns a listener at an address.
+// Listen returns a listener for an address. It replaces an earlier listener of that address.
 func (n *Network) Listen(address netip.AddrPort) net.Listener {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -35,7 +35,7 @@
 	return l
 }
 
-// Dial opens a connection; it has the signature of net.Dialer.DialContext.
+// Dial opens a connection. It has the signature of net.Dialer.DialContext.
 func (n *Network) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	n.lock.Lock()
 	l, ok := n.listeners[address]
@@ -43,11 +43,11 @@
 	if !ok {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: ErrRefused}
 	}
-	left, right := net.Pipe()
+	clientPipe, serverPipe := net.Pipe()
 	silent := &atomic.Bool{}
-	near, far := &networkConn{Conn: left, silent: silent}, &networkConn{Conn: right, silent: silent}
+	client, server := &networkConn{Conn: clientPipe, silent: silent}, &networkConn{Conn: serverPipe, silent: silent}
 	select {
-	case l.accepted <- far:
+	case l.accepted <- server:
 	case <-l.closed:
 		return nil, &net.OpError{Op: "dial", Net: network, Err: ErrRefused}
 	case <-ctx.Done():
@@ -55,39 +55,40 @@
 	}
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	n.links = append(n.links, near, far)
+	n.ends = append(n.ends, client, server)
 	n.opened++
-	return near, nil
+	return client, nil
 }
 
-// Opened returns how many connections were ever opened.
+// Opened returns the number of connections that have been opened so far.
 func (n *Network) Opened() int {
 	n.lock.Lock()
 	defer n.lock.Unlock()
 	return n.opened
 }
 
-// Silence makes the connections that are open now lose all that is sent, also
-// the news that an end was closed.
+// Silence makes the connections that are open now drop everything that is written to them. The
+// closing of one end is no longer visible at the other end either.
 func (n *Network) Silence() {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	for _, c := range n.links {
+	for _, c := range n.ends {
 		c.silent.Store(true)
 	}
 }
 
-// Cut closes all connections.
+// Cut closes all open connections.
 func (n *Network) Cut() {
 	n.lock.Lock()
 	defer n.lock.Unlock()
-	for _, c := range n.links {
+	for _, c := range n.ends {
 		// A pipe's Close does not fail.
 		_ = c.Conn.Close()
 	}
-	n.links = nil
+	n.ends = nil
 }
 
+// networkListener is a listener of a Network.
 type networkListener struct {
 	address  netip.AddrPort
 	accepted chan net.Conn
@@ -124,7 +125,8 @@
 	return c.Conn.Write(p)
 }
 
-// Close ends this end alone when the connection is silent.
+// Close closes both ends. If the connection is silent, it stops this end only, by a deadline in the
+// past.
 func (c *networkConn) Close() error {
 	if c.silent.Load() {
 		return c.SetDeadline(time.Unix(1, 0))
--- a/snipestand/plan_test.go
+++ b/snipestand/plan_test.go
@@ -10,8 +10,8 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// TestPlan holds that a plan depends on its seed alone, ends in time, and undoes
-// what it does.
+// TestPlan checks that a plan is repeatable from its seed, that its steps are in order and within
+// its length, and that it reverts each kill, drain, freeze and cut.
 func TestPlan(t *testing.T) {
 	s := snipestand.PlanShape{
 		Faults: 40, Length: 30 * time.Second, Instances: 3, Engines: 3, Services: 2, Lease: 5 * time.Second,
--- a/snipestand/platform.go
+++ b/snipestand/platform.go
@@ -7,7 +7,7 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// Platform is the platform as one process: table service, weight store and
+// Platform emulates the platform in one process: the table service, the weight store and the
 // instance list.
 type Platform struct {
 	Table     *Table
@@ -29,6 +29,7 @@
 	LateMilliseconds  int64
 }
 
+// value returns the fault with its durations.
 func (f tableFault) value() TableFault {
 	milliseconds := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 	return TableFault{
@@ -39,7 +40,7 @@
 	}
 }
 
-// Handler returns the platform's routes.
+// Handler returns the routes of the platform. POST /Fault sets the faults of the table.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /{$}", p.Table)
--- a/snipestand/restrule.go
+++ b/snipestand/restrule.go
@@ -6,33 +6,35 @@
 )
 
 const (
-	// restTold is how long after a runner has asked an instance for rest its requests count, mostInRest
-	// how many may come until the end of that time.
-	restTold   = 500 * time.Millisecond
-	mostInRest = 2
+	// backoffNoticeTime is the time after a runner has requested a backoff from an instance from
+	// which requests of that instance count. maxInBackoff is how many of these may reach the runner
+	// until the backoff ends.
+	backoffNoticeTime = 500 * time.Millisecond
+	maxInBackoff      = 2
 )
 
-// RestBreaches returns after which answers more requests reached a runner than it may get from the
-// instance that it had asked for rest; see LimitBreaches.
+// RestBreaches returns a description of each answer that requested a backoff and after which the
+// same instance sent the runner more requests than allowed before the backoff ended. The parameters
+// sender and excused are those of LimitBreaches.
 func RestBreaches(all []Arrival, sender func(id string) string, excused func(instance string, at time.Time) bool) []string {
 	var breaches []string
-	for n, asked := range all {
-		from := sender(asked.ID)
-		if asked.Rest == 0 || excused != nil && excused(from, asked.At) {
+	for n, refused := range all {
+		from := sender(refused.ID)
+		if refused.Rest == 0 || excused != nil && excused(from, refused.At) {
 			continue
 		}
-		came := 0
+		arrived := 0
 		for _, a := range all[n+1:] {
-			since := a.At.Sub(asked.At)
-			if since > asked.Rest {
+			since := a.At.Sub(refused.At)
+			if since > refused.Rest {
 				break
 			}
-			if since >= restTold && sender(a.ID) == from && (excused == nil || !excused(from, a.At)) {
-				came++
+			if since >= backoffNoticeTime && sender(a.ID) == from && (excused == nil || !excused(from, a.At)) {
+				arrived++
 			}
 		}
-		if came > mostInRest {
-			breaches = append(breaches, fmt.Sprintf("%d requests of %s in the %s of rest that %s was asked for", came, from, asked.Rest, asked.ID))
+		if arrived > maxInBackoff {
+			breaches = append(breaches, fmt.Sprintf("%d requests of %s in the backoff of %s that the answer to %s requested", arrived, from, refused.Rest, refused.ID))
 		}
 	}
 	return breaches
--- a/snipestand/restrule_test.go
+++ b/snipestand/restrule_test.go
@@ -8,13 +8,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestRestBreaches holds that the stand-in counts as its rule is worded: by instance, from half a
-// second after the answer, until the end of the rest that it asked for.
+// TestRestBreaches checks which requests RestBreaches counts: those of the refused instance, from
+// half a second after the refusal until the end of the backoff that it asked for.
 func TestRestBreaches(t *testing.T) {
-	const rest = 3 * time.Second
-	// at returns requests that an instance sends at some moments after the one that is turned away.
+	const backoff = 3 * time.Second
+	// at returns a refused request of instance a, and requests that an instance sends at the given
+	// times after it, in milliseconds.
 	at := func(from string, ms ...int) []Arrival {
-		all := []Arrival{{ID: "a/", At: time.Unix(100, 0), Rest: rest}}
+		all := []Arrival{{ID: "a/", At: time.Unix(100, 0), Rest: backoff}}
 		for _, n := range ms {
 			all = append(all, Arrival{ID: from + "/", At: time.Unix(100, 0).Add(time.Duration(n) * time.Millisecond)})
 		}
@@ -42,8 +43,8 @@
 	}
 }
 
-// TestLeavingBreaches holds that the stand-in counts as its rule is worded: from the first answer to
-// an instance on, by the start of the runner.
+// TestLeavingBreaches checks from when LeavingBreaches measures the bound: from the first answer to
+// each instance that announces that the runner is leaving, and anew after a restart of the runner.
 func TestLeavingBreaches(t *testing.T) {
 	const bound = 2 * time.Second
 	leaving := func(from string, ms int) Arrival {
--- a/snipestand/rowstore.go
+++ b/snipestand/rowstore.go
@@ -12,37 +12,40 @@
 	"time"
 )
 
-// RowStore is the store of the co-operative platform: rows in tables, changed
-// under conditions, with a feed of changes. It serves the store's HTTP calls;
-// tests and the demonstration write operators' rows through Put.
+// RowStore emulates the store of the co-operative platform: rows in tables, conditional
+// transactions, and a feed of changes. It serves the HTTP calls of the store. Tests and the
+// demonstration write the rows of operators through Put.
 type RowStore struct {
-	lock    sync.Mutex // guards the fields below
-	rows    map[rowName]storedRow
-	version uint64
-	floor   uint64 // changes up to here are no longer told
-	changed chan struct{}
-	mode    StoreMode
+	lock      sync.Mutex // guards the fields below
+	rows      map[rowName]storedRow
+	version   uint64
+	compacted uint64        // the feed no longer serves changes up to this version
+	changed   chan struct{} // closed and replaced at each change
+	mode      StoreMode
 }
 
-// StoreMode is how a store misbehaves.
+// StoreMode is how a store treats calls, and which fault it emulates.
 type StoreMode uint8
 
-// The modes.
+// The modes of a store.
 const (
-	// StoreServes is the usual one.
+	// StoreServes is the normal mode.
 	StoreServes StoreMode = iota
-	// StoreRefuses answers 503 and does nothing.
+	// StoreRefuses answers 503 and does not execute the call.
 	StoreRefuses
-	// StoreSilent takes calls and answers none.
+	// StoreSilent accepts calls and never answers them, nor does it execute them.
 	StoreSilent
-	// StoreLosesAnswers makes writes and closes the connection.
+	// StoreLosesAnswers executes calls and closes the connection without an answer.
 	StoreLosesAnswers
 )
 
+// rowName identifies a row.
 type rowName struct {
 	Table, Part, Key string
 }
 
+// storedRow is a row as it is stored and sent. The store keeps a removed row, marked as Removed, so
+// that feeds report its removal.
 type storedRow struct {
 	Table   string `json:"table"`
 	Part    string `json:"part"`
@@ -52,6 +55,7 @@
 	Removed bool   `json:"removed,omitempty"`
 }
 
+// storedPage is the body of an answer.
 type storedPage struct {
 	Rows    []storedRow `json:"rows"`
 	HasMore bool        `json:"hasMore"`
@@ -64,23 +68,24 @@
 	return &RowStore{rows: make(map[rowName]storedRow), changed: make(chan struct{})}
 }
 
-// SetMode makes the store misbehave, or behave again.
+// SetMode sets how the store treats the calls from now on.
 func (s *RowStore) SetMode(m StoreMode) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.mode = m
 }
 
-// Compact forgets the changes so far: feeds that ask for them are refused.
+// Compact discards the changes so far. A feed that asks for changes after an earlier version is
+// answered 410.
 func (s *RowStore) Compact() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.floor = s.version
+	s.compacted = s.version
 	s.wake()
 }
 
-// Put writes a row without a condition, as operators do. The value is encoded as
-// JSON; a nil one removes the row.
+// Put writes a row without a condition, as operators do. The value is encoded as JSON. A nil value
+// removes the row.
 func (s *RowStore) Put(table, key string, value any) error {
 	var data []byte
 	if value != nil {
@@ -97,7 +102,7 @@
 	return nil
 }
 
-// Rows returns the number of rows of a table.
+// Rows returns the number of rows of a table, without the removed ones.
 func (s *RowStore) Rows(table string) int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -110,20 +115,21 @@
 	return n
 }
 
-// set stores a value, or a mark that the row is removed. The lock is held.
+// set stores the value of a row at the current version; nil marks the row as removed. The lock is
+// held.
 func (s *RowStore) set(n rowName, value []byte) {
 	s.rows[n] = storedRow{
 		Table: n.Table, Part: n.Part, Key: n.Key, Value: value, Version: s.version, Removed: value == nil,
 	}
 }
 
-// wake wakes all feeds. The lock is held.
+// wake wakes all waiting feeds. The lock is held.
 func (s *RowStore) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Handler returns the handler of the store's calls.
+// Handler returns the handler of the store's calls, which applies the mode of the store.
 func (s *RowStore) Handler() http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /api/rows-get", s.get)
@@ -138,11 +144,11 @@
 		case StoreRefuses:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case StoreSilent:
-			// Read, so that the end of the connection is seen.
+			// The server detects the end of the connection only after the body is read.
 			_, _ = io.Copy(io.Discard, r.Body)
 			<-r.Context().Done()
 		case StoreLosesAnswers:
-			m.ServeHTTP(discarded{http.Header{}}, r)
+			m.ServeHTTP(discardWriter{http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		default:
 			m.ServeHTTP(w, r)
@@ -150,18 +156,19 @@
 	})
 }
 
-// discarded is an answer that nobody gets.
-type discarded struct{ header http.Header }
+// discardWriter is a response writer that drops the answer.
+type discardWriter struct{ header http.Header }
 
 // Header implements http.ResponseWriter.
-func (d discarded) Header() http.Header { return d.header }
+func (d discardWriter) Header() http.Header { return d.header }
 
 // Write implements http.ResponseWriter.
-func (d discarded) Write(p []byte) (int, error) { return len(p), nil }
+func (d discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
 // WriteHeader implements http.ResponseWriter.
-func (d discarded) WriteHeader(int) {}
+func (d discardWriter) WriteHeader(int) {}
 
+// page returns an answer with the given rows. The lock is held.
 func (s *RowStore) page(rows []storedRow) storedPage {
 	if rows == nil {
 		rows = []storedRow{}
@@ -169,6 +176,7 @@
 	return storedPage{Rows: rows, Version: s.version, Now: time.Now().UnixMilli()}
 }
 
+// get answers with the rows of one part of a table whose keys are in a range, in the order of keys.
 func (s *RowStore) get(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	s.lock.Lock()
@@ -184,13 +192,15 @@
 	s.answer(w, http.StatusOK, s.page(rows))
 }
 
-// answer writes JSON. A caller that has gone away gets nothing.
+// answer writes a JSON answer. It ignores an error, which means that the caller has disconnected.
 func (s *RowStore) answer(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
+// feed answers with the changes of a table after a version. If there are none, it waits for the
+// next change, at most for the time that the request states.
 func (s *RowStore) feed(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, err := strconv.ParseUint(q.Get("after"), 10, 64)
@@ -203,7 +213,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	limit := time.After(time.Duration(wait) * time.Millisecond)
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		page, status, changed := s.since(q.Get("table"), after)
 		if status != http.StatusOK || len(page.Rows) > 0 {
@@ -212,7 +222,7 @@
 		}
 		select {
 		case <-changed:
-		case <-limit:
+		case <-timeout:
 			s.answer(w, http.StatusOK, page)
 			return
 		case <-r.Context().Done():
@@ -221,12 +231,12 @@
 	}
 }
 
-// since returns what has changed after a version, and a channel that is closed at
-// the next change.
+// since returns the rows of a table that changed after a version, the status of the answer, and a
+// channel that is closed at the next change.
 func (s *RowStore) since(table string, after uint64) (storedPage, int, <-chan struct{}) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if after < s.floor {
+	if after < s.compacted {
 		return s.page(nil), http.StatusGone, s.changed
 	}
 	var rows []storedRow
@@ -239,12 +249,15 @@
 	return s.page(rows), http.StatusOK, s.changed
 }
 
+// storedTransaction is the body of a transaction.
 type storedTransaction struct {
 	Conditions []storedRow `json:"precondition"`
 	Writes     []storedRow `json:"writes"`
 	Removes    []storedRow `json:"remove"`
 }
 
+// transact makes all writes and removals if every condition holds. Otherwise it answers 412 with
+// the current rows of the conditions. Version 0 in a condition means that the row must not exist.
 func (s *RowStore) transact(w http.ResponseWriter, r *http.Request) {
 	var t storedTransaction
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
@@ -278,8 +291,8 @@
 	s.answer(w, http.StatusOK, s.page(nil))
 }
 
-// put writes a row for operators of the demonstration: the query names it, the
-// body is its value.
+// put writes a row on behalf of the operators of the demonstration. The query names the table and
+// the key, the body is the value.
 func (s *RowStore) put(w http.ResponseWriter, r *http.Request) {
 	var value json.RawMessage
 	if err := json.NewDecoder(r.Body).Decode(&value); err != nil {
--- a/snipestand/runner.go
+++ b/snipestand/runner.go
@@ -12,152 +12,155 @@
 	"time"
 )
 
-// Runner is an upstream of the co-operative platform: a model engine, or a plain
-// service where Model is empty. It registers itself in the platform's store.
+// Runner emulates an upstream of the co-operative platform: a model engine, or a plain service if
+// Model is empty. It registers itself in the platform's store.
 type Runner struct {
-	// ID names this start, Service what it serves; Address is where others reach it.
+	// ID identifies this start of the runner, Service names the service that it serves, and Address
+	// is the address at which it is reached.
 	ID      string
 	Service string
 	Address string
 	Zone    string
-	// Model is the base model that it holds, Slots how many adapters fit.
+	// Model is the base model that the runner holds, Slots the number of adapters that it can hold.
 	Model string
 	Slots int
-	// Load is the time of an adapter's load, Event the time between events,
-	// Events how many an answer has.
+	// Load is the time that a load of an adapter or of the base model takes. Event is the time
+	// between two events of an answer, Events the number of events of an answer.
 	Load   time.Duration
 	Event  time.Duration
 	Events int
-	// Faults are the faults to come; several runners may share them. Nil for none.
+	// Faults holds the faults of the next requests and orders; several runners may share it. Nil
+	// for none.
 	Faults *RunnerFaults
-	// Late is how much later than it was sent an order is carried out that comes late.
+	// Late is the delay of the execution of an order under RunnerLateOrders.
 	Late time.Duration
 
-	lock     sync.Mutex // guards the fields below
-	held     map[string]int64
-	coming   map[string]int64
-	newest   map[string]int64
-	orders   uint64
-	leaving  bool
-	nonsense bool
-	start    int64
-	// empty runners hold no base model, bare those that also have none on its way.
-	empty, bare bool
-	ran         map[string]int
-	// tokens are those of the requests that ran by workspace, workspaces the requests; keys
-	// counts those that brought a caller's key.
-	tokens     map[string]int
-	workspaces map[string]int
-	keys       int
-	taken      []TakenOrder
-	overfull   int
-	arrivals   []Arrival
-	limit      float64
-	limited    bool
-	// saysLeaving tells that its answers say that it leaves.
-	saysLeaving bool
-	// rest is for how long it wants to be left alone.
-	rest time.Duration
-}
-
-// Ran returns how often a request was run, by its identifier.
+	lock         sync.Mutex       // guards the fields below
+	held         map[string]int64 // versions of the adapters that it holds
+	loading      map[string]int64 // versions of the adapters that it is loading
+	newest       map[string]int64 // newest versions of adapters
+	orders       uint64           // accepted orders of this start
+	draining     bool
+	invalidEntry bool
+	startedAt    int64 // in milliseconds since 1970
+	// modelAbsent reports that the runner does not hold its base model, modelNotOrdered that it is
+	// not loading it either.
+	modelAbsent, modelNotOrdered bool
+	runCounts                    map[string]int // by identifier of the request
+	// tokens counts the tokens of the requests that ran, workspaces these requests, both by
+	// workspace. keyCount counts the requests that carried a caller's key.
+	tokens      map[string]int
+	workspaces  map[string]int
+	keyCount    int
+	accepted    []TakenOrder
+	overcommits int // orders to load that exceeded Slots
+	arrivals    []Arrival
+	limit       float64
+	limited     bool
+	// announcesLeaving reports that answers announce that the runner is leaving.
+	announcesLeaving bool
+	// backoff is the pause that refusals ask for; zero if the runner does not refuse.
+	backoff time.Duration
+}
+
+// Ran returns the number of times that each request ran, by the identifier of the request.
 func (r *Runner) Ran() map[string]int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	all := make(map[string]int, len(r.ran))
-	for id, n := range r.ran {
+	all := make(map[string]int, len(r.runCounts))
+	for id, n := range r.runCounts {
 		all[id] = n
 	}
 	return all
 }
 
-// Workspaces returns how many requests ran by the workspace that they were sent for, and how many
-// brought their caller's key along.
+// Workspaces returns the number of requests that ran by workspace, and the number of those that
+// carried the key of their caller.
 func (r *Runner) Workspaces() (runs map[string]int, keys int) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return maps.Clone(r.workspaces), r.keys
+	return maps.Clone(r.workspaces), r.keyCount
 }
 
-// Tokens returns the tokens of the requests that ran, by workspace.
+// Tokens returns the number of tokens of the requests that ran, by workspace.
 func (r *Runner) Tokens() map[string]int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return maps.Clone(r.tokens)
 }
 
-// count notes that a request runs.
-func (r *Runner) count(q *http.Request) {
+// recordRun records that a request runs.
+func (r *Runner) recordRun(q *http.Request) {
 	tokens := 0
 	for _, n := range strings.Split(q.Header.Get("X-Snipepitch-Token-Usage"), ",") {
 		size, err := strconv.Atoi(n)
 		if err != nil {
-			continue // the caller did not state its size
+			continue // the caller did not state the size
 		}
 		tokens += size
 	}
 	workspace := q.Header.Get("X-Snipepitch-Tenant")
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.ran[q.Header.Get("X-Snipepitch-Attempt-Id")]++
+	r.runCounts[q.Header.Get("X-Snipepitch-Attempt-Id")]++
 	if r.tokens == nil {
 		r.tokens, r.workspaces = make(map[string]int), make(map[string]int)
 	}
 	r.tokens[workspace] += tokens
 	r.workspaces[workspace]++
 	if len(q.Header.Values("Authorization")) > 0 {
-		r.keys++
+		r.keyCount++
 	}
 }
 
-// Held returns the adapters that it holds.
+// Held returns the adapters that the runner holds, each as NAME@VERSION.
 func (r *Runner) Held() []string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return r.names()
+	return r.adapterNames()
 }
 
-// TakenOrder is an order that a runner has taken.
+// TakenOrder is an order that a runner has accepted.
 type TakenOrder struct {
 	Holder string
 	Fence  uint64
 	At     time.Time
 }
 
-// Taken returns the orders that were taken; overfull is how often more was ordered
-// than fits.
-func (r *Runner) Taken() (orders []TakenOrder, overfull int) {
+// Taken returns the orders that the runner has accepted. Overcommits is the number of orders to
+// load that exceeded the slots.
+func (r *Runner) Taken() (orders []TakenOrder, overcommits int) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	return slices.Clone(r.taken), r.overfull
+	return slices.Clone(r.accepted), r.overcommits
 }
 
-// Leave makes the runner say that it is leaving.
+// Leave makes the runner's registry entry state that the runner is draining.
 func (r *Runner) Leave() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.leaving = true
+	r.draining = true
 }
 
-// StartAgain starts the runner again under its identifier: it holds nothing of before and
-// counts its orders anew.
+// StartAgain emulates a restart of the runner under the same identifier: it holds no adapters and
+// no base model, counts its orders from zero, and announces neither a limit nor that it is leaving.
 func (r *Runner) StartAgain() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.start = max(time.Now().UnixMilli(), r.start+1)
-	r.orders, r.empty, r.bare, r.limited, r.saysLeaving = 0, true, true, false, false
+	r.startedAt = max(time.Now().UnixMilli(), r.startedAt+1)
+	r.orders, r.modelAbsent, r.modelNotOrdered, r.limited, r.announcesLeaving = 0, true, true, false, false
 	clear(r.held)
-	clear(r.coming)
+	clear(r.loading)
 }
 
-// WriteNonsense makes the runner's entry one that cannot be understood, or proper again.
+// WriteNonsense makes the runner's registry entry invalid, or valid again.
 func (r *Runner) WriteNonsense(on bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.nonsense = on
+	r.invalidEntry = on
 }
 
-// Announce makes a version of an adapter the newest.
+// Announce sets the newest version of an adapter, which the runner loads if an order names none.
 func (r *Runner) Announce(adapter string, version int64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -167,26 +170,26 @@
 	r.newest[adapter] = version
 }
 
-// Beat registers the runner at a store once.
+// Beat sends one heartbeat: it writes the runner's registry entry to a store.
 func (r *Runner) Beat(s *RowStore) error {
 	r.lock.Lock()
 	state := "ready"
-	if r.leaving {
+	if r.draining {
 		state = "draining"
 	}
 	entry := map[string]any{
 		"service": r.Service, "addr": r.Address, "zone": r.Zone, "slots": 8, "state": state, "models": r.models(),
-		"version": "v1", "seq": r.orders, "coldLeftMs": 0, "born": r.start,
+		"version": "v1", "seq": r.orders, "coldLeftMs": 0, "born": r.startedAt,
 	}
-	if r.nonsense {
+	if r.invalidEntry {
 		entry["slots"] = "many"
 	}
 	r.lock.Unlock()
 	return s.Put("servers", r.ID, entry)
 }
 
-// names returns the adapters with their versions. The lock is held.
-func (r *Runner) names() []string {
+// adapterNames returns the adapters that the runner holds, each as NAME@VERSION. The lock is held.
+func (r *Runner) adapterNames() []string {
 	all := []string{}
 	for a, v := range r.held {
 		all = append(all, fmt.Sprintf("%s@%d", a, v))
@@ -195,28 +198,30 @@
 	return all
 }
 
-// models is the list of models. The lock is held.
+// models returns the base model with its adapters in the form of registry entries and reports. The
+// lock is held.
 func (r *Runner) models() []map[string]any {
-	if r.Model == "" || r.empty {
+	if r.Model == "" || r.modelAbsent {
 		return []map[string]any{}
 	}
-	return []map[string]any{{"name": r.Model, "version": 1, "adapters": r.names()}}
+	return []map[string]any{{"name": r.Model, "version": 1, "adapters": r.adapterNames()}}
 }
 
-// Handler returns the handler of the runner's calls.
+// Handler returns the handler of the runner's calls. It answers 421 to a request for another start
+// of the runner.
 func (r *Runner) Handler() http.Handler {
 	r.lock.Lock()
-	r.held, r.coming, r.ran = map[string]int64{}, map[string]int64{}, map[string]int{}
-	r.start = time.Now().UnixMilli()
+	r.held, r.loading, r.runCounts = map[string]int64{}, map[string]int64{}, map[string]int{}
+	r.startedAt = time.Now().UnixMilli()
 	r.lock.Unlock()
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if want := q.Header.Get("X-Snipepitch-Expect-Instance"); want != "" && want != r.ID {
 			w.Header().Set("X-Snipepitch-Instance-Id", r.ID)
-			r.echo(w, q)
+			r.echoAttemptID(w, q)
 			w.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
-		// Not by a mux, which would clean paths.
+		// An http.ServeMux would clean paths, and services must receive them unchanged.
 		switch q.URL.Path {
 		case "/api/order":
 			r.order(w, q)
@@ -228,16 +233,19 @@
 	})
 }
 
-func (r *Runner) echo(w http.ResponseWriter, q *http.Request) {
+// echoAttemptID copies the attempt's identifier to the answer.
+func (r *Runner) echoAttemptID(w http.ResponseWriter, q *http.Request) {
 	w.Header().Set("X-Snipepitch-Attempt-Id", q.Header.Get("X-Snipepitch-Attempt-Id"))
 }
 
+// report answers with the adapters that the runner holds and loads, and with the number of its
+// orders.
 func (r *Runner) report(w http.ResponseWriter, _ *http.Request) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	coming := []string{}
-	for a, v := range r.coming {
+	for a, v := range r.loading {
 		coming = append(coming, fmt.Sprintf("%s/%s@%d", r.Model, a, v))
 	}
-	_ = json.NewEncoder(w).Encode(map[string]any{"models": r.models(), "seq": r.orders, "coming": coming, "born": r.start})
+	_ = json.NewEncoder(w).Encode(map[string]any{"models": r.models(), "seq": r.orders, "coming": coming, "born": r.startedAt})
 }
--- a/snipestand/runneranswer.go
+++ b/snipestand/runneranswer.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// serve runs a request, as the fault of the moment has it.
+// serve runs a request, subject to the fault in force.
 func (r *Runner) serve(w http.ResponseWriter, q *http.Request) {
 	body, err := io.ReadAll(q.Body)
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	r.echo(w, q)
+	r.echoAttemptID(w, q)
 	if r.signal(w.Header(), q) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -32,24 +32,25 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	r.count(q)
+	r.recordRun(q)
 	r.answer(w, q, body, f)
 }
 
-// holds reports whether the runner holds the adapter that a request names, in the
-// version that it expects.
+// holds reports whether the runner holds the adapter or base model that a request names, the
+// adapter in the version that the request expects.
 func (r *Runner) holds(q *http.Request) bool {
 	model, adapter, named := strings.Cut(q.Header.Get("X-Snipepitch-Model"), "/")
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if !named {
-		return model == "" || !r.empty
+		return model == "" || !r.modelAbsent
 	}
 	version, held := r.held[adapter]
 	want := q.Header.Get("X-Snipepitch-Expect-Version")
 	return held && (want == "" || want == strconv.FormatInt(version, 10))
 }
 
+// answer answers a request that has run.
 func (r *Runner) answer(w http.ResponseWriter, q *http.Request, body []byte, f RunnerFault) {
 	h := w.Header()
 	h.Set("X-Snipepitch-Server-Seal", r.ID+".1")
@@ -74,13 +75,13 @@
 		_, _ = io.WriteString(w, "torn")
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = fmt.Fprintf(w, "%s %s %s", q.Method, q.RequestURI, body) //nolint:gosec // a stand-in echoes what it got
+	_, _ = fmt.Fprintf(w, "%s %s %s", q.Method, q.RequestURI, body) //nolint:gosec // an emulator echoes the request
 }
 
-// stream writes events, from the one after the last that the request names.
+// stream writes the events of an answer, starting after the last event that the request names.
 func (r *Runner) stream(ctx context.Context, w http.ResponseWriter, q *http.Request, f RunnerFault) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	begin, _ := strconv.Atoi(q.Header.Get("Last-Event-Id")) // none: from the first
+	begin, _ := strconv.Atoi(q.Header.Get("Last-Event-Id")) // 0, the start of the answer, if there is none
 	for n := begin + 1; n <= r.Events; n++ {
 		if f == RunnerTears && n == begin+2 {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", n)
--- a/snipestand/runnerfault.go
+++ b/snipestand/runnerfault.go
@@ -2,46 +2,48 @@
 
 import "sync"
 
-// RunnerFault is how a runner fails requests.
+// RunnerFault is how a runner fails requests or orders.
 type RunnerFault uint8
 
-// The faults.
+// The faults of a runner. Those before RunnerLosesOrders affect requests, the others orders.
 const (
-	// RunnerWorks is the usual state.
+	// RunnerWorks means no fault.
 	RunnerWorks RunnerFault = iota
-	// RunnerErrors answers 500, with its receipt.
+	// RunnerErrors runs the request and answers 500 with the runner's signature.
 	RunnerErrors
-	// RunnerSheds refuses without running.
+	// RunnerSheds refuses the request without running it, and states so.
 	RunnerSheds
-	// RunnerResets runs and closes the connection without an answer.
+	// RunnerResets runs the request and closes the connection without an answer.
 	RunnerResets
-	// RunnerTears breaks the answer off in the middle.
+	// RunnerTears closes the connection in the middle of the answer.
 	RunnerTears
-	// RunnerForeign answers as to another request.
+	// RunnerForeign answers with the identifier of another request.
 	RunnerForeign
-	// RunnerUnsealed answers without a receipt.
+	// RunnerUnsealed answers without the runner's signature.
 	RunnerUnsealed
-	// RunnerLosesOrders carries orders out and does not answer them.
+	// RunnerLosesOrders executes orders and closes the connection without an answer.
 	RunnerLosesOrders
-	// RunnerLateOrders does not answer orders and carries them out late.
+	// RunnerLateOrders closes the connection without an answer and executes the order after the
+	// delay Runner.Late.
 	RunnerLateOrders
 )
 
-// RunnerFaults is a number of faults to come.
+// RunnerFaults holds a fault and the number of requests or orders that it still affects. It is safe
+// for concurrent use.
 type RunnerFaults struct {
 	lock  sync.Mutex // guards the fields below
 	fault RunnerFault
 	left  int
 }
 
-// Set makes the next n requests, or orders, fail.
+// Set makes the next n requests, or orders if the fault affects orders, fail.
 func (f *RunnerFaults) Set(fault RunnerFault, n int) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	f.fault, f.left = fault, n
 }
 
-// next returns the fault of a request or an order.
+// next returns the fault of the next request or order, and counts it.
 func (f *RunnerFaults) next(order bool) RunnerFault {
 	if f == nil {
 		return RunnerWorks
--- a/snipestand/runnerorder.go
+++ b/snipestand/runnerorder.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// runnerOrder is the body of an order.
 type runnerOrder struct {
 	Action  string  `json:"op"`
 	Model   string  `json:"model"`
@@ -16,6 +17,7 @@
 	Fence   uint64  `json:"fence"`
 }
 
+// order executes an order, subject to the fault in force.
 func (r *Runner) order(w http.ResponseWriter, q *http.Request) {
 	var o runnerOrder
 	if err := json.NewDecoder(q.Body).Decode(&o); err != nil || o.Holder == "" || o.Fence == 0 {
@@ -24,18 +26,19 @@
 	}
 	f := r.Faults.next(true)
 	if f == RunnerLateOrders {
-		time.AfterFunc(r.Late, func() { r.carryOut(o) })
+		time.AfterFunc(r.Late, func() { r.execute(o) })
 		panic(http.ErrAbortHandler)
 	}
-	status := r.carryOut(o)
+	status := r.execute(o)
 	if f == RunnerLosesOrders {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(status)
 }
 
-// carryOut carries an order out and returns its status.
-func (r *Runner) carryOut(o runnerOrder) int {
+// execute executes an order and returns the status of the answer. An order whose expected order
+// count differs from the runner's is refused with 409.
+func (r *Runner) execute(o runnerOrder) int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if o.Expect != nil && *o.Expect != r.orders {
@@ -50,7 +53,7 @@
 			return http.StatusOK
 		}
 		delete(r.held, o.Adapter)
-		r.take(o)
+		r.accept(o)
 		return http.StatusOK
 	}
 	target := o.Version
@@ -60,53 +63,53 @@
 	if held && version == target {
 		return http.StatusOK
 	}
-	if r.coming[o.Adapter] == target {
+	if r.loading[o.Adapter] == target {
 		return http.StatusAccepted
 	}
-	if len(r.held)+len(r.coming) >= r.Slots {
-		r.overfull++
+	if len(r.held)+len(r.loading) >= r.Slots {
+		r.overcommits++
 	}
-	r.take(o)
-	r.coming[o.Adapter] = target
-	start := r.start
-	time.AfterFunc(r.Load, func() { r.arrive(o.Adapter, target, start) })
+	r.accept(o)
+	r.loading[o.Adapter] = target
+	startedAt := r.startedAt
+	time.AfterFunc(r.Load, func() { r.finishLoad(o.Adapter, target, startedAt) })
 	return http.StatusAccepted
 }
 
-// loadModel carries out an order for the base model. The lock is held.
+// loadModel executes an order for the base model. The lock is held.
 func (r *Runner) loadModel(o runnerOrder) int {
 	switch {
 	case o.Action != "model_load" || o.Model != r.Model:
 		return http.StatusBadRequest
-	case !r.empty:
+	case !r.modelAbsent:
 		return http.StatusOK
-	case !r.bare:
+	case !r.modelNotOrdered:
 		return http.StatusAccepted
 	}
-	r.take(o)
-	r.bare = false
-	start := r.start
+	r.accept(o)
+	r.modelNotOrdered = false
+	startedAt := r.startedAt
 	time.AfterFunc(r.Load, func() {
 		r.lock.Lock()
 		defer r.lock.Unlock()
-		r.empty = r.empty && r.start != start
+		r.modelAbsent = r.modelAbsent && r.startedAt != startedAt
 	})
 	return http.StatusAccepted
 }
 
-// take notes an order. The lock is held.
-func (r *Runner) take(o runnerOrder) {
+// accept counts and records an order. The lock is held.
+func (r *Runner) accept(o runnerOrder) {
 	r.orders++
-	r.taken = append(r.taken, TakenOrder{Holder: o.Holder, Fence: o.Fence, At: time.Now()})
+	r.accepted = append(r.accepted, TakenOrder{Holder: o.Holder, Fence: o.Fence, At: time.Now()})
 }
 
-// arrive ends a load of one start of the runner.
-func (r *Runner) arrive(adapter string, version, start int64) {
+// finishLoad ends the load of an adapter, unless the runner has started again since the load began.
+func (r *Runner) finishLoad(adapter string, version, startedAt int64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	if r.start != start {
+	if r.startedAt != startedAt {
 		return
 	}
-	delete(r.coming, adapter)
+	delete(r.loading, adapter)
 	r.held[adapter] = version
 }
--- a/snipestand/runnersignal.go
+++ b/snipestand/runnersignal.go
@@ -7,72 +7,73 @@
 	"time"
 )
 
-// Arrival is a request that has reached a runner, and what its answer says of the runner.
+// Arrival is a request that has reached a runner, with the signals in its answer.
 type Arrival struct {
 	ID string
 	At time.Time
-	// Limit is how many requests a second the runner takes, where it is Limited.
+	// Limit is the number of requests per second that the runner accepts; valid if Limited.
 	Limit   float64
 	Limited bool
-	// Leaving tells that the runner leaves.
+	// Leaving reports that the answer announces that the runner is leaving.
 	Leaving bool
-	// Rest is for how long the runner, which does not run the request, wants to be left alone.
+	// Rest is the backoff that the answer, a refusal, asks for; zero if the runner does not refuse.
 	Rest time.Duration
 }
 
-// Arrivals returns the requests that have reached the runner, in the order in which they came.
+// Arrivals returns the requests that have reached the runner, in the order of their arrival.
 func (r *Runner) Arrivals() []Arrival {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return slices.Clone(r.arrivals)
 }
 
-// NameLimit makes the runner name in its answers how many requests a second it takes from all
-// instances together.
+// NameLimit makes the runner's answers announce the number of requests per second that the runner
+// accepts from all instances together.
 func (r *Runner) NameLimit(perSecond float64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.limit, r.limited = perSecond, true
 }
 
-// NameNoLimit ends what NameLimit began.
+// NameNoLimit makes the runner's answers announce no limit any more.
 func (r *Runner) NameNoLimit() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.limited = false
 }
 
-// SayLeaving makes the runner say in its answers that it leaves, and not in the registry.
+// SayLeaving makes the runner's answers announce that the runner is leaving. Its registry entry
+// does not change.
 func (r *Runner) SayLeaving() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.saysLeaving = true
+	r.announcesLeaving = true
 }
 
-// AskRest makes the runner turn all requests away and ask for rest; zero ends it.
-func (r *Runner) AskRest(rest time.Duration) {
+// AskRest makes the runner refuse all requests and ask for a backoff; zero ends the refusals.
+func (r *Runner) AskRest(backoff time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.rest = rest
+	r.backoff = backoff
 }
 
-// signal notes a request and puts what the runner says of itself on its answer. It reports whether
-// the runner turns the request away.
+// signal records a request and adds the runner's signals to the header of the answer. It reports
+// whether the runner refuses the request.
 func (r *Runner) signal(h http.Header, q *http.Request) (refused bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.arrivals = append(r.arrivals, Arrival{
-		ID: q.Header.Get("X-Snipepitch-Attempt-Id"), At: time.Now(), Limit: r.limit, Limited: r.limited, Leaving: r.saysLeaving, Rest: r.rest,
+		ID: q.Header.Get("X-Snipepitch-Attempt-Id"), At: time.Now(), Limit: r.limit, Limited: r.limited, Leaving: r.announcesLeaving, Rest: r.backoff,
 	})
-	if r.saysLeaving {
+	if r.announcesLeaving {
 		h.Set("Server-Leaving", "1")
 	}
 	if r.limited {
 		h.Set("Server-Limit", strconv.FormatFloat(r.limit, 'f', -1, 64))
 	}
-	if r.rest > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(r.rest.Seconds(), 'f', -1, 64))
+	if r.backoff > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(r.backoff.Seconds(), 'f', -1, 64))
 		h.Set("X-Snipepitch-Not-Executed", "1")
 	}
-	return r.rest > 0
+	return r.backoff > 0
 }
--- a/snipestand/service.go
+++ b/snipestand/service.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Service is a plain service that records which request keys it has executed.
+// Service emulates a plain service. It counts the executions of each request key.
 type Service struct {
-	// Name is put into answers.
+	// Name is the name that answers carry.
 	Name string
-	// Delay is the time an answer takes.
+	// Delay is the time that an answer takes.
 	Delay time.Duration
-	// Executed records each execution.
+	// Executed records each request that the service has begun to execute.
 	Executed Executed
 
-	lock sync.Mutex // guards runs
-	runs map[string]int
+	lock sync.Mutex     // guards runs
+	runs map[string]int // executions by request key
 }
 
 // serviceAnswer is the body of an answer.
@@ -28,8 +28,8 @@
 	Body     string
 }
 
-// Handler returns the service's routes. GET /Runs returns how often each
-// request key was executed.
+// Handler returns the routes of the service. GET /Runs answers with the number of executions of
+// each request key.
 func (s *Service) Handler() http.Handler {
 	s.runs = map[string]int{}
 	mux := http.NewServeMux()
@@ -43,6 +43,7 @@
 	return mux
 }
 
+// serve executes a request.
 func (s *Service) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err != nil {
--- a/snipestand/snipestand.go
+++ b/snipestand/snipestand.go
@@ -1,9 +1,10 @@
-// Package snipestand holds small stand-ins for the systems outside: the
-// platform (table service, weight store), model engines and plain services.
+// Package snipestand provides small emulators (stand-ins) of the external systems: the platform
+// (table service, weight store, instance list), model engines, plain services, and the store and
+// the upstreams of the co-operative platform.
 //
-// They exist for tests, the demonstration and benchmarks. Each does only as
-// much as a promise or a measurement needs. Faults are switched over HTTP, at
-// POST /Fault, with the JSON form of the stand-in's Fault type.
+// Tests, the demonstration and benchmarks use them. Each emulator implements only what a checked
+// guarantee or a measurement needs. The engine and the platform accept faults over HTTP: POST
+// /Fault with the JSON form of the fault type replaces the faults in force.
 package snipestand
 
 import (
@@ -12,9 +13,10 @@
 	"net/http"
 )
 
-// maxBody bounds what a stand-in reads of one request.
+// maxBody is the largest request body that an emulator reads, in bytes.
 const maxBody = 16 << 20
 
+// readJSON decodes the request body into v. If that fails, it answers 400 and reports false.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	if err == nil {
@@ -27,8 +29,9 @@
 	return true
 }
 
+// writeJSON answers with v as JSON.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	// The reader may be gone; a stand-in has nobody to tell.
+	// An error means that the client has disconnected, which an emulator ignores.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/snipestand/table.go
+++ b/snipestand/table.go
@@ -12,69 +12,69 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// TableFault are the faults of the table service.
+// TableFault holds the faults of the table service.
 type TableFault struct {
 	// Down refuses every request.
 	Down bool
-	// DownPartition refuses requests to partitions whose names start so.
+	// DownPartition refuses requests to partitions whose names have this prefix.
 	DownPartition string
-	// Flap refuses requests in every second span of this length.
+	// Flap refuses requests during every other interval of this length.
 	Flap time.Duration
-	// RefuseEvery refuses every so many requests, as a throttled table does.
+	// RefuseEvery refuses every n-th request, as a throttled table does; 0 refuses none.
 	RefuseEvery int
-	// Delay slows every request.
+	// Delay is added to every request.
 	Delay time.Duration
-	// Stale makes reads show what was there so long ago.
+	// Stale makes reads return the rows as they were this long ago.
 	Stale time.Duration
-	// LoseReplies is how many of the next writes take effect without a reply.
+	// LoseReplies is the number of writes, from the next one on, that take effect without a reply.
 	LoseReplies int
-	// LoseWrites is how many of the next writes have no effect and no reply.
+	// LoseWrites is the number of writes, from the next one on, that have no effect and no reply.
 	LoseWrites int
-	// LateWrites is how many of the next writes take effect after Late,
-	// without a reply.
+	// LateWrites is the number of writes, from the next one on, that take effect after the delay
+	// Late, without a reply.
 	LateWrites int
 	Late       time.Duration
 }
 
-// Counts are numbers of requests and the units they take: a read unit is 4 KiB,
-// a write unit 1 KiB, and a write in a transaction takes two.
+// Counts holds the numbers of requests and the capacity units that they consume. A read unit is 4
+// KiB and a write unit 1 KiB. Writes, which are all transactions, consume twice the units.
 type Counts struct {
 	Reads, Writes         int
 	ReadUnits, WriteUnits int
 }
 
-// past is a row as it was until a time.
-type past struct {
+// pastRow is an earlier version of a row, which was current until a given time.
+type pastRow struct {
 	until time.Time
 	row   snipeplatform.Row
 }
 
-// Table is the table service in memory, safe for concurrent use.
+// Table emulates the table service in memory. It is safe for concurrent use.
 type Table struct {
-	lock    sync.Mutex // guards the fields below
-	rows    map[snipeplatform.Key]snipeplatform.Row
-	pasts   map[snipeplatform.Key][]past
-	done    map[string]bool
-	fault   TableFault
-	counts  Counts
-	refused int
-	began   time.Time
+	lock      sync.Mutex // guards the fields below
+	rows      map[snipeplatform.Key]snipeplatform.Row
+	history   map[snipeplatform.Key][]pastRow
+	applied   map[string]bool // operations that took effect
+	fault     TableFault
+	counts    Counts
+	refusable int // requests so far while RefuseEvery is set
+	began     time.Time
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{
-		rows: map[snipeplatform.Key]snipeplatform.Row{}, pasts: map[snipeplatform.Key][]past{},
-		done: map[string]bool{}, began: time.Now(),
+		rows: map[snipeplatform.Key]snipeplatform.Row{}, history: map[snipeplatform.Key][]pastRow{},
+		applied: map[string]bool{}, began: time.Now(),
 	}
 }
 
-// Client returns the table as the project's code sees it.
+// Client returns the table in the form that the project's code uses.
 func (t *Table) Client() snipeplatform.Table {
 	return snipeplatform.Table{Get: t.Get, List: t.List, Write: t.Write}
 }
 
-// SetFault switches faults.
+// SetFault replaces the faults in force.
 func (t *Table) SetFault(f TableFault) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -87,7 +87,7 @@
 	return c.Reads, c.Writes
 }
 
-// Units returns the counts so far.
+// Units returns the counts of requests and capacity units so far.
 func (t *Table) Units() Counts {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -97,14 +97,16 @@
 const (
 	readUnit  = 4 << 10
 	writeUnit = 1 << 10
-	// rowOverhead stands for a row's key, version and operation.
+	// rowOverhead approximates the size of a row's key, version and operation in bytes.
 	rowOverhead = 100
 )
 
+// units returns the capacity units that a number of bytes consumes, at least one.
 func units(bytes, unit int) int { return max(1, (bytes+unit-1)/unit) }
 
-// enter applies the faults that hold for every request.
-func (t *Table) enter(ctx context.Context, partition string) error {
+// applyFaults applies the faults that affect every request: it waits for Delay, and returns
+// ErrUnavailable for a request that is refused.
+func (t *Table) applyFaults(ctx context.Context, partition string) error {
 	t.lock.Lock()
 	f := t.fault
 	t.lock.Unlock()
@@ -123,6 +125,7 @@
 	return nil
 }
 
+// refuses reports whether the faults make the table refuse a request to a partition.
 func (t *Table) refuses(f TableFault, partition string) bool {
 	if f.Down || f.DownPartition != "" && strings.HasPrefix(partition, f.DownPartition) {
 		return true
@@ -135,14 +138,15 @@
 	}
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	t.refused++
-	return t.refused%f.RefuseEvery == 0
+	t.refusable++
+	return t.refusable%f.RefuseEvery == 0
 }
 
-// seen returns the row as a read sees it now. The lock is held.
-func (t *Table) seen(key snipeplatform.Key) (snipeplatform.Row, bool) {
+// visible returns the row that a read returns now, which is an earlier version while Stale is set.
+// The lock is held.
+func (t *Table) visible(key snipeplatform.Key) (snipeplatform.Row, bool) {
 	at := time.Now().Add(-t.fault.Stale)
-	for _, p := range t.pasts[key] {
+	for _, p := range t.history[key] {
 		if t.fault.Stale > 0 && at.Before(p.until) {
 			return p.row, p.row.Version > 0
 		}
@@ -153,12 +157,12 @@
 
 // Get implements snipeplatform.Table.
 func (t *Table) Get(ctx context.Context, key snipeplatform.Key) (snipeplatform.Row, error) {
-	if err := t.enter(ctx, key.Partition); err != nil {
+	if err := t.applyFaults(ctx, key.Partition); err != nil {
 		return snipeplatform.Row{}, err
 	}
 	t.lock.Lock()
 	defer t.lock.Unlock()
-	r, ok := t.seen(key)
+	r, ok := t.visible(key)
 	t.counts.Reads++
 	t.counts.ReadUnits += units(len(r.Data)+rowOverhead, readUnit)
 	if !ok {
@@ -169,7 +173,7 @@
 
 // List implements snipeplatform.Table.
 func (t *Table) List(ctx context.Context, partition string) ([]snipeplatform.Row, error) {
-	if err := t.enter(ctx, partition); err != nil {
+	if err := t.applyFaults(ctx, partition); err != nil {
 		return nil, err
 	}
 	t.lock.Lock()
@@ -177,7 +181,7 @@
 	var rows []snipeplatform.Row
 	bytes := 0
 	for k := range t.rows {
-		if r, ok := t.seen(k); ok && k.Partition == partition {
+		if r, ok := t.visible(k); ok && k.Partition == partition {
 			rows = append(rows, r)
 			bytes += len(r.Data) + rowOverhead
 		}
@@ -190,7 +194,7 @@
 
 // Write implements snipeplatform.Table.
 func (t *Table) Write(ctx context.Context, operation string, changes []snipeplatform.Change) error {
-	if err := t.enter(ctx, changes[0].Partition); err != nil {
+	if err := t.applyFaults(ctx, changes[0].Partition); err != nil {
 		return err
 	}
 	t.lock.Lock()
@@ -205,10 +209,10 @@
 		return errors.Wrap(snipeplatform.ErrUnknown, "write lost")
 	case t.fault.LateWrites > 0:
 		t.fault.LateWrites--
-		t.later(operation, changes)
+		t.commitLate(operation, changes)
 		return errors.Wrap(snipeplatform.ErrUnknown, "write is late")
 	}
-	if !t.done[operation] {
+	if !t.applied[operation] {
 		if err := t.commit(operation, changes); err != nil {
 			return err
 		}
@@ -220,19 +224,22 @@
 	return nil
 }
 
-// later makes the changes after a while, if their conditions hold then.
-func (t *Table) later(operation string, changes []snipeplatform.Change) {
+// commitLate makes the changes after the delay Late, if their conditions hold then. The lock is
+// held.
+func (t *Table) commitLate(operation string, changes []snipeplatform.Change) {
 	time.AfterFunc(t.fault.Late, func() {
 		t.lock.Lock()
 		defer t.lock.Unlock()
-		if !t.done[operation] {
-			// Whether it took effect is what the test looks at.
+		if !t.applied[operation] {
+			// A conflict is not reported: tests check the rows to find out whether the write took
+			// effect.
 			_ = t.commit(operation, changes)
 		}
 	})
 }
 
-// commit checks all conditions, then makes all changes. The lock is held.
+// commit checks all conditions, then makes all changes. It returns ErrConflict, and changes
+// nothing, if a condition does not hold. The lock is held.
 func (t *Table) commit(operation string, changes []snipeplatform.Change) error {
 	for _, c := range changes {
 		if t.rows[c.Key].Version != c.Expect {
@@ -243,7 +250,7 @@
 	now := time.Now()
 	for _, c := range changes {
 		if c.Data != nil || c.Delete {
-			t.remember(c.Key, now)
+			t.keepVersion(c.Key, now)
 		}
 		switch {
 		case c.Delete:
@@ -253,14 +260,15 @@
 			t.rows[c.Key] = snipeplatform.Row{Key: c.Key, Version: c.Expect + 1, Operation: operation, Data: data}
 		}
 	}
-	t.done[operation] = true
+	t.applied[operation] = true
 	return nil
 }
 
-// maxPasts bounds how many earlier versions of a row are kept.
-const maxPasts = 8
+// maxHistory is the number of earlier versions that the table keeps of each row.
+const maxHistory = 8
 
-func (t *Table) remember(key snipeplatform.Key, now time.Time) {
-	t.pasts[key] = append(t.pasts[key], past{now, t.rows[key]})
-	t.pasts[key] = t.pasts[key][max(0, len(t.pasts[key])-maxPasts):]
+// keepVersion keeps the current version of a row that is about to change. The lock is held.
+func (t *Table) keepVersion(key snipeplatform.Key, now time.Time) {
+	t.history[key] = append(t.history[key], pastRow{now, t.rows[key]})
+	t.history[key] = t.history[key][max(0, len(t.history[key])-maxHistory):]
 }
--- a/snipestand/weights.go
+++ b/snipestand/weights.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Weights is the weight store: loads take Duration each at full speed, and
-// longer when more than Concurrent run at once or the rate is above
-// PerSecond. Exported fields are set before the first request.
+// Weights emulates the weight store. A load takes Duration at full speed. It takes longer if more
+// than Concurrent loads run at once, or if loads begin at a higher rate than PerSecond. Exported
+// fields must be set before the first request.
 type Weights struct {
 	PerSecond  float64
 	Concurrent int
@@ -16,11 +16,11 @@
 
 	lock    sync.Mutex // guards the fields below
 	running int
-	next    time.Time
+	next    time.Time // earliest time at which the rate admits another load
 	total   int
 }
 
-// ServeHTTP answers GET /weights/PATH once the adapter's weights are sent.
+// ServeHTTP answers GET /weights/PATH after the time that the transfer of the weights takes.
 func (s *Weights) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	wait := s.begin()
 	defer s.end()
@@ -33,6 +33,7 @@
 	}
 }
 
+// begin counts a load and returns how long it takes.
 func (s *Weights) begin() time.Duration {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -51,6 +52,7 @@
 	return wait
 }
 
+// end counts the end of a load.
 func (s *Weights) end() {
 	s.lock.Lock()
 	defer s.lock.Unlock()
