--- a/cmd/snipestand/faults.go
+++ b/cmd/snipestand/faults.go
@@ -16,12 +16,13 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-const orderTimeout = 5 * time.Second
+// requestTimeout bounds a request to an emulator.
+const requestTimeout = 5 * time.Second
 
-// errOrder is returned when a stand-in refuses an order.
-var errOrder = errors.New("refused")
+// errRefused reports that an emulator has refused a request.
+var errRefused = errors.New("refused")
 
-// plan prints a plan of faults.
+// plan prints a fault plan.
 func plan(arguments []string) error {
 	f := flag.NewFlagSet("snipestand plan", flag.ExitOnError)
 	s := snipestand.PlanShape{}
@@ -41,8 +42,9 @@
 	return snipestand.WritePlan(os.Stdout, steps)
 }
 
-// order sends a JSON document to a stand-in's path: POST /Fault or POST /Cut.
-func order(path string, arguments []string) error {
+// post sends a JSON document to a path of an emulator: POST /Fault or POST /Cut. The arguments are
+// the address and the document.
+func post(path string, arguments []string) error {
 	if len(arguments) != 2 {
 		usage()
 	}
@@ -50,7 +52,7 @@
 	if err != nil {
 		return errors.Wrap(err, "address")
 	}
-	client := &http.Client{Timeout: orderTimeout}
+	client := &http.Client{Timeout: requestTimeout}
 	// The operator names the address.
 	response, err := client.Post("http://"+address.String()+path, "application/json", strings.NewReader(arguments[1])) //nolint:gosec // see above
 	if err != nil {
@@ -59,12 +61,12 @@
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(response.Body, 1<<10))
-		return errors.Wrapf(errOrder, "%s: %s", response.Status, text)
+		return errors.Wrapf(errRefused, "%s: %s", response.Status, text)
 	}
 	return nil
 }
 
-// cut sets the mode of one link: ADDRESS LINK=MODE.
+// cut sets the mode of one link of a cutter. The arguments are the cutter's address and LINK=MODE.
 func cut(arguments []string) error {
 	if len(arguments) != 2 {
 		usage()
@@ -74,9 +76,11 @@
 	if err != nil {
 		return errors.Wrap(err, "encode cut")
 	}
-	return order("/Cut", []string{arguments[0], string(document)})
+	return post("/Cut", []string{arguments[0], string(document)})
 }
 
+// cutter defines the flags of a cutter. The returned function opens its links and returns its
+// handler.
 func cutter(f *flag.FlagSet) func() http.Handler {
 	c := &snipestand.Cutter{}
 	f.Func("link", "a link, `LISTEN=TARGET`; may be given again", func(text string) error {
@@ -101,7 +105,8 @@
 	}
 }
 
-// executed prints how many executions an upstream has recorded.
+// executed prints the number of executions of an upstream, including those that it has not recorded
+// because its list was full.
 func executed(arguments []string) error {
 	if len(arguments) != 1 {
 		usage()
@@ -110,7 +115,7 @@
 	if err != nil {
 		return errors.Wrap(err, "address")
 	}
-	client := &http.Client{Timeout: orderTimeout}
+	client := &http.Client{Timeout: requestTimeout}
 	// The operator names the address.
 	response, err := client.Get("http://" + address.String() + "/Executed") //nolint:gosec // see above
 	if err != nil {
--- a/cmd/snipestand/main.go
+++ b/cmd/snipestand/main.go
@@ -1,5 +1,5 @@
-// Command snipestand runs one stand-in for a system outside, for tests and the
-// demonstration.
+// Command snipestand runs an emulator (stand-in) of one external system for tests and the
+// demonstration, or sends requests to a running one.
 //
 // Usage:
 //
@@ -40,7 +40,7 @@
 		"plan":     plan,
 		"cut":      cut,
 		"executed": executed,
-		"fault":    func(a []string) error { return order("/Fault", a) },
+		"fault":    func(a []string) error { return post("/Fault", a) },
 	}
 	if c, ok := commands[os.Args[1]]; ok {
 		if err := c(os.Args[2:]); err != nil {
@@ -75,12 +75,14 @@
 	os.Exit(exitFailed)
 }
 
+// usage prints the usage and exits.
 func usage() {
 	fmt.Fprintln(os.Stderr, "usage: snipestand platform|engine|service|cutter -address IP:PORT [flags]")
 	fmt.Fprintln(os.Stderr, "       snipestand fault IP:PORT JSON | cut IP:PORT LISTEN=MODE | executed IP:PORT | plan [flags]")
 	os.Exit(exitUsage)
 }
 
+// platform defines the flags of the platform and returns a constructor of its handler.
 func platform(f *flag.FlagSet) func() http.Handler {
 	w := &snipestand.Weights{}
 	f.Float64Var(&w.PerSecond, "rate", 4.5, "loads per second of the weight store")
@@ -92,6 +94,7 @@
 	return p.Handler
 }
 
+// engine defines the flags of an engine and returns a constructor of its handler.
 func engine(f *flag.FlagSet) func() http.Handler {
 	e := &snipestand.Engine{Crash: func() { os.Exit(exitCrash) }}
 	f.IntVar(&e.Slots, "slots", 8, "adapter slots")
@@ -103,6 +106,7 @@
 	return e.Handler
 }
 
+// service defines the flags of a service and returns a constructor of its handler.
 func service(f *flag.FlagSet) func() http.Handler {
 	s := &snipestand.Service{}
 	f.StringVar(&s.Name, "name", "service", "name put into answers")
