--- a/cmd/snipectl/main_test.go
+++ b/cmd/snipectl/main_test.go
@@ -234,9 +234,9 @@
 	must.Eq(t, exitFailed, code)
 }
 
-// TestReplyOfEditLost guards against making an edit twice: the first answer is lost
+// TestEditReplyLost guards against making an edit twice: the first answer is lost
 // after the edit took effect, and the repetition must report the same revision.
-func TestReplyOfEditLost(t *testing.T) {
+func TestEditReplyLost(t *testing.T) {
 	s := newCluster(t)
 	var requests atomic.Int32
 	front := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/snipeadapter/controller_test.go
+++ b/snipeadapter/controller_test.go
@@ -240,11 +240,11 @@
 	})
 }
 
-// TestNeverOverfull guards against a lost or late order filling an engine beyond its slots. It
+// TestSlotsNeverExceeded guards against a lost or late order filling an engine beyond its slots. It
 // requests many adapters of an engine with few slots while orders are lost and delayed. The engine
 // must never be ordered to hold more than fits. All requests must succeed if no order is lost, and
 // most of them otherwise.
-func TestNeverOverfull(t *testing.T) {
+func TestSlotsNeverExceeded(t *testing.T) {
 	tests := map[string]struct{ lost, late float64 }{
 		"Calm":       {0, 0},
 		"Lost":       {0.3, 0},
@@ -344,8 +344,8 @@
 	})
 }
 
-// TestUsedStays checks that an adapter in use is kept while unused ones are evicted.
-func TestUsedStays(t *testing.T) {
+// TestUsedAdaptersAreKept checks that an adapter in use is kept while unused ones are evicted.
+func TestUsedAdaptersAreKept(t *testing.T) {
 	runSimulation(t, 3, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		for n := range 40 {
 			_, err := c.Ensure(t.Context(), "e1", adapter(n), 0, longWait)
@@ -357,10 +357,10 @@
 	})
 }
 
-// TestInFlightStays checks that an adapter with requests in flight is not evicted, even if other
+// TestInFlightAdaptersAreKept checks that an adapter with requests in flight is not evicted, even if other
 // adapters are requested and its use is not reported again. It can be evicted once the end of the
 // requests was reported, or once the report has expired.
-func TestInFlightStays(t *testing.T) {
+func TestInFlightAdaptersAreKept(t *testing.T) {
 	type uses = map[snipecatalog.Adapter]snipeadapter.Use
 	tests := map[string]struct {
 		end   func(c *snipeadapter.Controller)
@@ -435,9 +435,9 @@
 	}
 }
 
-// TestUsedButGone checks that an instance that reports the use of an adapter the engine does not
+// TestUseOfAbsentAdapter checks that an instance that reports the use of an adapter the engine does not
 // hold gets that adapter in the answer.
-func TestUsedButGone(t *testing.T) {
+func TestUseOfAbsentAdapter(t *testing.T) {
 	runSimulation(t, 10, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		_, err := c.Ensure(t.Context(), "e1", adapter(1), 0, longWait)
 		must.NoError(t, err)
@@ -474,9 +474,9 @@
 	})
 }
 
-// TestBusyAtOnce checks that a load that cannot be complete in time is refused at once, with the
+// TestBusyWithoutWaiting checks that a load that cannot be complete in time is refused at once, with the
 // expected time to wait.
-func TestBusyAtOnce(t *testing.T) {
+func TestBusyWithoutWaiting(t *testing.T) {
 	runSimulation(t, 4, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		var all sync.WaitGroup
 		ctx, cancel := context.WithCancel(t.Context())
@@ -495,8 +495,8 @@
 	})
 }
 
-// TestUnwantedIsNotBegun checks that a load whose callers have all left is not started.
-func TestUnwantedIsNotBegun(t *testing.T) {
+// TestLoadWithoutWaitersNotStarted checks that a load whose callers have all left is not started.
+func TestLoadWithoutWaitersNotStarted(t *testing.T) {
 	runSimulation(t, 5, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var all sync.WaitGroup
@@ -511,8 +511,8 @@
 	})
 }
 
-// TestOrdersNeedTheRight checks that no order is sent without the right to order.
-func TestOrdersNeedTheRight(t *testing.T) {
+// TestOrdersRequireFence checks that no order is sent without the right to order.
+func TestOrdersRequireFence(t *testing.T) {
 	runSimulation(t, 6, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, owns *bool) {
 		*owns = false
 		_, err := c.Ensure(t.Context(), "e1", adapter(1), 0, longWait)
@@ -538,10 +538,10 @@
 	})
 }
 
-// TestEvictsWhatIsSilent guards against keeping adapters whose demand has moved on. An adapter that
+// TestEvictsIdleAdapters guards against keeping adapters whose demand has moved on. An adapter that
 // was used very often until a few seconds ago must be evicted before adapters that are used now and
 // then.
-func TestEvictsWhatIsSilent(t *testing.T) {
+func TestEvictsIdleAdapters(t *testing.T) {
 	const hot = 1
 	runSimulation(t, 12, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		fill(t, c)
@@ -561,9 +561,9 @@
 	})
 }
 
-// TestEvictsWhatOthersHold checks that an adapter that other engines hold too is evicted first,
+// TestEvictsReplicatedAdapters checks that an adapter that other engines hold too is evicted first,
 // although it is used more often than the others.
-func TestEvictsWhatOthersHold(t *testing.T) {
+func TestEvictsReplicatedAdapters(t *testing.T) {
 	const replica = 1
 	runSimulation(t, 13, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		c.Redundant = func(_ *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool {
--- a/snipeadapter/model_test.go
+++ b/snipeadapter/model_test.go
@@ -120,11 +120,11 @@
 	return r, nil
 }
 
-// TestWeightsAfterStart guards against late orders from before a restart filling the engine's
+// TestModelMemoryAfterRestart guards against late orders from before a restart filling the engine's
 // memory. The engine restarts repeatedly without its base model while orders for the model and for
 // adapters are executed up to eight seconds late. No start may hold more weights than fit, and the
 // engine must serve requests in the end.
-func TestWeightsAfterStart(t *testing.T) {
+func TestModelMemoryAfterRestart(t *testing.T) {
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/snipeadapter/reload_test.go
+++ b/snipeadapter/reload_test.go
@@ -12,10 +12,10 @@
 	"snipepitch.example/snipepitch/snipecatalog"
 )
 
-// TestQuickPasses guards against a reload waiting behind loads that are queued for the weight
+// TestReloadsBypassStoreQueue guards against a reload waiting behind loads that are queued for the weight
 // store. An adapter that the engine loads from its own memory must not wait for these loads, and
 // must not delay them.
-func TestQuickPasses(t *testing.T) {
+func TestReloadsBypassStoreQueue(t *testing.T) {
 	const reloaded, queued = 99, 10
 	runSimulation(t, 14, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		c.PreviouslyHeld = func(_ string, a snipecatalog.Adapter) bool { return a == adapter(reloaded) }
@@ -34,9 +34,9 @@
 	})
 }
 
-// TestTwoFromStore checks that two adapters at a time load from the weight store, in addition to
+// TestConcurrentStoreLoads checks that two adapters at a time load from the weight store, in addition to
 // those that load from the engine's own memory.
-func TestTwoFromStore(t *testing.T) {
+func TestConcurrentStoreLoads(t *testing.T) {
 	runSimulation(t, 15, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		var all sync.WaitGroup
 		for n := range slots {
--- a/snipeadapter/residency_test.go
+++ b/snipeadapter/residency_test.go
@@ -44,9 +44,9 @@
 	})
 }
 
-// TestFormerly checks that an engine counts as a previous holder of an adapter however its removal
+// TestPreviouslyHeld checks that an engine counts as a previous holder of an adapter however its removal
 // was learned, until it holds the adapter again, restarts, or has held many others since.
-func TestFormerly(t *testing.T) {
+func TestPreviouslyHeld(t *testing.T) {
 	const most = 100
 	synctest.Test(t, func(t *testing.T) {
 		r := &snipeadapter.Residency{}
--- a/snipeadapter/restart_test.go
+++ b/snipeadapter/restart_test.go
@@ -83,12 +83,12 @@
 	return ""
 }
 
-// TestStartsAgain guards against orders from before a restart that take effect after it. An engine
+// TestRestarts guards against orders from before a restart that take effect after it. An engine
 // restarts repeatedly under its name while orders are lost or arrive up to twelve seconds late; the
 // next start accepts such an order if its own order count matches. The engine must never hold more
 // than fits, adapters held before a restart must not count as held after it, and requested adapters
 // must arrive.
-func TestStartsAgain(t *testing.T) {
+func TestRestarts(t *testing.T) {
 	const detectionDelay, starts = 700 * time.Millisecond, 8
 	for name, late := range map[string]float64{"Lost": 0, "Late": 1, "LostOrLate": 0.5} {
 		for seed := range uint64(16) {
@@ -159,9 +159,9 @@
 	}
 }
 
-// TestPlacesAfterStart checks that a slot stays free for a load from before the restart as long as
+// TestReservedSlotAfterRestart checks that a slot stays free for a load from before the restart as long as
 // that load may still be executed.
-func TestPlacesAfterStart(t *testing.T) {
+func TestReservedSlotAfterRestart(t *testing.T) {
 	runSimulation(t, 3, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		e.setStart(2)
 		time.Sleep(2 * reportLag)
@@ -212,10 +212,10 @@
 	})
 }
 
-// TestComingFromBefore guards against slots that stay blocked after a change of owner. Adapters
+// TestEvictsLoadsOfPreviousOwner guards against slots that stay blocked after a change of owner. Adapters
 // that were loading by orders of the previous owner when the engine was read must become evictable
 // once they are loaded.
-func TestComingFromBefore(t *testing.T) {
+func TestEvictsLoadsOfPreviousOwner(t *testing.T) {
 	runSimulation(t, 4, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		for n := range slots {
 			e.execute(snipeadapter.Order{Action: snipeadapter.Load, Adapter: adapter(n), Expect: uint64(n)})
--- a/snipebalance/snipebalance_test.go
+++ b/snipebalance/snipebalance_test.go
@@ -70,9 +70,9 @@
 	must.Less(t, 0.25, b.Busy(u))
 }
 
-// TestSuspectComesBack checks that an upstream that cannot be reached is suspect for a time that
+// TestSuspicionEnds checks that an upstream that cannot be reached is suspect for a time that
 // grows with each failure up to a bound, and that it is trusted again with its first answer.
-func TestSuspectComesBack(t *testing.T) {
+func TestSuspicionEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		notified := []bool{}
 		b := &snipebalance.Balancer{Suspect: func(_ string, s bool) { notified = append(notified, s) }}
@@ -88,9 +88,9 @@
 	})
 }
 
-// TestBrokenAnswers checks that an upstream stays usable after one or two requests without an
+// TestUnansweredRequests checks that an upstream stays usable after one or two requests without an
 // answer, which may happen by chance, and becomes suspect after three in a row.
-func TestBrokenAnswers(t *testing.T) {
+func TestUnansweredRequests(t *testing.T) {
 	b := &snipebalance.Balancer{}
 	u := upstreams()[0]
 	b.Unanswered(u.ID)
--- a/snipecatalog/snipecatalog_test.go
+++ b/snipecatalog/snipecatalog_test.go
@@ -61,8 +61,8 @@
 	must.Eq(t, "only", r.Backend(7))
 }
 
-// TestNeverBack guards against a catalog that is replaced by one of the same or a lower version.
-func TestNeverBack(t *testing.T) {
+// TestAdoptRejectsLowerVersion guards against a catalog that is replaced by one of the same or a lower version.
+func TestAdoptRejectsLowerVersion(t *testing.T) {
 	k := &snipecatalog.Cache{}
 	must.Nil(t, k.Catalog())
 	must.True(t, k.Adopt(catalog(3)))
--- a/snipecert/snipecert_test.go
+++ b/snipecert/snipecert_test.go
@@ -168,9 +168,9 @@
 	}
 }
 
-// TestPeersProveThemselves checks that a client rejects a server, and a server a client, whose
+// TestPeerCertificates checks that a client rejects a server, and a server a client, whose
 // certificate its authority has not signed.
-func TestPeersProveThemselves(t *testing.T) {
+func TestPeerCertificates(t *testing.T) {
 	newKeeper := func(a *authority) *Reloader {
 		f, _ := a.write(t, t.TempDir(), 2, time.Hour)
 		k := &Reloader{Files: f}
--- a/snipedirectory/leaving_test.go
+++ b/snipedirectory/leaving_test.go
@@ -17,9 +17,9 @@
 	return u
 }
 
-// TestLeavesByItsWord guards against a read of the registry that overrides an upstream's own
+// TestLeaveOverridesRegistry guards against a read of the registry that overrides an upstream's own
 // announcement that it is leaving, and against an announcement that affects another start of it.
-func TestLeavesByItsWord(t *testing.T) {
+func TestLeaveOverridesRegistry(t *testing.T) {
 	const left, next = "a@1", "a@2"
 	tests := map[string]struct {
 		then func(k *snipedirectory.Cache)
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestLeavesBeforeItIsKnown guards against an announcement that is lost because another instance
+// TestLeaveBeforeEntry guards against an announcement that is lost because another instance
 // forwarded it before this instance has read the upstream's entry in the registry.
-func TestLeavesBeforeItIsKnown(t *testing.T) {
+func TestLeaveBeforeEntry(t *testing.T) {
 	k := &snipedirectory.Cache{}
 	k.MarkLeaving("a@1")
 	k.Apply(whole(entryOfStart(1)))
--- a/snipedirectory/snipedirectory_test.go
+++ b/snipedirectory/snipedirectory_test.go
@@ -138,9 +138,9 @@
 	}
 }
 
-// TestWrongInOutage guards against the use of an upstream whose entry cannot be decoded while
+// TestUndecodableDuringOutage guards against the use of an upstream whose entry cannot be decoded while
 // entries that lapsed during an outage of the registry are kept.
-func TestWrongInOutage(t *testing.T) {
+func TestUndecodableDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := &snipedirectory.Cache{LapseGrace: time.Minute}
 		k.Apply(whole(entry("a", false), entry("b", false)))
@@ -151,9 +151,9 @@
 	})
 }
 
-// TestSnapshotsStay guards against a change to data that a snapshot shares with later snapshots. It
+// TestSnapshotsImmutable guards against a change to data that a snapshot shares with later snapshots. It
 // applies random changes and then compares every snapshot with a simple model of its time.
-func TestSnapshotsStay(t *testing.T) {
+func TestSnapshotsImmutable(t *testing.T) {
 	const rounds, names = 300, 12
 	r := rand.New(rand.NewPCG(3, 3))
 	k := &snipedirectory.Cache{}
--- a/snipedispatch/ownership_test.go
+++ b/snipedispatch/ownership_test.go
@@ -119,10 +119,10 @@
 	must.SliceEmpty(t, names)
 }
 
-// TestEngineIsEdited checks that changed settings of an owned engine take effect without a new
+// TestEngineSettingsChange checks that changed settings of an owned engine take effect without a new
 // ownership: the number of slots at once, and the address as soon as the calls at the previous
 // address have ended. Until then, new calls are refused as NotRun.
-func TestEngineIsEdited(t *testing.T) {
+func TestEngineSettingsChange(t *testing.T) {
 	o := newOwnerFixture(t)
 	previous, err := o.engine("e1")
 	must.NoError(t, err)
--- a/snipeentry/acquaint_test.go
+++ b/snipeentry/acquaint_test.go
@@ -8,10 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestAcquaint covers a simultaneous start of all instances, also while the store is down. An
+// TestWaitForPeers covers a simultaneous start of all instances, also while the store is down. An
 // instance that knows others starts at once, one that discovers none waits for a bounded time, and
 // none waits if the store refuses reads.
-func TestAcquaint(t *testing.T) {
+func TestWaitForPeers(t *testing.T) {
 	tests := map[string]struct {
 		known   int
 		refused bool
--- a/snipeentry/cluster_test.go
+++ b/snipeentry/cluster_test.go
@@ -73,7 +73,7 @@
 		{ID: "p1", Service: "plain"},
 		{ID: "p2", Service: "plain"},
 	} {
-		r.Slots, r.Load, r.Event, r.Events = 4, 30*time.Millisecond, event, 6
+		r.Slots, r.LoadDuration, r.EventInterval, r.Events = 4, 30*time.Millisecond, event, 6
 		r.Faults = &s.faults
 		s.runners[r.ID] = r
 		r.Address = serve(t, r.Handler()).String()
@@ -89,7 +89,7 @@
 func (s *testCluster) writeHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, r := range s.runners {
-			if err := r.Beat(s.store); err != nil {
+			if err := r.SendHeartbeat(s.store); err != nil {
 				s.t.Error(err)
 			}
 		}
@@ -262,15 +262,15 @@
 func (s *testCluster) total(id string) int {
 	n := 0
 	for _, r := range s.runners {
-		n += r.Ran()[id]
+		n += r.RunCounts()[id]
 	}
 	return n
 }
 
 const modelHeader = "X-Snipepitch-Model"
 
-// TestWholePath runs callers, instances, upstreams and the store together.
-func TestWholePath(t *testing.T) {
+// TestEndToEnd runs callers, instances, upstreams and the store together.
+func TestEndToEnd(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	one := s.start("one")
 	eventually(t, func() bool {
@@ -302,7 +302,7 @@
 	})
 	t.Run("NewVersion", func(t *testing.T) {
 		for _, r := range s.runners {
-			r.Announce("a7", 2)
+			r.SetNewestVersion("a7", 2)
 		}
 		must.NoError(t, s.store.Put("op", "version/base.a7", object{"model": "base", "adapter": "a7", "version": 2}))
 		eventually(t, func() bool {
@@ -311,14 +311,14 @@
 		})
 	})
 	t.Run("Leaving", func(t *testing.T) {
-		s.runners["p1"].Leave()
+		s.runners["p1"].Drain()
 		eventually(t, func() bool { return strings.Contains(s.logged(), `"Name":"UpstreamLeaving"`) })
-		before := len(s.runners["p1"].Ran())
+		before := len(s.runners["p1"].RunCounts())
 		for range 10 {
 			a, _ := send(t, one.url, http.MethodGet, "/often/x", "")
 			must.Eq(t, http.StatusOK, a.status)
 		}
-		must.Eq(t, before, len(s.runners["p1"].Ran()))
+		must.Eq(t, before, len(s.runners["p1"].RunCounts()))
 	})
 }
 
@@ -360,17 +360,17 @@
 		ran             int
 	}{
 		"OnceErrors":    {"/once/x", "plain", snipestand.RunnerErrors, 2, 500, "", 1},
-		"OnceSheds":     {"/once/x", "plain", snipestand.RunnerSheds, 1, 200, "POST /once/x ", 1},
+		"OnceSheds":     {"/once/x", "plain", snipestand.RunnerRefuses, 1, 200, "POST /once/x ", 1},
 		"OnceResets":    {"/once/x", "plain", snipestand.RunnerResets, 2, 502, "", 1},
-		"OnceTears":     {"/once/x", "plain", snipestand.RunnerTears, 2, 502, "", 1},
-		"OnceForeign":   {"/once/x", "plain", snipestand.RunnerForeign, 2, 502, "", 1},
-		"OnceUnsealed":  {"/once/x", "plain", snipestand.RunnerUnsealed, 2, 502, "", 1},
+		"OnceTears":     {"/once/x", "plain", snipestand.RunnerTruncates, 2, 502, "", 1},
+		"OnceForeign":   {"/once/x", "plain", snipestand.RunnerWrongID, 2, 502, "", 1},
+		"OnceUnsealed":  {"/once/x", "plain", snipestand.RunnerUnsigned, 2, 502, "", 1},
 		"OftenErrors":   {"/often/x", "plain", snipestand.RunnerErrors, 2, 500, "", 2},
 		"OftenResets":   {"/often/x", "plain", snipestand.RunnerResets, 2, 502, "", 2},
-		"DraftTears":    {"/draft/x", "engines", snipestand.RunnerTears, 1, 200, events(1), 2},
+		"DraftTears":    {"/draft/x", "engines", snipestand.RunnerTruncates, 1, 200, events(1), 2},
 		"DraftResets":   {"/draft/x", "engines", snipestand.RunnerResets, 1, 200, events(1), 2},
-		"FinalTears":    {"/final/x", "engines", snipestand.RunnerTears, 2, 0, "", 1},
-		"FinalUnsealed": {"/final/x", "engines", snipestand.RunnerUnsealed, 2, 502, "", 1},
+		"FinalTears":    {"/final/x", "engines", snipestand.RunnerTruncates, 2, 0, "", 1},
+		"FinalUnsealed": {"/final/x", "engines", snipestand.RunnerUnsigned, 2, 502, "", 1},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -380,7 +380,7 @@
 			}
 			s.faults.Set(tt.fault, tt.times)
 			a, id := send(t, one.url, http.MethodPost, tt.target, "", header...)
-			s.faults.Set(snipestand.RunnerWorks, 0)
+			s.faults.Set(snipestand.RunnerNoFault, 0)
 			if tt.status == 0 {
 				must.Error(t, a.err)
 			} else {
@@ -426,7 +426,7 @@
 		eventually(t, func() bool { return draft(two, adapter) })
 	}
 	for _, id := range []string{"e1", "e2"} {
-		orders, overfull := s.runners[id].Taken()
+		orders, overfull := s.runners[id].AcceptedOrders()
 		must.Eq(t, 0, overfull)
 		changes := 0
 		for n := 1; n < len(orders); n++ {
@@ -445,13 +445,13 @@
 	s.declare(1)
 	one := s.start("one")
 	waitServing(t, one)
-	before := len(s.runners["e1"].Ran()) + len(s.runners["e2"].Ran())
+	before := len(s.runners["e1"].RunCounts()) + len(s.runners["e2"].RunCounts())
 	answered := make(chan reply, 1)
 	go func() {
 		a, _ := send(t, one.url, http.MethodPost, "/final/x", "", modelHeader, "base")
 		answered <- a
 	}()
-	eventually(t, func() bool { return len(s.runners["e1"].Ran())+len(s.runners["e2"].Ran()) > before })
+	eventually(t, func() bool { return len(s.runners["e1"].RunCounts())+len(s.runners["e2"].RunCounts()) > before })
 	one.Stop()
 	eventually(t, func() bool { return !one.isReady() })
 	a, _ := send(t, one.url, http.MethodPost, "/once/x", "late")
@@ -478,7 +478,7 @@
 			a, _ := send(t, one.url, http.MethodPost, "/once/x", "")
 			must.Eq(t, http.StatusOK, a.status)
 			must.True(t, one.isReady())
-			s.store.SetMode(snipestand.StoreServes)
+			s.store.SetMode(snipestand.StoreNormal)
 			s.declare(2)
 			eventually(t, func() bool { return strings.Contains(s.logged(), `"Catalog":2,"Event":310`) })
 		})
--- a/snipeentry/keys_test.go
+++ b/snipeentry/keys_test.go
@@ -129,7 +129,7 @@
 func TestKeyTakenWhileWaiting(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	for _, r := range s.runners {
-		r.Load = 1500 * time.Millisecond
+		r.LoadDuration = 1500 * time.Millisecond
 	}
 	s.declare(1, workspace("north", "key-1"))
 	one := s.start("one")
@@ -166,7 +166,7 @@
 	a, _ := send(t, one.url, http.MethodPost, "/other/x", "", "Authorization", "Bearer key-1")
 	must.Eq(t, http.StatusServiceUnavailable, a.status)
 	must.NotEq(t, "", a.header.Get("Retry-After"))
-	s.store.SetMode(snipestand.StoreServes)
+	s.store.SetMode(snipestand.StoreNormal)
 	eventually(t, func() bool { return status(t, one, "key-2") == http.StatusUnauthorized })
 }
 
@@ -177,7 +177,7 @@
 	s.declare(1, workspace("north", "key-1"))
 	one := s.start("one")
 	eventually(t, func() bool { return status(t, one, "key-1") == http.StatusOK })
-	executions := func() int { return len(s.runners["p1"].Ran()) + len(s.runners["p2"].Ran()) }
+	executions := func() int { return len(s.runners["p1"].RunCounts()) + len(s.runners["p2"].RunCounts()) }
 	before := executions()
 	random := rand.New(rand.NewPCG(1, 1))
 	h := &http.Client{}
--- a/snipeentry/leaving_test.go
+++ b/snipeentry/leaving_test.go
@@ -17,10 +17,10 @@
 // the upstream is leaving.
 const drainBound = 2 * time.Second
 
-// TestLeavingToldByAnswer guards against instances that keep sending requests to an upstream whose
+// TestLeavingAnnouncedByAnswer guards against instances that keep sending requests to an upstream whose
 // answers announce that it is leaving, because the registry does not show this while the store is
 // down.
-func TestLeavingToldByAnswer(t *testing.T) {
+func TestLeavingAnnouncedByAnswer(t *testing.T) {
 	tests := map[string]struct {
 		leaving, target string
 		header          []string
@@ -38,7 +38,7 @@
 				waitServing(t, i)
 			}
 			s.store.SetMode(snipestand.StoreSilent)
-			s.runners[tt.leaving].SayLeaving()
+			s.runners[tt.leaving].AnnounceLeaving()
 			sent := sendLoad(t, instances, tt.target, 30*time.Millisecond, 5*time.Second, tt.header...)
 			must.SliceEmpty(t, snipestand.LeavingBreaches(s.runners[tt.leaving].Arrivals(), drainBound, sent.sender, nil))
 			must.Eq(t, 0, sent.refused, must.Sprint("the other upstream stays"))
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestLeavingToldToOthers guards against instances that keep using an upstream after another
+// TestLeavingSentToPeers guards against instances that keep using an upstream after another
 // instance was notified that it is leaving, while the registry cannot show this.
-func TestLeavingToldToOthers(t *testing.T) {
+func TestLeavingSentToPeers(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
 	instances := []*instance{s.start("one"), s.start("two"), s.start("three")}
@@ -57,7 +57,7 @@
 	}
 	waitPeersKnown(t, instances)
 	s.store.SetMode(snipestand.StoreSilent)
-	s.runners["p1"].SayLeaving()
+	s.runners["p1"].AnnounceLeaving()
 	sendLoad(t, instances[:1], "/often/x", 10*time.Millisecond, time.Second)
 	eventually(t, func() bool { return strings.Count(s.logged(), `"Name":"UpstreamLeaving"`) == len(instances) })
 	before := len(s.runners["p1"].Arrivals())
--- a/snipeentry/limit_test.go
+++ b/snipeentry/limit_test.go
@@ -67,7 +67,7 @@
 			for _, i := range instances {
 				waitServing(t, i)
 			}
-			s.runners[tt.limited].NameLimit(3)
+			s.runners[tt.limited].AnnounceLimit(3)
 			sent := sendLoad(t, instances, tt.target, 30*time.Millisecond, 9*time.Second, tt.header...)
 			must.SliceEmpty(t, snipestand.LimitBreaches(s.runners[tt.limited].Arrivals(), sent.sender, nil))
 			must.Eq(t, 0, sent.refused, must.Sprint("the other upstream is free"))
@@ -75,10 +75,10 @@
 	}
 }
 
-// TestLimitToldToOthers guards against instances that do not learn from other instances that an
+// TestLimitSentToPeers guards against instances that do not learn from other instances that an
 // upstream has named a limit or lifted it. An instance that sends no requests to the upstream
 // receives neither from the upstream itself.
-func TestLimitToldToOthers(t *testing.T) {
+func TestLimitSentToPeers(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
 	instances := []*instance{s.start("one"), s.start("two"), s.start("three")}
@@ -88,10 +88,10 @@
 	loggedByAll := func(event string) bool {
 		return strings.Count(s.logged(), `"Name":"`+event+`"`) == len(instances)
 	}
-	s.runners["p1"].NameLimit(100)
+	s.runners["p1"].AnnounceLimit(100)
 	sendLoad(t, instances[:1], "/often/x", 10*time.Millisecond, time.Second)
 	eventually(t, func() bool { return loggedByAll("UpstreamLimited") })
-	s.runners["p1"].NameNoLimit()
+	s.runners["p1"].AnnounceNoLimit()
 	sendLoad(t, instances[:1], "/often/x", 10*time.Millisecond, time.Second)
 	eventually(t, func() bool { return loggedByAll("UpstreamFree") })
 }
--- a/snipeentry/loads_test.go
+++ b/snipeentry/loads_test.go
@@ -12,10 +12,10 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// TestLoadsTurn covers a failure domain whose first instance, which gathers the loads of all
+// TestLoadsReaderRank covers a failure domain whose first instance, which gathers the loads of all
 // engines, is lost for seconds. The next in rank is asked in the meantime, the first again after a
 // pause, and the loss and the return are each reported once.
-func TestLoadsTurn(t *testing.T) {
+func TestLoadsReaderRank(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &peers{}
 		begun := time.Now()
--- a/snipeentry/peers_test.go
+++ b/snipeentry/peers_test.go
@@ -67,9 +67,9 @@
 	must.Positive(t, i.balancer.Busy(u))
 }
 
-// TestQuietOwner covers many instances of which few use the two engines of one owner. Each instance
+// TestStalestOwner covers many instances of which few use the two engines of one owner. Each instance
 // still receives the loads of every owner once a second.
-func TestQuietOwner(t *testing.T) {
+func TestStalestOwner(t *testing.T) {
 	address := func(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 80) }
 	owners := []netip.AddrPort{address(10), address(20)}
 	now := time.Now()
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestReached checks that each loss and each return of another instance is reported once.
-func TestReached(t *testing.T) {
+// TestNoteReachability checks that each loss and each return of another instance is reported once.
+func TestNoteReachability(t *testing.T) {
 	p := &peers{}
 	to := netip.MustParseAddrPort("10.1.0.1:70")
 	for _, tt := range []struct{ ok, changed bool }{
--- a/snipeentry/relay_test.go
+++ b/snipeentry/relay_test.go
@@ -190,9 +190,9 @@
 	must.False(t, server.relay.AcceptsWrites(), must.Sprint("the store stays lost until an own write is answered"))
 }
 
-// TestNoRight guards against requests that wait for an engine whose owner has no right to order it.
+// TestOrderDenied guards against requests that wait for an engine whose owner has no right to order it.
 // The engine is avoided for a while, so that adapters are loaded on another one at once.
-func TestNoRight(t *testing.T) {
+func TestOrderDenied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &peers{}
 		must.True(t, p.ownerMayOrder(peer(1)))
--- a/snipeentry/rest_test.go
+++ b/snipeentry/rest_test.go
@@ -37,9 +37,9 @@
 					return a.status == http.StatusOK
 				})
 			}
-			s.runners[tt.backingOff].AskRest(3 * time.Second)
+			s.runners[tt.backingOff].SetBackoff(3 * time.Second)
 			sent := sendLoad(t, instances, tt.target, 30*time.Millisecond, 7*time.Second, tt.header...)
-			must.SliceEmpty(t, snipestand.RestBreaches(s.runners[tt.backingOff].Arrivals(), sent.sender, nil))
+			must.SliceEmpty(t, snipestand.BackoffBreaches(s.runners[tt.backingOff].Arrivals(), sent.sender, nil))
 			must.Eq(t, 0, sent.refused, must.Sprint("the other upstream is free"))
 		})
 	}
--- a/snipeentry/silent_test.go
+++ b/snipeentry/silent_test.go
@@ -11,10 +11,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestSilentOwner covers an owner that hangs while requests wait for loads on its engines. As soon
+// TestUnreachableOwner covers an owner that hangs while requests wait for loads on its engines. As soon
 // as a report fails to reach the owner, the pending requests to it end, and it is asked for nothing
 // until it answers a report.
-func TestSilentOwner(t *testing.T) {
+func TestUnreachableOwner(t *testing.T) {
 	asked := make(chan struct{}, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		asked <- struct{}{}
--- a/snipeentry/start_test.go
+++ b/snipeentry/start_test.go
@@ -29,23 +29,23 @@
 		served(fmt.Sprint("a", n))
 	}
 	for _, r := range []string{"e1", "e2"} {
-		s.runners[r].StartAgain()
+		s.runners[r].Restart()
 	}
 	for n := range 4 {
 		served(fmt.Sprint("a", n))
 	}
 	must.StrContains(t, s.logged(), `"Name":"UpstreamGone"`)
 
-	s.runners["e1"].WriteNonsense(true)
+	s.runners["e1"].SetInvalidEntry(true)
 	eventually(t, func() bool { return strings.Contains(s.logged(), `"Name":"EntryWrong"`) })
 	time.Sleep(1200 * time.Millisecond)
 	must.Eq(t, 1, strings.Count(s.logged(), `"Name":"EntryWrong"`))
 	served("a5")
-	s.runners["e1"].WriteNonsense(false)
+	s.runners["e1"].SetInvalidEntry(false)
 	eventually(t, func() bool { return strings.Contains(s.logged(), `"Name":"EntryMended"`) })
 	served("a6")
 	for _, r := range s.runners {
-		_, overfull := r.Taken()
+		_, overfull := r.AcceptedOrders()
 		must.Eq(t, 0, overfull)
 	}
 }
--- a/snipeerror/snipeerror_test.go
+++ b/snipeerror/snipeerror_test.go
@@ -37,9 +37,9 @@
 	})
 }
 
-// TestReasonDoesNotGrow checks that the reason of a failure stays the same when several instances
+// TestReasonUnchangedByForwarding checks that the reason of a failure stays the same when several instances
 // forward it. Encoding Error() as the reason would add a prefix at each instance.
-func TestReasonDoesNotGrow(t *testing.T) {
+func TestReasonUnchangedByForwarding(t *testing.T) {
 	e := New(ErrOverloaded, NotRun, "queue is full")
 	for range 3 {
 		var err error
@@ -59,9 +59,9 @@
 	must.StrContains(t, w.Body.String(), `"RetryAfterMilliseconds":1200`)
 }
 
-// TestCallersPage checks that docs/callers.md lists each kind with its code and status, and no
+// TestKindsDocumented checks that docs/callers.md lists each kind with its code and status, and no
 // other.
-func TestCallersPage(t *testing.T) {
+func TestKindsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/callers.md")
 	must.NoError(t, err)
 	for _, k := range kinds {
--- a/snipegateway/choose_test.go
+++ b/snipegateway/choose_test.go
@@ -200,9 +200,9 @@
 	})
 }
 
-// TestQuestionTakenBack guards against loads that go on although all requests waiting for them have
+// TestLoadRequestCanceled guards against loads that go on although all requests waiting for them have
 // ended: the load request must be canceled.
-func TestQuestionTakenBack(t *testing.T) {
+func TestLoadRequestCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &fakeOwners{}
 		c := newChooser(o, 3)
--- a/snipegateway/estimator_test.go
+++ b/snipegateway/estimator_test.go
@@ -8,11 +8,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestPace guards against an overload threshold that ignores the observed times: where loads take
+// TestOverloadThreshold guards against an overload threshold that ignores the observed times: where loads take
 // long, because the weight store is at its limit, or where engines are fast, a request must stay at
 // a busy engine for longer. The simulated times to the first chunk are exponentially distributed:
 // half of them are below 0.4 of the time that one in five exceeds.
-func TestPace(t *testing.T) {
+func TestOverloadThreshold(t *testing.T) {
 	tests := map[string]struct {
 		// slow is the delay at a full engine that one request in five exceeds, load the time of one
 		// load.
@@ -46,18 +46,18 @@
 	}
 }
 
-// TestPaceUnknown guards against a wrong threshold before anything is observed, and against
+// TestOverloadThresholdInitial guards against a wrong threshold before anything is observed, and against
 // estimates from idle engines: an engine then counts as overloaded when all its slots are occupied.
-func TestPaceUnknown(t *testing.T) {
+func TestOverloadThresholdInitial(t *testing.T) {
 	e := &estimator{}
 	must.Eq(t, 1.0, e.overloadThreshold())
 	e.recordFirstChunk(time.Minute, minBusy/2)
 	must.Eq(t, 1.0, e.overloadThreshold())
 }
 
-// TestPaceOfServices guards against observations of one service that change the threshold of
+// TestEstimatorPerService guards against observations of one service that change the threshold of
 // another.
-func TestPaceOfServices(t *testing.T) {
+func TestEstimatorPerService(t *testing.T) {
 	var e estimators
 	e.forService("a").recordLoad(time.Second)
 	must.Greater(t, 1.0, e.forService("a").overloadThreshold())
--- a/snipegateway/limit_test.go
+++ b/snipegateway/limit_test.go
@@ -23,10 +23,10 @@
 	}
 }
 
-// TestLimitedIsNoChoice guards against choosing an upstream whose limit is reached as the last
+// TestLimitedNotChosen guards against choosing an upstream whose limit is reached as the last
 // resort when the others are suspect or do not hold the adapter: the adapter must be loaded on
 // another engine.
-func TestLimitedIsNoChoice(t *testing.T) {
+func TestLimitedNotChosen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &fakeOwners{}
 		c := newChooser(o, 3)
@@ -83,9 +83,9 @@
 	must.Eq(t, 0, upstream.Load())
 }
 
-// TestLimitNotSent guards against the loss of a send slot taken by a request that reached no
+// TestSendSlotReturned guards against the loss of a send slot taken by a request that reached no
 // upstream.
-func TestLimitNotSent(t *testing.T) {
+func TestSendSlotReturned(t *testing.T) {
 	c := newChooser(&fakeOwners{}, 1)
 	only := c.Directory.Snapshot().Service(service)[0]
 	dead := map[netip.AddrPort]bool{only.Address: true}
@@ -102,10 +102,10 @@
 	must.False(t, c.Signals.Open(only.ID))
 }
 
-// TestAllRest guards against requests that reach upstreams during the backoff that these asked for,
+// TestAllInBackoff guards against requests that reach upstreams during the backoff that these asked for,
 // or wait for its end: if all upstreams are in backoff, callers are refused at once with the time
 // when the first backoff ends.
-func TestAllRest(t *testing.T) {
+func TestAllInBackoff(t *testing.T) {
 	c := newChooser(&fakeOwners{}, 2)
 	g, upstream := newGateway(t, c, nil, nil)
 	c.Signals.Record("e0", time.Now(), snipesignal.Signal{Backoff: 3 * time.Second})
@@ -121,9 +121,9 @@
 	must.Eq(t, 1, upstream.Load())
 }
 
-// TestRestIsNotMissing guards against loading an adapter again because an engine without a free
+// TestBackoffKeepsResidency guards against loading an adapter again because an engine without a free
 // slot asked for backoff: the adapter must not count as missing there.
-func TestRestIsNotMissing(t *testing.T) {
+func TestBackoffKeepsResidency(t *testing.T) {
 	c := newChooser(&fakeOwners{}, 1)
 	only := c.Directory.Snapshot().Service(service)[0]
 	g, upstream := newGateway(t, c, nil, map[string]bool{only.ID: true})
--- a/snipegateway/overload_test.go
+++ b/snipegateway/overload_test.go
@@ -13,10 +13,10 @@
 // anything is observed.
 const overloadWeight = 66
 
-// TestCrowded guards against requests that queue at an overloaded engine while others are idle,
+// TestOverloaded guards against requests that queue at an overloaded engine while others are idle,
 // because many requests for an adapter arrive at once or its home engine is slow. A request goes to
 // an engine that is not overloaded, after a load, and to an overloaded one only if no other helps.
-func TestCrowded(t *testing.T) {
+func TestOverloaded(t *testing.T) {
 	const count = 6
 	home := firstInRank(t, count)
 	tests := map[string]struct {
@@ -59,9 +59,9 @@
 	}
 }
 
-// TestSlowRelief guards against a load on another engine that takes longer than expected and delays
+// TestSlowOffload guards against a load on another engine that takes longer than expected and delays
 // a request by half a second or more.
-func TestSlowRelief(t *testing.T) {
+func TestSlowOffload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		home := "e0"
 		o := &fakeOwners{busy: map[string]time.Duration{}, extraTime: 3 * time.Second}
--- a/snipegateway/prefix_test.go
+++ b/snipegateway/prefix_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestBusyReader guards against requests that stay at the engine that has processed their prompt's
+// TestBusyPrefixEngine guards against requests that stay at the engine that has processed their prompt's
 // prefix although waiting there costs more than processing it again elsewhere.
-func TestBusyReader(t *testing.T) {
+func TestBusyPrefixEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChooser(&fakeOwners{}, 12)
 		c.Residency.RecordHeld("e1", request.Adapter, 1)
--- a/snipegateway/previous_test.go
+++ b/snipegateway/previous_test.go
@@ -8,10 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestFormerFirst guards against avoidable loads from the weight store. When not all adapters fit
+// TestPreviousHolderFirst guards against avoidable loads from the weight store. When not all adapters fit
 // on the engines, most adapters requested again were evicted some time before, and the engine that
 // held one reloads it in a tenth of the time without the weight store.
-func TestFormerFirst(t *testing.T) {
+func TestPreviousHolderFirst(t *testing.T) {
 	const count = 6
 	home := firstInRank(t, count)
 	other := "e0"
--- a/snipegateway/ranking_test.go
+++ b/snipegateway/ranking_test.go
@@ -12,9 +12,9 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// TestBestFirst guards against a wrong order of load candidates: engines that held the adapter come
+// TestLoadCandidates guards against a wrong order of load candidates: engines that held the adapter come
 // first, overloaded engines come last, and each group is ordered by rank, as in a full sort.
-func TestBestFirst(t *testing.T) {
+func TestLoadCandidates(t *testing.T) {
 	const count = 40
 	c := newChooser(&fakeOwners{}, count)
 	a := request.Adapter
@@ -55,9 +55,9 @@
 	must.Eq(t, ids[:5], c.LoadCandidatesForTest(service, a, 5))
 }
 
-// TestAmongThousands guards against a choice whose cost grows with the number of engines: the
+// TestChooseAmongThousands guards against a choice whose cost grows with the number of engines: the
 // engine that holds an adapter is found among 3000 without examining the others.
-func TestAmongThousands(t *testing.T) {
+func TestChooseAmongThousands(t *testing.T) {
 	c := newChooser(&fakeOwners{}, 3000)
 	for n := range 3000 {
 		c.Residency.RecordHeld(fmt.Sprint("e", n), snipecatalog.Adapter{Model: "base", Name: fmt.Sprint("a", n)}, 1)
--- a/snipegateway/reach_test.go
+++ b/snipegateway/reach_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestNoRoom guards against a request that waits, or gets a retry time above its latency target,
+// TestNoFreeSlot guards against a request that waits, or gets a retry time above its latency target,
 // after the only upstream of its service refused it for lack of a free slot.
-func TestNoRoom(t *testing.T) {
+func TestNoFreeSlot(t *testing.T) {
 	chooser := newChooser(&fakeOwners{}, 1)
 	only := chooser.Directory.Snapshot().Service(service)[0].ID
 	g, upstream := newGateway(t, chooser, nil, map[string]bool{only: true})
--- a/snipegateway/waiting_test.go
+++ b/snipegateway/waiting_test.go
@@ -14,10 +14,10 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// TestWordWhileWaiting guards against a request that is sent to the engine for whose load it waited
+// TestSignalWhileWaiting guards against a request that is sent to the engine for whose load it waited
 // although that engine has meanwhile signaled that it takes no requests: the request must go to
 // another engine.
-func TestWordWhileWaiting(t *testing.T) {
+func TestSignalWhileWaiting(t *testing.T) {
 	tests := map[string]func(c *snipegateway.Chooser, engine string){
 		"Leaves": func(c *snipegateway.Chooser, engine string) { c.Directory.MarkLeaving(engine) },
 		"Rests": func(c *snipegateway.Chooser, engine string) {
--- a/snipehealth/snipehealth_test.go
+++ b/snipehealth/snipehealth_test.go
@@ -102,10 +102,10 @@
 	})
 }
 
-// TestFloor guards against the exclusion of so many slow upstreams that fewer than
+// TestMinimumUsable guards against the exclusion of so many slow upstreams that fewer than
 // two thirds of the candidates remain and are overloaded. Unreachable upstreams must
 // all be excluded.
-func TestFloor(t *testing.T) {
+func TestMinimumUsable(t *testing.T) {
 	tests := map[string]struct {
 		then Observation
 		left int
@@ -177,9 +177,9 @@
 	return float64(n) / 1000
 }
 
-// TestHear guards against an announced state that has no effect or does not expire,
+// TestRecordAnnouncement guards against an announced state that has no effect or does not expire,
 // and against one that replaces a state detected by this instance.
-func TestHear(t *testing.T) {
+func TestRecordAnnouncement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker()
 		tracker.RecordAnnouncement("0", Out, Unreachable, 30*time.Second)
--- a/snipeinstance/listen_test.go
+++ b/snipeinstance/listen_test.go
@@ -78,9 +78,9 @@
 	})
 }
 
-// TestEndSendsWhatIsWritten guards against a planned stop that cuts off an answer: the handler has
+// TestShutdownSendsWrittenAnswer guards against a planned stop that cuts off an answer: the handler has
 // written it, but the bytes are sent only when the handler returns. A forced stop does not wait.
-func TestEndSendsWhatIsWritten(t *testing.T) {
+func TestShutdownSendsWrittenAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		cause    error
 		complete bool
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestEndDoesNotWaitForNothing guards against a stop that is delayed by connections without a
+// TestShutdownIgnoresConnectionsWithoutRequest guards against a stop that is delayed by connections without a
 // request, which a balancer opens in advance.
-func TestEndDoesNotWaitForNothing(t *testing.T) {
+func TestShutdownIgnoresConnectionsWithoutRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &snipestand.Network{}
 		s := startServer(n, listener{connections: 2, handler: http.NotFoundHandler()})
--- a/snipeinstance/stop_test.go
+++ b/snipeinstance/stop_test.go
@@ -94,9 +94,9 @@
 	}
 }
 
-// TestKeptConnectionsMove guards against a balancer that keeps its connections to a stopping
+// TestKeptConnectionsAreClosedDuringStop guards against a balancer that keeps its connections to a stopping
 // instance: answers during a stop carry "Connection: close".
-func TestKeptConnectionsMove(t *testing.T) {
+func TestKeptConnectionsAreClosedDuringStop(t *testing.T) {
 	var p phase
 	h := p.closeWhenStopping(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	for _, want := range []string{"", "close"} {
--- a/snipeinstance/whole_test.go
+++ b/snipeinstance/whole_test.go
@@ -44,9 +44,9 @@
 	return f
 }
 
-// TestWholeOverTLS checks that callers and peers are served over TLS, and that a caller or a peer
+// TestSystemOverTLS checks that callers and peers are served over TLS, and that a caller or a peer
 // without TLS is refused.
-func TestWholeOverTLS(t *testing.T) {
+func TestSystemOverTLS(t *testing.T) {
 	peers := writeFiles(t)
 	callers := peers
 	callers.Authority = ""
@@ -69,10 +69,10 @@
 	must.Eq(t, http.StatusBadRequest, response.StatusCode)
 }
 
-// TestWholeStop guards against calls that fail in a planned stop: the owner of the engine stops
+// TestSystemStop guards against calls that fail in a planned stop: the owner of the engine stops
 // while it answers a call forwarded by the other instance. The answer must be complete, and the
 // other instance must take the engine over.
-func TestWholeStop(t *testing.T) {
+func TestSystemStop(t *testing.T) {
 	s := newSystem(t, func(c *snipeconfig.Config) { c.StopNotice = snipejson.Duration(100 * time.Millisecond) })
 	s.waitAnswers(t)
 	owner := 0
@@ -107,9 +107,9 @@
 	wait(t, func() bool { return s.complete(s.paths[2]) == nil })
 }
 
-// TestWholeStopWithoutTable guards against a stop that hangs while the table is down, when engines
+// TestSystemStopWithoutTable guards against a stop that hangs while the table is down, when engines
 // cannot be handed over. It also checks that no secret is logged.
-func TestWholeStopWithoutTable(t *testing.T) {
+func TestSystemStopWithoutTable(t *testing.T) {
 	s := newSystem(t, func(c *snipeconfig.Config) {
 		c.StopNotice = snipejson.Duration(100 * time.Millisecond)
 		c.Lease = snipejson.Duration(time.Second)
--- a/snipejson/snipejson_test.go
+++ b/snipejson/snipejson_test.go
@@ -74,9 +74,9 @@
 	return deepest + 1
 }
 
-// TestRefusalsNameThePlace checks that the error of a rejected document contains what an operator
+// TestErrorsNameField checks that the error of a rejected document contains what an operator
 // needs to find the fault: the path of the field, or the rule that was violated.
-func TestRefusalsNameThePlace(t *testing.T) {
+func TestErrorsNameField(t *testing.T) {
 	cases := map[string]struct{ data, want string }{
 		"unknown field":      {`{"Title":"a"}`, "Title"},
 		"duplicate":          {`{"Inner":{"Name":"a","Name":"b"}}`, "Inner.Name"},
--- a/snipelease/plan_test.go
+++ b/snipelease/plan_test.go
@@ -8,10 +8,10 @@
 	"snipepitch.example/snipepitch/snipemember"
 )
 
-// TestSuspectLeavesRoom checks that suspects do not count in the even share. If they counted while
+// TestSuspectNotInEvenShare checks that suspects do not count in the even share. If they counted while
 // all instances own an even share, a suspect's engine would have no candidate until the suspect is
 // declared dead.
-func TestSuspectLeavesRoom(t *testing.T) {
+func TestSuspectNotInEvenShare(t *testing.T) {
 	members := []snipemember.Member{
 		{Name: "one"}, {Name: "two", Status: snipemember.Suspect}, {Name: "three"},
 	}
--- a/snipelink/snipelink_test.go
+++ b/snipelink/snipelink_test.go
@@ -137,10 +137,10 @@
 	}
 }
 
-// TestNeverTwice checks that a request is not sent again when the upstream reads it from a reused
+// TestNoRetryOnReusedConnection checks that a request is not sent again when the upstream reads it from a reused
 // connection and closes the connection without an answer. The error must not be ErrNotSent, since
 // the caller would then send the request again and it could run twice.
-func TestNeverTwice(t *testing.T) {
+func TestNoRetryOnReusedConnection(t *testing.T) {
 	u := newUpstream(t, goodAnswer, "")
 	p := newPool()
 	_, _, err := exchange(t, p, u.address)
--- a/snipelog/buffer_test.go
+++ b/snipelog/buffer_test.go
@@ -21,9 +21,9 @@
 	return len(p), nil
 }
 
-// TestStuckReader guards against a log whose reader has stopped blocking calls or the end of the
+// TestBlockedLogReader guards against a log whose reader has stopped blocking calls or the end of the
 // process.
-func TestStuckReader(t *testing.T) {
+func TestBlockedLogReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := blockedWriter{make(chan struct{})}
 		b := snipelog.NewBuffer(w)
--- a/snipemirror/snipemirror_test.go
+++ b/snipemirror/snipemirror_test.go
@@ -301,9 +301,9 @@
 	})
 }
 
-// TestNear checks that another instance's copy is read instead of the store while the copy is
+// TestReadPeerCopy checks that another instance's copy is read instead of the store while the copy is
 // fresh, and that the store is read at once if the copy is too old or cannot be read.
-func TestNear(t *testing.T) {
+func TestReadPeerCopy(t *testing.T) {
 	tests := map[string]struct {
 		page  snipemirror.Page
 		err   error
@@ -418,9 +418,9 @@
 	})
 }
 
-// TestStoreLeftToOthers checks that an instance for which Rare reports true reads the store
+// TestRareStoreReads checks that an instance for which Rare reports true reads the store
 // seldom while it does not answer, and receives new rows from other instances.
-func TestStoreLeftToOthers(t *testing.T) {
+func TestRareStoreReads(t *testing.T) {
 	tests := map[string]struct {
 		rare        bool
 		least, most int // reads of the store in 12 s
--- a/snipeowner/outage_test.go
+++ b/snipeowner/outage_test.go
@@ -59,11 +59,11 @@
 	}
 }
 
-// TestOutageEnds simulates outages of the store for 40 instances, most of which are on standby
+// TestOutageRecovery simulates outages of the store for 40 instances, most of which are on standby
 // and not all asked for lease extensions. After an outage other instances may read the rows
 // before an owner that continued renews; none of them may order its engines. In these seeds of
 // the first 60 an instance on standby took over an engine before its owner had renewed.
-func TestOutageEnds(t *testing.T) {
+func TestOutageRecovery(t *testing.T) {
 	for _, seed := range []uint64{5, 12, 14, 36, 52} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/snipeowner/snipeowner_test.go
+++ b/snipeowner/snipeowner_test.go
@@ -26,9 +26,9 @@
 	})
 }
 
-// TestStrongOwn checks that instances with at least twice the power of the others own all
+// TestStrongInstancesOwn checks that instances with at least twice the power of the others own all
 // engines if there are enough of them, and that weak instances own engines too if there are not.
-func TestStrongOwn(t *testing.T) {
+func TestStrongInstancesOwn(t *testing.T) {
 	tests := map[string]struct {
 		strong   int
 		weakOwns bool
@@ -89,9 +89,9 @@
 	})
 }
 
-// TestOwnersAtSize checks that above a few hundred engines the number of owners does not grow
+// TestOwnerCount checks that above a few hundred engines the number of owners does not grow
 // with the engines, as long as each owner has capacity to take over engines of lost owners.
-func TestOwnersAtSize(t *testing.T) {
+func TestOwnerCount(t *testing.T) {
 	tests := map[string]struct{ engines, least, most int }{
 		"Few": {12, 6, 9}, "Today": {84, 10, 12}, "Planned": {600, 30, 45}, "Thousands": {3000, 45, 60},
 	}
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestCopyBehind guards against an instance that loses its engines because it reads the rows from
+// TestStaleCopy guards against an instance that loses its engines because it reads the rows from
 // a copy that does not yet contain its own last write.
-func TestCopyBehind(t *testing.T) {
+func TestStaleCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulation(t, 5, 2, 4)
 		defer s.shutDown()
@@ -176,9 +176,9 @@
 	})
 }
 
-// TestLeftWritesNoMore guards against an instance that keeps writing its row while its last
+// TestNoRenewalAfterLeave guards against an instance that keeps writing its row while its last
 // requests end, although it has released all engines and its row states that it is leaving.
-func TestLeftWritesNoMore(t *testing.T) {
+func TestNoRenewalAfterLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulation(t, 3, 1, 6)
 		defer s.shutDown()
@@ -206,9 +206,9 @@
 	})
 }
 
-// TestNoTurnsOverStart guards against an instance that releases engines, restarts, and orders them
+// TestOrderGapAcrossRestart guards against an instance that releases engines, restarts, and orders them
 // again within OrderGap, since it has no record of the orders before its restart.
-func TestNoTurnsOverStart(t *testing.T) {
+func TestOrderGapAcrossRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulation(t, 6, 2, 6)
 		defer s.shutDown()
--- a/snipeowner/start_test.go
+++ b/snipeowner/start_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestOwnerStartsAgain checks that a restarted instance orders its own engines without waiting
+// TestOwnerRestarts checks that a restarted instance orders its own engines without waiting
 // for the end of its previous lease.
-func TestOwnerStartsAgain(t *testing.T) {
+func TestOwnerRestarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulation(t, 4, 1, 3)
 		defer s.shutDown()
@@ -40,9 +40,9 @@
 	})
 }
 
-// TestStartBesideDirectory guards against the same delay when the engines become known during the
+// TestStartDuringDirectoryRead guards against the same delay when the engines become known during the
 // write of the first step.
-func TestStartBesideDirectory(t *testing.T) {
+func TestStartDuringDirectoryRead(t *testing.T) {
 	// A read of the rows takes up to 600 ms here.
 	const limit = 700 * time.Millisecond
 	for directoryDelay := time.Duration(0); directoryDelay < 40*time.Millisecond; directoryDelay += 2 * time.Millisecond {
--- a/snipepeer/snipepeer_test.go
+++ b/snipepeer/snipepeer_test.go
@@ -335,10 +335,10 @@
 	}
 }
 
-// TestRefusalOnKeptConnection guards against the write deadline of an earlier hop
+// TestRefusalOnReusedConnection guards against the write deadline of an earlier hop
 // cutting off a refusal on the same connection. The call would then be reported as
 // "may have run".
-func TestRefusalOnKeptConnection(t *testing.T) {
+func TestRefusalOnReusedConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(t)
 		sink, _ := collect()
--- a/snipepolicy/policy_test.go
+++ b/snipepolicy/policy_test.go
@@ -62,9 +62,9 @@
 	return names, all
 }
 
-// TestToday guards against a change that makes the current policy too slow: on the steady trace its
+// TestCurrentPolicy guards against a change that makes the current policy too slow: on the steady trace its
 // sum of stalls must be below a third of the naive baseline's, and it must answer more tokens.
-func TestToday(t *testing.T) {
+func TestCurrentPolicy(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
 			tr := newTrace(d, steady, *seed)
--- a/snipequarantine/interleaving_test.go
+++ b/snipequarantine/interleaving_test.go
@@ -87,10 +87,10 @@
 	}
 }
 
-// TestInnocentWhileInstancesDie kills one instance and, once the others have settled,
+// TestHarmlessWhileInstancesDie kills one instance and, once the others have settled,
 // another one. It guards against a third crash by one call and against a harmless call
 // that is quarantined.
-func TestInnocentWhileInstancesDie(t *testing.T) {
+func TestHarmlessWhileInstancesDie(t *testing.T) {
 	for seed := range uint64(interleavings) {
 		runSeed(t, seed, func(t *testing.T) {
 			cl := newCluster(6)
@@ -124,11 +124,11 @@
 	})
 }
 
-// TestBoundWitnessDies kills the caller's instance, which also owns the upstream and
+// TestBoundOwnerDies kills the caller's instance, which also owns the upstream and
 // coordinates the fingerprint, at or soon after the crash. The same call is then
 // repeated through all other instances. It guards against a crash whose record dies
 // with that instance.
-func TestBoundWitnessDies(t *testing.T) {
+func TestBoundOwnerDies(t *testing.T) {
 	for name, after := range map[string]time.Duration{
 		"at the crash":            0,
 		"before the news spreads": 50 * time.Millisecond,
--- a/snipequarantine/wire_test.go
+++ b/snipequarantine/wire_test.go
@@ -52,7 +52,7 @@
 	must.True(t, r.IsSuspect(Fingerprint{2}))
 }
 
-func TestWireRefuses(t *testing.T) {
+func TestWireRejects(t *testing.T) {
 	_, client := newRemote(t)
 	good := Attempt{ID: "a", Upstream: "u"}
 	long := good
--- a/snipequota/faults_test.go
+++ b/snipequota/faults_test.go
@@ -81,9 +81,9 @@
 	})
 }
 
-// TestLowered guards against a quota that is lowered far below the demand and does not apply once
+// TestQuotaLowered guards against a quota that is lowered far below the demand and does not apply once
 // all instances have read it, or that is raised again and is not used at once.
-func TestLowered(t *testing.T) {
+func TestQuotaLowered(t *testing.T) {
 	lower := snipecatalog.Quota{PerSecond: 40_000, Burst: 40_000, Tokens: true}
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 66, large)
@@ -101,9 +101,9 @@
 	})
 }
 
-// TestReturned guards against units of requests that did not run and cannot be taken again, and
+// TestUnitsReturned guards against units of requests that did not run and cannot be taken again, and
 // against requests that ran twice and count only once.
-func TestReturned(t *testing.T) {
+func TestUnitsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 5, 3, small)
 		defer c.stopAll()
--- a/snipequota/ways_test.go
+++ b/snipequota/ways_test.go
@@ -169,10 +169,10 @@
 	"EvenShare": {evenShare, []int{66}}, "LateSum": {delayedSum, []int{66}}, "Granted": {granted, []int{9, 66}},
 }
 
-// TestWays runs the loads with each method. It guards against a method of this package that exceeds
+// TestMethods runs the loads with each method. It guards against a method of this package that exceeds
 // the bound of the quota, or that refuses more than a twentieth of what the quota allows although
 // the instances reach each other.
-func TestWays(t *testing.T) {
+func TestMethods(t *testing.T) {
 	// withoutIssuer are the loads in which instances reach no issuer for a while.
 	withoutIssuer := map[string]bool{"ThirdCut": true, "IssuerFrozen": true, "AllKilled": true, "Replaced": true}
 	for name, l := range loads {
@@ -193,9 +193,9 @@
 	}
 }
 
-// TestHundreds guards against the same failures for a workspace that sends four times its quota to
+// TestThreeHundredInstances guards against the same failures for a workspace that sends four times its quota to
 // three hundred instances.
-func TestHundreds(t *testing.T) {
+func TestThreeHundredInstances(t *testing.T) {
 	maxUse, early := runLoad(t, 300, loads["Hot"], granted)
 	must.LessEq(t, 1, maxUse)
 	must.LessEq(t, 0.05, early)
--- a/snipereplay/judge_test.go
+++ b/snipereplay/judge_test.go
@@ -89,9 +89,9 @@
 	return p.Run(t.Context(), []snipetrace.Record{r})[0]
 }
 
-// TestJudgeAnswers guards against wrong answers and refusals that the replay accepts,
+// TestCheckAnswers guards against wrong answers and refusals that the replay accepts,
 // and against right ones that it reports as breaches.
-func TestJudgeAnswers(t *testing.T) {
+func TestCheckAnswers(t *testing.T) {
 	tests := map[string]struct {
 		record snipetrace.Record
 		system func() (*http.Response, error)
@@ -182,9 +182,9 @@
 	}
 }
 
-// TestRepeats guards against retries that could run a call twice, missing retries, and
+// TestRetries guards against retries that could run a call twice, missing retries, and
 // retries at the same instance.
-func TestRepeats(t *testing.T) {
+func TestRetries(t *testing.T) {
 	notRun := func() (*http.Response, error) { return failure(snipeerror.ErrNoUpstream, snipeerror.NotRun) }
 	mayHaveRun := func() (*http.Response, error) { return failure(snipeerror.ErrIncomplete, snipeerror.MayHaveRun) }
 	keySpent := func() (*http.Response, error) { return failure(snipeerror.ErrDuplicate, snipeerror.MayHaveRun) }
@@ -333,9 +333,9 @@
 func (*recorder) Header() http.Header { return http.Header{} }
 func (*recorder) WriteHeader(int)     {}
 
-// TestAuditNotWhole guards against an audit that passes although an upstream has dropped
+// TestAuditIncomplete guards against an audit that passes although an upstream has dropped
 // executions from its record.
-func TestAuditNotWhole(t *testing.T) {
+func TestAuditIncomplete(t *testing.T) {
 	_, err := audit(t, snipestand.ExecutedList{Dropped: 1})
 	must.ErrorIs(t, err, snipereplay.ErrAudit)
 }
--- a/sniperoute/route_test.go
+++ b/sniperoute/route_test.go
@@ -19,10 +19,10 @@
 	return all
 }
 
-// TestFewMoves checks that the removal of an engine moves only the adapters whose home it was, and
+// TestEngineRemovalMovesFewAdapters checks that the removal of an engine moves only the adapters whose home it was, and
 // that these spread over the remaining engines. A ranking that depended on the number of engines
 // would move most adapters.
-func TestFewMoves(t *testing.T) {
+func TestEngineRemovalMovesFewAdapters(t *testing.T) {
 	all := engines(12)
 	without := engines(12)
 	without[3].Usable = false
--- a/snipesignal/rest_test.go
+++ b/snipesignal/rest_test.go
@@ -17,10 +17,10 @@
 	return snipesignal.Signal{Backoff: backoff}
 }
 
-// TestRest guards against requests to an upstream during the backoff that it asked for, also when
+// TestBackoff guards against requests to an upstream during the backoff that it asked for, also when
 // it asks for a shorter backoff after a longer one, and against all waiting requests being sent at
 // once when the backoff ends.
-func TestRest(t *testing.T) {
+func TestBackoff(t *testing.T) {
 	type step struct {
 		// at is when the step happens, and signal is the signal that arrives then; nil for none.
 		at     time.Duration
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestRestIsOnesOwn guards against a backoff that also stops instances other than the one that the
+// TestBackoffAppliesToOneInstance guards against a backoff that also stops instances other than the one that the
 // upstream asked for it.
-func TestRestIsOnesOwn(t *testing.T) {
+func TestBackoffAppliesToOneInstance(t *testing.T) {
 	asked, other := &snipesignal.Tracker{}, &snipesignal.Tracker{}
 	asked.Record(upstream, time.Now(), backoffSignal(second))
 	other.Merge(asked.PendingUpdates())
@@ -69,9 +69,9 @@
 	must.True(t, other.Open(upstream))
 }
 
-// TestRestNotSent guards against requests that are held up because the first request after a
+// TestBackoffProbeNotSent guards against requests that are held up because the first request after a
 // backoff took the send slot and could not be sent.
-func TestRestNotSent(t *testing.T) {
+func TestBackoffProbeNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipesignal.Tracker{}
 		b.Record(upstream, time.Now(), backoffSignal(second))
@@ -84,9 +84,9 @@
 	})
 }
 
-// TestPromiseAfterRest guards against retry times of refused callers that lie within the backoff,
+// TestRetryTimesAfterBackoff guards against retry times of refused callers that lie within the backoff,
 // or all at the same moment after it.
-func TestPromiseAfterRest(t *testing.T) {
+func TestRetryTimesAfterBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipesignal.Tracker{}
 		b.Record(upstream, time.Now(), backoffSignal(3*second))
--- a/snipesignal/world_test.go
+++ b/snipesignal/world_test.go
@@ -169,10 +169,10 @@
 	return float64(n) / time.Since(since).Seconds()
 }
 
-// TestLimitAtSize guards against more requests than an overloaded upstream accepts, at any number
+// TestLimitAtScale guards against more requests than an overloaded upstream accepts, at any number
 // of instances that were notified of the limit and wherever their callers are. It also guards
 // against a limit that the instances with callers hardly use.
-func TestLimitAtSize(t *testing.T) {
+func TestLimitAtScale(t *testing.T) {
 	for _, count := range []int{1, 3, 7, 66, 300} {
 		for _, limit := range []float64{0, 0.5, 3, 60} {
 			for _, among := range []int{1, 3} {
@@ -196,9 +196,9 @@
 	}
 }
 
-// TestLimitAfterQuiet guards against a burst after an idle time: while there was nothing to send,
+// TestLimitAfterIdle guards against a burst after an idle time: while there was nothing to send,
 // all shares became available, and all are used at once.
-func TestLimitAfterQuiet(t *testing.T) {
+func TestLimitAfterIdle(t *testing.T) {
 	for _, count := range []int{7, 66, 300} {
 		for _, limit := range []float64{0, 0.5, 3, 60} {
 			t.Run(fmt.Sprintf("%dInstances/%gASecond", count, limit), func(t *testing.T) {
@@ -242,9 +242,9 @@
 	}
 }
 
-// TestLimitInTroubles guards against more requests than allowed while new instances have discovered
+// TestLimitUnderFaults guards against more requests than allowed while new instances have discovered
 // few others, some instances are partitioned, and the limit rises and falls.
-func TestLimitInTroubles(t *testing.T) {
+func TestLimitUnderFaults(t *testing.T) {
 	for _, count := range []int{7, 66, 300} {
 		for _, limit := range []float64{0.5, 3, 60} {
 			for seed := range uint64(3) {
@@ -280,9 +280,9 @@
 	}
 }
 
-// TestEndIsToldAgain guards against an instance that sends an upstream nothing for minutes because
+// TestLimitEndAnnouncedAgain guards against an instance that sends an upstream nothing for minutes because
 // the single update about the end of a limit was lost.
-func TestEndIsToldAgain(t *testing.T) {
+func TestLimitEndAnnouncedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipesignal.Tracker{}
 		b.Record(upstream, time.Now(), snipesignal.Signal{Limit: 3, Limited: true})
@@ -301,10 +301,10 @@
 	})
 }
 
-// TestNewsOfTwo guards against a signal that is never passed on: this instance received it from the
+// TestUpdateMergedWithOwnSignal guards against a signal that is never passed on: this instance received it from the
 // upstream, and before it notified the others, one of them reported another state of the same
 // upstream.
-func TestNewsOfTwo(t *testing.T) {
+func TestUpdateMergedWithOwnSignal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipesignal.Tracker{}
 		b.Record(upstream, time.Now(), snipesignal.Signal{Leaving: true})
--- a/snipeslot/interleaving_test.go
+++ b/snipeslot/interleaving_test.go
@@ -187,9 +187,9 @@
 	}
 }
 
-// TestPlayServes checks that a simulation serves calls: without served calls,
+// TestSimulationServes checks that a simulation serves calls: without served calls,
 // TestInterleavings would pass without checking anything.
-func TestPlayServes(t *testing.T) {
+func TestSimulationServes(t *testing.T) {
 	sm := &simulation{faultPercent: 10, restart: true, outage: true, source: rand.New(rand.NewPCG(1, 0))}
 	synctest.Test(t, func(t *testing.T) { must.Eq(t, "", sm.run()) })
 	must.Greater(t, 50, sm.served)
--- a/snipeslot/wait_test.go
+++ b/snipeslot/wait_test.go
@@ -50,10 +50,10 @@
 	})
 }
 
-// TestLateIsToldAtOnce checks that a call whose deadline is before the expected
+// TestExpectedAfterDeadlineFailsAtOnce checks that a call whose deadline is before the expected
 // end of the load fails at once with the expected time, and that the queued
 // load is canceled when its last waiter has left.
-func TestLateIsToldAtOnce(t *testing.T) {
+func TestExpectedAfterDeadlineFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _, budgetCalls := slotsAwaitingPermission(newFakeEngine(1, true))
 		defer s.Close()
@@ -85,9 +85,9 @@
 	})
 }
 
-// TestOneOffDoesNotPushOutHot checks that the adapter of lowest value is
+// TestLowestValueIsEvicted checks that the adapter of lowest value is
 // evicted, not the least recently used one.
-func TestOneOffDoesNotPushOutHot(t *testing.T) {
+func TestLowestValueIsEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngine(2, true)
 		s := newFakeOwners(f).takeOver()
--- a/snipesoak/caller.go
+++ b/snipesoak/caller.go
@@ -153,7 +153,7 @@
 func (s *Soak) audit() {
 	ran := map[string]int{}
 	for _, r := range s.runners {
-		for id, n := range r.Ran() {
+		for id, n := range r.RunCounts() {
 			ran[id] += n
 		}
 		s.auditKeys(r)
@@ -191,7 +191,7 @@
 // fall, and that instances did not alternate in sending orders to an engine. Orders of a process
 // that has just been resumed do not count.
 func (s *Soak) auditOrders(engine string, r *runner) {
-	orders, overfull := r.Taken()
+	orders, overfull := r.AcceptedOrders()
 	if overfull > 0 {
 		s.breach("never more adapters than fit", "%s: %d times", engine, overfull)
 	}
--- a/snipesoak/faults.go
+++ b/snipesoak/faults.go
@@ -209,13 +209,13 @@
 	mode := modes[r.IntN(len(modes))]
 	s.store.SetMode(mode)
 	time.Sleep(d)
-	s.store.SetMode(snipestand.StoreServes)
+	s.store.SetMode(snipestand.StoreNormal)
 	return fmt.Sprint("mode ", mode)
 }
 
 var upstreamFaults = []snipestand.RunnerFault{
-	snipestand.RunnerErrors, snipestand.RunnerSheds, snipestand.RunnerResets, snipestand.RunnerTears,
-	snipestand.RunnerForeign, snipestand.RunnerUnsealed, snipestand.RunnerLosesOrders, snipestand.RunnerLateOrders,
+	snipestand.RunnerErrors, snipestand.RunnerRefuses, snipestand.RunnerResets, snipestand.RunnerTruncates,
+	snipestand.RunnerWrongID, snipestand.RunnerUnsigned, snipestand.RunnerLosesOrders, snipestand.RunnerLateOrders,
 }
 
 // disruptUpstreams makes the upstreams fail a random number of requests or orders.
@@ -225,7 +225,7 @@
 	n := 1 + r.IntN(maxFaultyRequests)
 	s.faults.Set(f, n)
 	time.Sleep(d)
-	s.faults.Set(snipestand.RunnerWorks, 0)
+	s.faults.Set(snipestand.RunnerNoFault, 0)
 	return fmt.Sprint("fault ", f, " of ", n)
 }
 
@@ -251,9 +251,9 @@
 	adapter := fmt.Sprint("a", r.IntN(adapters))
 	version := time.Now().UnixMilli()
 	for _, u := range s.runners {
-		u.Announce(adapter, version)
+		u.SetNewestVersion(adapter, version)
 	}
-	if err := s.store.NameVersion("base", adapter, version); err != nil {
+	if err := s.store.DeclareVersion("base", adapter, version); err != nil {
 		return err.Error()
 	}
 	return adapter
@@ -262,15 +262,15 @@
 // restartUpstream simulates a restart of an upstream, which keeps its identifier.
 func restartUpstream(s *Soak, r *rand.Rand, _ time.Duration) string {
 	u := s.runners[r.IntN(len(s.runners))]
-	u.StartAgain()
+	u.Restart()
 	return u.ID
 }
 
 // writeInvalidEntry makes an upstream's entry in the registry invalid for d.
 func writeInvalidEntry(s *Soak, r *rand.Rand, d time.Duration) string {
 	u := s.runners[r.IntN(len(s.runners))]
-	u.WriteNonsense(true)
+	u.SetInvalidEntry(true)
 	time.Sleep(d)
-	u.WriteNonsense(false)
+	u.SetInvalidEntry(false)
 	return u.ID
 }
--- a/snipesoak/instance_test.go
+++ b/snipesoak/instance_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestNoPort guards against an endless search when no free port can be drawn.
-func TestNoPort(t *testing.T) {
+// TestNoFreePort guards against an endless search when no free port can be drawn.
+func TestNoFreePort(t *testing.T) {
 	all := []*instance{{}}
 	must.Error(t, reservePorts(all, func() uint16 { return lowestPort }))
 }
--- a/snipesoak/pulse_test.go
+++ b/snipesoak/pulse_test.go
@@ -8,9 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestPulse guards against a soak that attributes a stall of the machine to the instances: delays
+// TestStallMonitor guards against a soak that attributes a stall of the machine to the instances: delays
 // from minStall on are summed and printed, shorter ones are not.
-func TestPulse(t *testing.T) {
+func TestStallMonitor(t *testing.T) {
 	var out strings.Builder
 	p := &stallMonitor{Out: &out}
 	now := time.Date(2000, time.January, 1, 12, 0, 0, 0, time.UTC)
--- a/snipesoak/signal.go
+++ b/snipesoak/signal.go
@@ -24,18 +24,18 @@
 func announceLimit(s *Soak, r *rand.Rand, d time.Duration) string {
 	u := s.runners[r.IntN(len(s.runners))]
 	limit := float64(1+r.IntN(maxLimitHalves)) / 2
-	u.NameLimit(limit)
+	u.AnnounceLimit(limit)
 	time.Sleep(d + extraLimitLength)
-	u.NameNoLimit()
+	u.AnnounceNoLimit()
 	return fmt.Sprint(u.ID, " ", limit, " a second")
 }
 
 // announceLeaving makes an upstream signal in its answers that it leaves, and restarts it after d.
 func announceLeaving(s *Soak, r *rand.Rand, d time.Duration) string {
 	u := s.runners[r.IntN(len(s.runners))]
-	u.SayLeaving()
+	u.AnnounceLeaving()
 	time.Sleep(d)
-	u.StartAgain()
+	u.Restart()
 	return u.ID
 }
 
@@ -43,9 +43,9 @@
 func requestBackoff(s *Soak, r *rand.Rand, d time.Duration) string {
 	u := s.runners[r.IntN(len(s.runners))]
 	backoff := time.Duration(1+r.IntN(maxBackoffTenths)) * time.Second / 10
-	u.AskRest(backoff)
+	u.SetBackoff(backoff)
 	time.Sleep(d)
-	u.AskRest(0)
+	u.SetBackoff(0)
 	return fmt.Sprint(u.ID, " ", backoff)
 }
 
@@ -91,7 +91,7 @@
 	for promise, breaches := range map[string][]string{
 		"no more than an upstream takes": snipestand.LimitBreaches(arrivals, senderOf, excused),
 		"nothing for one that leaves":    snipestand.LeavingBreaches(arrivals, maxDrainDelay, senderOf, excused),
-		"nothing for one that rests":     snipestand.RestBreaches(arrivals, senderOf, excused),
+		"nothing for one that rests":     snipestand.BackoffBreaches(arrivals, senderOf, excused),
 	} {
 		for _, breach := range breaches {
 			s.breach(promise, "%s: %s", r.ID, breach)
--- a/snipesoak/snipesoak.go
+++ b/snipesoak/snipesoak.go
@@ -149,8 +149,8 @@
 	for n := range engines + plainUpstreams {
 		r := &snipestand.Runner{
 			ID: fmt.Sprint("e", n), Service: "engines", Model: "base", Slots: slots, Faults: &s.faults,
-			Load: 60 * time.Millisecond, Event: 5 * time.Millisecond, Events: events,
-			Late: lateOrderDelay,
+			LoadDuration: 60 * time.Millisecond, EventInterval: 5 * time.Millisecond, Events: events,
+			LateOrderDelay: lateOrderDelay,
 		}
 		if n >= engines {
 			r.ID, r.Service, r.Model = fmt.Sprint("p", n), "plain", ""
@@ -214,7 +214,7 @@
 func (s *Soak) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, r := range s.runners {
-			if err := r.Beat(s.store); err != nil {
+			if err := r.SendHeartbeat(s.store); err != nil {
 				s.breach("the soak itself", "entry: %v", err)
 			}
 		}
@@ -237,7 +237,7 @@
 	return s.store.Declare(snipestand.Declared{
 		Version: s.version,
 		Routes: []snipestand.DeclaredRoute{
-			route("/once/", snipestand.RouteOnce, "plain", false), route("/often/", snipestand.RouteOften, "plain", false),
+			route("/once/", snipestand.RouteNonIdempotent, "plain", false), route("/often/", snipestand.RouteIdempotent, "plain", false),
 			route("/draft/", snipestand.RouteStream, "engines", true), route("/final/", snipestand.RouteStream, "engines", false),
 		},
 		Services: []snipestand.DeclaredService{
--- a/snipestand/declare.go
+++ b/snipestand/declare.go
@@ -22,9 +22,9 @@
 
 // The kinds of routes, as declared in DeclaredRoute.Kind.
 const (
-	RouteOnce   = "non_idempotent"
-	RouteOften  = "idempotent"
-	RouteStream = "streaming"
+	RouteNonIdempotent = "non_idempotent"
+	RouteIdempotent    = "idempotent"
+	RouteStream        = "streaming"
 )
 
 // DeclaredService is a service as operators declare it.
@@ -71,8 +71,8 @@
 // Declare writes a version of the operators' configuration to the store.
 func (s *RowStore) Declare(d Declared) error { return s.Put("op", "config", d) }
 
-// NameVersion declares a new version of an adapter in the store.
-func (s *RowStore) NameVersion(model, adapter string, version int64) error {
+// DeclareVersion declares a new version of an adapter in the store.
+func (s *RowStore) DeclareVersion(model, adapter string, version int64) error {
 	return s.Put("op", "version/"+model+"."+adapter, struct {
 		Model   string `json:"model"`
 		Adapter string `json:"adapter"`
--- a/snipestand/executed_test.go
+++ b/snipestand/executed_test.go
@@ -12,10 +12,10 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// TestExecutedOutlivesProcess checks that the record of executions survives a restart of the
+// TestExecutedSurvivesRestart checks that the record of executions survives a restart of the
 // emulator. Otherwise a check for repeated executions would miss a call that ran once before a kill
 // and once after it.
-func TestExecutedOutlivesProcess(t *testing.T) {
+func TestExecutedSurvivesRestart(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "record")
 	for range 2 {
 		var x snipestand.Executed
--- a/snipestand/restrule.go
+++ b/snipestand/restrule.go
@@ -13,20 +13,20 @@
 	maxInBackoff      = 2
 )
 
-// RestBreaches returns a description of each answer that requested a backoff and after which the
+// BackoffBreaches returns a description of each answer that requested a backoff and after which the
 // same instance sent the runner more requests than allowed before the backoff ended. The parameters
 // sender and excused are those of LimitBreaches.
-func RestBreaches(all []Arrival, sender func(id string) string, excused func(instance string, at time.Time) bool) []string {
+func BackoffBreaches(all []Arrival, sender func(id string) string, excused func(instance string, at time.Time) bool) []string {
 	var breaches []string
 	for n, refused := range all {
 		from := sender(refused.ID)
-		if refused.Rest == 0 || excused != nil && excused(from, refused.At) {
+		if refused.Backoff == 0 || excused != nil && excused(from, refused.At) {
 			continue
 		}
 		arrived := 0
 		for _, a := range all[n+1:] {
 			since := a.At.Sub(refused.At)
-			if since > refused.Rest {
+			if since > refused.Backoff {
 				break
 			}
 			if since >= backoffNoticeTime && sender(a.ID) == from && (excused == nil || !excused(from, a.At)) {
@@ -34,7 +34,7 @@
 			}
 		}
 		if arrived > maxInBackoff {
-			breaches = append(breaches, fmt.Sprintf("%d requests of %s in the backoff of %s that the answer to %s requested", arrived, from, refused.Rest, refused.ID))
+			breaches = append(breaches, fmt.Sprintf("%d requests of %s in the backoff of %s that the answer to %s requested", arrived, from, refused.Backoff, refused.ID))
 		}
 	}
 	return breaches
--- a/snipestand/restrule_test.go
+++ b/snipestand/restrule_test.go
@@ -8,14 +8,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestRestBreaches checks which requests RestBreaches counts: those of the refused instance, from
+// TestBackoffBreaches checks which requests RestBreaches counts: those of the refused instance, from
 // half a second after the refusal until the end of the backoff that it asked for.
-func TestRestBreaches(t *testing.T) {
+func TestBackoffBreaches(t *testing.T) {
 	const backoff = 3 * time.Second
 	// at returns a refused request of instance a, and requests that an instance sends at the given
 	// times after it, in milliseconds.
 	at := func(from string, ms ...int) []Arrival {
-		all := []Arrival{{ID: "a/", At: time.Unix(100, 0), Rest: backoff}}
+		all := []Arrival{{ID: "a/", At: time.Unix(100, 0), Backoff: backoff}}
 		for _, n := range ms {
 			all = append(all, Arrival{ID: from + "/", At: time.Unix(100, 0).Add(time.Duration(n) * time.Millisecond)})
 		}
@@ -38,7 +38,7 @@
 		t.Run(name, func(t *testing.T) {
 			sender := func(id string) string { return strings.TrimSuffix(id, "/") }
 			excused := func(string, time.Time) bool { return tt.excused }
-			must.Len(t, tt.want, RestBreaches(tt.arrivals, sender, excused))
+			must.Len(t, tt.want, BackoffBreaches(tt.arrivals, sender, excused))
 		})
 	}
 }
--- a/snipestand/rowstore.go
+++ b/snipestand/rowstore.go
@@ -29,8 +29,8 @@
 
 // The modes of a store.
 const (
-	// StoreServes is the normal mode.
-	StoreServes StoreMode = iota
+	// StoreNormal is the normal mode.
+	StoreNormal StoreMode = iota
 	// StoreRefuses answers 503 and does not execute the call.
 	StoreRefuses
 	// StoreSilent accepts calls and never answers them, nor does it execute them.
--- a/snipestand/runner.go
+++ b/snipestand/runner.go
@@ -24,16 +24,16 @@
 	// Model is the base model that the runner holds, Slots the number of adapters that it can hold.
 	Model string
 	Slots int
-	// Load is the time that a load of an adapter or of the base model takes. Event is the time
+	// LoadDuration is the time that a load of an adapter or of the base model takes. Event is the time
 	// between two events of an answer, Events the number of events of an answer.
-	Load   time.Duration
-	Event  time.Duration
-	Events int
+	LoadDuration  time.Duration
+	EventInterval time.Duration
+	Events        int
 	// Faults holds the faults of the next requests and orders; several runners may share it. Nil
 	// for none.
 	Faults *RunnerFaults
-	// Late is the delay of the execution of an order under RunnerLateOrders.
-	Late time.Duration
+	// LateOrderDelay is the delay of the execution of an order under RunnerLateOrders.
+	LateOrderDelay time.Duration
 
 	lock         sync.Mutex       // guards the fields below
 	held         map[string]int64 // versions of the adapters that it holds
@@ -52,7 +52,7 @@
 	tokens      map[string]int
 	workspaces  map[string]int
 	keyCount    int
-	accepted    []TakenOrder
+	accepted    []AcceptedOrder
 	overcommits int // orders to load that exceeded Slots
 	arrivals    []Arrival
 	limit       float64
@@ -63,8 +63,8 @@
 	backoff time.Duration
 }
 
-// Ran returns the number of times that each request ran, by the identifier of the request.
-func (r *Runner) Ran() map[string]int {
+// RunCounts returns the number of times that each request ran, by the identifier of the request.
+func (r *Runner) RunCounts() map[string]int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	all := make(map[string]int, len(r.runCounts))
@@ -120,31 +120,31 @@
 	return r.adapterNames()
 }
 
-// TakenOrder is an order that a runner has accepted.
-type TakenOrder struct {
+// AcceptedOrder is an order that a runner has accepted.
+type AcceptedOrder struct {
 	Holder string
 	Fence  uint64
 	At     time.Time
 }
 
-// Taken returns the orders that the runner has accepted. Overcommits is the number of orders to
+// AcceptedOrders returns the orders that the runner has accepted. Overcommits is the number of orders to
 // load that exceeded the slots.
-func (r *Runner) Taken() (orders []TakenOrder, overcommits int) {
+func (r *Runner) AcceptedOrders() (orders []AcceptedOrder, overcommits int) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return slices.Clone(r.accepted), r.overcommits
 }
 
-// Leave makes the runner's registry entry state that the runner is draining.
-func (r *Runner) Leave() {
+// Drain makes the runner's registry entry state that the runner is draining.
+func (r *Runner) Drain() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.draining = true
 }
 
-// StartAgain emulates a restart of the runner under the same identifier: it holds no adapters and
+// Restart emulates a restart of the runner under the same identifier: it holds no adapters and
 // no base model, counts its orders from zero, and announces neither a limit nor that it is leaving.
-func (r *Runner) StartAgain() {
+func (r *Runner) Restart() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.startedAt = max(time.Now().UnixMilli(), r.startedAt+1)
@@ -153,15 +153,15 @@
 	clear(r.loading)
 }
 
-// WriteNonsense makes the runner's registry entry invalid, or valid again.
-func (r *Runner) WriteNonsense(on bool) {
+// SetInvalidEntry makes the runner's registry entry invalid, or valid again.
+func (r *Runner) SetInvalidEntry(on bool) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.invalidEntry = on
 }
 
-// Announce sets the newest version of an adapter, which the runner loads if an order names none.
-func (r *Runner) Announce(adapter string, version int64) {
+// SetNewestVersion sets the newest version of an adapter, which the runner loads if an order names none.
+func (r *Runner) SetNewestVersion(adapter string, version int64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if r.newest == nil {
@@ -170,8 +170,8 @@
 	r.newest[adapter] = version
 }
 
-// Beat sends one heartbeat: it writes the runner's registry entry to a store.
-func (r *Runner) Beat(s *RowStore) error {
+// SendHeartbeat sends one heartbeat: it writes the runner's registry entry to a store.
+func (r *Runner) SendHeartbeat(s *RowStore) error {
 	r.lock.Lock()
 	state := "ready"
 	if r.draining {
--- a/snipestand/runneranswer.go
+++ b/snipestand/runneranswer.go
@@ -22,7 +22,7 @@
 		return
 	}
 	f := r.Faults.next(false)
-	if f == RunnerSheds {
+	if f == RunnerRefuses {
 		w.Header().Set("X-Snipepitch-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -61,16 +61,16 @@
 	case RunnerErrors:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
-	case RunnerForeign:
+	case RunnerWrongID:
 		h.Set("X-Snipepitch-Attempt-Id", "another")
-	case RunnerUnsealed:
+	case RunnerUnsigned:
 		h.Del("X-Snipepitch-Server-Seal")
 	}
 	if q.Header.Get("X-Snipepitch-Model") != "" {
 		r.stream(q.Context(), w, q, f)
 		return
 	}
-	if f == RunnerTears {
+	if f == RunnerTruncates {
 		h.Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "torn")
 		panic(http.ErrAbortHandler)
@@ -83,14 +83,14 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	begin, _ := strconv.Atoi(q.Header.Get("Last-Event-Id")) // 0, the start of the answer, if there is none
 	for n := begin + 1; n <= r.Events; n++ {
-		if f == RunnerTears && n == begin+2 {
+		if f == RunnerTruncates && n == begin+2 {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", n)
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: token %d\n\n", n, n)
 		_ = http.NewResponseController(w).Flush()
 		select {
-		case <-time.After(r.Event):
+		case <-time.After(r.EventInterval):
 		case <-ctx.Done():
 			return
 		}
--- a/snipestand/runnerfault.go
+++ b/snipestand/runnerfault.go
@@ -7,20 +7,20 @@
 
 // The faults of a runner. Those before RunnerLosesOrders affect requests, the others orders.
 const (
-	// RunnerWorks means no fault.
-	RunnerWorks RunnerFault = iota
+	// RunnerNoFault means no fault.
+	RunnerNoFault RunnerFault = iota
 	// RunnerErrors runs the request and answers 500 with the runner's signature.
 	RunnerErrors
-	// RunnerSheds refuses the request without running it, and states so.
-	RunnerSheds
+	// RunnerRefuses refuses the request without running it, and states so.
+	RunnerRefuses
 	// RunnerResets runs the request and closes the connection without an answer.
 	RunnerResets
-	// RunnerTears closes the connection in the middle of the answer.
-	RunnerTears
-	// RunnerForeign answers with the identifier of another request.
-	RunnerForeign
-	// RunnerUnsealed answers without the runner's signature.
-	RunnerUnsealed
+	// RunnerTruncates closes the connection in the middle of the answer.
+	RunnerTruncates
+	// RunnerWrongID answers with the identifier of another request.
+	RunnerWrongID
+	// RunnerUnsigned answers without the runner's signature.
+	RunnerUnsigned
 	// RunnerLosesOrders executes orders and closes the connection without an answer.
 	RunnerLosesOrders
 	// RunnerLateOrders closes the connection without an answer and executes the order after the
@@ -46,12 +46,12 @@
 // next returns the fault of the next request or order, and counts it.
 func (f *RunnerFaults) next(order bool) RunnerFault {
 	if f == nil {
-		return RunnerWorks
+		return RunnerNoFault
 	}
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if f.left == 0 || order != (f.fault >= RunnerLosesOrders) {
-		return RunnerWorks
+		return RunnerNoFault
 	}
 	f.left--
 	return f.fault
--- a/snipestand/runnerorder.go
+++ b/snipestand/runnerorder.go
@@ -26,7 +26,7 @@
 	}
 	f := r.Faults.next(true)
 	if f == RunnerLateOrders {
-		time.AfterFunc(r.Late, func() { r.execute(o) })
+		time.AfterFunc(r.LateOrderDelay, func() { r.execute(o) })
 		panic(http.ErrAbortHandler)
 	}
 	status := r.execute(o)
@@ -72,7 +72,7 @@
 	r.accept(o)
 	r.loading[o.Adapter] = target
 	startedAt := r.startedAt
-	time.AfterFunc(r.Load, func() { r.finishLoad(o.Adapter, target, startedAt) })
+	time.AfterFunc(r.LoadDuration, func() { r.finishLoad(o.Adapter, target, startedAt) })
 	return http.StatusAccepted
 }
 
@@ -89,7 +89,7 @@
 	r.accept(o)
 	r.modelNotOrdered = false
 	startedAt := r.startedAt
-	time.AfterFunc(r.Load, func() {
+	time.AfterFunc(r.LoadDuration, func() {
 		r.lock.Lock()
 		defer r.lock.Unlock()
 		r.modelAbsent = r.modelAbsent && r.startedAt != startedAt
@@ -100,7 +100,7 @@
 // accept counts and records an order. The lock is held.
 func (r *Runner) accept(o runnerOrder) {
 	r.orders++
-	r.accepted = append(r.accepted, TakenOrder{Holder: o.Holder, Fence: o.Fence, At: time.Now()})
+	r.accepted = append(r.accepted, AcceptedOrder{Holder: o.Holder, Fence: o.Fence, At: time.Now()})
 }
 
 // finishLoad ends the load of an adapter, unless the runner has started again since the load began.
--- a/snipestand/runnersignal.go
+++ b/snipestand/runnersignal.go
@@ -16,8 +16,8 @@
 	Limited bool
 	// Leaving reports that the answer announces that the runner is leaving.
 	Leaving bool
-	// Rest is the backoff that the answer, a refusal, asks for; zero if the runner does not refuse.
-	Rest time.Duration
+	// Backoff is the backoff that the answer, a refusal, asks for; zero if the runner does not refuse.
+	Backoff time.Duration
 }
 
 // Arrivals returns the requests that have reached the runner, in the order of their arrival.
@@ -27,31 +27,31 @@
 	return slices.Clone(r.arrivals)
 }
 
-// NameLimit makes the runner's answers announce the number of requests per second that the runner
+// AnnounceLimit makes the runner's answers announce the number of requests per second that the runner
 // accepts from all instances together.
-func (r *Runner) NameLimit(perSecond float64) {
+func (r *Runner) AnnounceLimit(perSecond float64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.limit, r.limited = perSecond, true
 }
 
-// NameNoLimit makes the runner's answers announce no limit any more.
-func (r *Runner) NameNoLimit() {
+// AnnounceNoLimit makes the runner's answers announce no limit any more.
+func (r *Runner) AnnounceNoLimit() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.limited = false
 }
 
-// SayLeaving makes the runner's answers announce that the runner is leaving. Its registry entry
+// AnnounceLeaving makes the runner's answers announce that the runner is leaving. Its registry entry
 // does not change.
-func (r *Runner) SayLeaving() {
+func (r *Runner) AnnounceLeaving() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.announcesLeaving = true
 }
 
-// AskRest makes the runner refuse all requests and ask for a backoff; zero ends the refusals.
-func (r *Runner) AskRest(backoff time.Duration) {
+// SetBackoff makes the runner refuse all requests and ask for a backoff; zero ends the refusals.
+func (r *Runner) SetBackoff(backoff time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.backoff = backoff
@@ -63,7 +63,7 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.arrivals = append(r.arrivals, Arrival{
-		ID: q.Header.Get("X-Snipepitch-Attempt-Id"), At: time.Now(), Limit: r.limit, Limited: r.limited, Leaving: r.announcesLeaving, Rest: r.backoff,
+		ID: q.Header.Get("X-Snipepitch-Attempt-Id"), At: time.Now(), Limit: r.limit, Limited: r.limited, Leaving: r.announcesLeaving, Backoff: r.backoff,
 	})
 	if r.announcesLeaving {
 		h.Set("Server-Leaving", "1")
--- a/snipetree/fleet_test.go
+++ b/snipetree/fleet_test.go
@@ -156,10 +156,10 @@
 	return all
 }
 
-// TestInForceEverywhere guards against an instance that still admits calls at the previous
+// TestPropagation guards against an instance that still admits calls at the previous
 // revision 19 s after a change was accepted, because a fault of the table or of the network keeps
 // the change from it.
-func TestInForceEverywhere(t *testing.T) {
+func TestPropagation(t *testing.T) {
 	const size = 9
 	tests := map[string]struct {
 		fault func(f *fleet)
@@ -310,9 +310,9 @@
 	}
 }
 
-// TestWrongBranch guards against a stored document that an instance cannot decode, such as one of a
+// TestUndecodableBranch guards against a stored document that an instance cannot decode, such as one of a
 // later version, replacing the settings of its branch or blocking other branches.
-func TestWrongBranch(t *testing.T) {
+func TestUndecodableBranch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := tableWithPlatform(t)
 		s, fresh := newStore(table), newStore(table)
--- a/snipetree/store_test.go
+++ b/snipetree/store_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestApplyRefusesAcross(t *testing.T) {
+func TestApplyRefusesCrossBranch(t *testing.T) {
 	key := strings.Repeat("ab", 32)
 	tests := map[string]struct {
 		team   string
--- a/snipeupstream/engine_test.go
+++ b/snipeupstream/engine_test.go
@@ -238,9 +238,9 @@
 	}
 }
 
-// TestOtherAdapterIsNotAsked checks that a call under an alias of another adapter
+// TestAliasOfOtherAdapterRefused checks that a call under an alias of another adapter
 // version is refused before anything is sent.
-func TestOtherAdapterIsNotAsked(t *testing.T) {
+func TestAliasOfOtherAdapterRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newScriptedEngine(t)
 		sink, _ := collect()
@@ -251,9 +251,9 @@
 	})
 }
 
-// TestCallerGoneCancels checks that the engine receives a request to cancel the answer when
+// TestCallerLeavingCancelsAnswer checks that the engine receives a request to cancel the answer when
 // the caller leaves, even if the connection of the answer has gone silent.
-func TestCallerGoneCancels(t *testing.T) {
+func TestCallerLeavingCancelsAnswer(t *testing.T) {
 	for name, silent := range map[string]bool{"connection works": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/snipeupstream/report_test.go
+++ b/snipeupstream/report_test.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestStandInTells checks that the client can read the list of models and the metrics of the
+// TestSimulatedEngineReport checks that the client can read the list of models and the metrics of the
 // engine that snipestand simulates.
-func TestStandInTells(t *testing.T) {
+func TestSimulatedEngineReport(t *testing.T) {
 	e := newEngine(t, (&snipestand.Engine{Slots: 1, Batch: 1, TokenTime: 10 * time.Millisecond}).Handler())
 	must.NoError(t, e.Load(t.Context(), "t/a@1#1.1.3", "p", 1))
 	must.ErrorIs(t, e.Load(t.Context(), "t/b@1#1.2.3", "p", 1), ErrOrderRefused)
--- a/snipeupstream/service_test.go
+++ b/snipeupstream/service_test.go
@@ -140,9 +140,9 @@
 	must.Eq(t, 2, send(t, func(s *scriptedEngine) *http.Client { return s.engine.Fresh }))
 }
 
-// TestServiceCallerGone checks that the request at the upstream ends when the
+// TestServiceCallerCancels checks that the request at the upstream ends when the
 // caller cancels its call.
-func TestServiceCallerGone(t *testing.T) {
+func TestServiceCallerCancels(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := false
 		s := newScriptedEngine(t, func(_ http.ResponseWriter, r *http.Request) {
--- a/snipeweight/queue_test.go
+++ b/snipeweight/queue_test.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// TestStormingTeam checks that the load of one team does not wait behind all
+// TestFloodingTeam checks that the load of one team does not wait behind all
 // loads of another team that floods the queue.
-func TestStormingTeam(t *testing.T) {
+func TestFloodingTeam(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPermits("i1", Local("i0", newQueue(1000, 1)))
 		var all sync.WaitGroup
@@ -160,9 +160,9 @@
 	})
 }
 
-// TestHolderGone checks that a requester uses the next holder when the current
+// TestHolderStopsAnswering checks that a requester uses the next holder when the current
 // one stops answering in the middle of a wait.
-func TestHolderGone(t *testing.T) {
+func TestHolderStopsAnswering(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stopped atomic.Bool
 		local := Local("i0", newQueue(1000, 1))
@@ -185,9 +185,9 @@
 	})
 }
 
-// TestPermissionRunsOut checks that loads continue after a requester has died
+// TestPermissionExpires checks that loads continue after a requester has died
 // with a permission or with a queued request of high weight.
-func TestPermissionRunsOut(t *testing.T) {
+func TestPermissionExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(1000, 1)
 		a := q.Ask(t.Context(), Ask{ID: ID{"dead", 1}, Path: "a", Hold: time.Minute})
@@ -202,9 +202,9 @@
 	})
 }
 
-// TestExpectation checks that the expected wait is set soon after a request is
+// TestExpectedWait checks that the expected wait is set soon after a request is
 // queued, and covers the loads ahead of it.
-func TestExpectation(t *testing.T) {
+func TestExpectedWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(1, 1)
 		p := newPermits("i1", Local("i0", q))
