--- a/snipegateway/attempt.go
+++ b/snipegateway/attempt.go
@@ -20,7 +20,7 @@
 const (
 	// maxBuffered bounds, in bytes, an answer that is buffered until it is complete, so that the
 	// request can be sent again if the answer breaks off. A longer answer is forwarded as it
-	// arrives.
+	// arrives. maxBuffered also bounds how much is read of an answer that is discarded.
 	maxBuffered = 1 << 20
 	eventStream = "text/event-stream"
 )
@@ -32,13 +32,14 @@
 	body   []byte
 }
 
-// attempt sends the request to an upstream and delivers its answer.
+// attempt sends the request to the chosen upstream and delivers the answer. It returns nil if the
+// answer was delivered whole.
 func (c *call) attempt(ctx context.Context, choice Choice) error {
 	u := choice.Upstream
 	g := c.gateway
 	c.tried = append(c.tried, u.ID)
 	if now := g.Chooser.Directory.Snapshot().ByID(u.ID); now == nil || now.Leaving {
-		// The upstream was chosen before the request waited for its adapter.
+		// The upstream may have left while the request waited for its adapter to load.
 		return snipeerror.New(snipeerror.ErrNoUpstream, c.outcome(), "the upstream is leaving")
 	}
 	left := time.Until(c.deadline)
@@ -57,8 +58,9 @@
 		Upstream: u, TimeLeft: left, Version: choice.Version, Priority: c.priority(), LastEvent: c.lastEvent,
 		Workspace: c.workspaceName(),
 	}
-	// The use is recorded after the load, at the start and at the end: a recorded use triggers a
-	// report, and the report carries the load.
+	// At the start and at the end of the request, the Balancer's record of requests in flight is
+	// updated before the use is recorded: a recorded use triggers a report to the engine's owner,
+	// and the report contains the weight of the requests in flight.
 	endLoad := g.Balancer.Begin(u.ID, snipebalance.Weight(c.PromptTokens))
 	endUse := g.Chooser.Use(u.ID, c.Adapter)
 	defer func() {
@@ -79,8 +81,8 @@
 	return c.handleAnswer(ctx, d, answer)
 }
 
-// handleAnswer records what an answer states about its upstream, and delivers the answer if the
-// upstream ran the request and signed the answer.
+// handleAnswer records what an answer states about its upstream. It delivers the answer unless the
+// answer states that the upstream did not run the request, or has no signature header.
 func (c *call) handleAnswer(ctx context.Context, d Dispatch, answer *snipelink.Answer) error {
 	g, u := c.gateway, d.Upstream
 	v := g.Protocol.Classify(answer.Response, d)
@@ -114,7 +116,8 @@
 	}
 }
 
-// upstreamRequest returns the request to send to an upstream.
+// upstreamRequest returns the request to send to an upstream, with the caller's method, target and
+// host and a prepared copy of the caller's header.
 func (c *call) upstreamRequest(d Dispatch) *http.Request {
 	h := c.header.Clone()
 	c.gateway.Protocol.Prepare(h, d)
@@ -130,7 +133,7 @@
 	}
 }
 
-// outcome returns whether an upstream may have run the request.
+// outcome returns whether an upstream may have run the request in any attempt so far.
 func (c *call) outcome() snipeerror.Outcome {
 	if c.mayHaveRun > 0 {
 		return snipeerror.MayHaveRun
@@ -138,7 +141,8 @@
 	return snipeerror.NotRun
 }
 
-// handleNoAnswer records an attempt that got no answer and returns its error.
+// handleNoAnswer records an attempt that got no answer and returns its error. The failure is not
+// recorded for the upstream if ctx has ended, because the end of ctx may have caused it.
 func (c *call) handleNoAnswer(ctx context.Context, id string, err error) error {
 	b := c.gateway.Balancer
 	if errors.Is(err, snipelink.ErrNotSent) {
@@ -156,7 +160,8 @@
 }
 
 // handleNotRun records an answer by which the upstream did not run the request, and returns the
-// attempt's error.
+// attempt's error. Without a backoff, the refusal of a request for an adapter is recorded as the
+// absence of the adapter at the engine.
 func (c *call) handleNotRun(answer *snipelink.Answer, d Dispatch, v AnswerState) error {
 	// The answer is read to its end so that the connection can be reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxBuffered))
@@ -175,7 +180,8 @@
 	return snipeerror.New(snipeerror.ErrOverloaded, c.outcome(), reason)
 }
 
-// deliver writes a signed answer to the caller.
+// deliver writes a signed answer to the caller. An answer with a status of 500 or above is instead
+// stored as c.fallback if the request may be repeated.
 func (c *call) deliver(ctx context.Context, id string, answer *snipelink.Answer) error {
 	kind, _, _ := mime.ParseMediaType(answer.Header.Get("Content-Type"))
 	if kind == eventStream && answer.StatusCode == http.StatusOK {
@@ -214,7 +220,8 @@
 	return nil
 }
 
-// writeUnbuffered writes an answer that is too long to be buffered.
+// writeUnbuffered writes an answer that is too long to be buffered: first w, which holds what has
+// been read, then the rest of the answer as it arrives.
 func (c *call) writeUnbuffered(w *bufferedAnswer, answer *snipelink.Answer) error {
 	c.setHeader(w.status, w.header)
 	c.writer.WriteHeader(w.status)
@@ -227,7 +234,8 @@
 	return nil
 }
 
-// setHeader sets the header of the answer to the caller and records the answer's start.
+// setHeader sets the header of the answer to the caller, without sending it, and records the status
+// and the start of the answer.
 func (c *call) setHeader(status int, h http.Header) {
 	out := c.writer.Header()
 	for name, values := range h {
--- a/snipegateway/call.go
+++ b/snipegateway/call.go
@@ -30,8 +30,9 @@
 	// maxTries bounds the upstreams that are tried, including those that cannot be connected to: a
 	// quarter of all upstreams may have just failed.
 	maxTries = 12
-	// loadWaitShare bounds the wait of a request for an adapter, in multiples of its latency
-	// target. Requests that wait longer would delay loads that can still finish in time.
+	// loadWaitShare bounds the expected wait of a request for an adapter, in multiples of the
+	// route's latency target. A load that takes longer comes too late for its request, and would
+	// delay loads that can still finish in time.
 	loadWaitShare = 1
 	// startRetryAfter is the retry time for callers of an instance that does not know its routes
 	// yet, or whose catalog may be outdated.
@@ -63,18 +64,21 @@
 	units     float64
 
 	// tried lists the upstreams that were tried. reached counts the upstreams that the request was
-	// sent to, and mayHaveRun counts those that may have run it.
+	// sent to, at least in part, and mayHaveRun counts the upstreams that may have run it.
 	tried      []string
 	reached    int
 	mayHaveRun int
-	// fullUpstreams counts the upstreams that refused the request for lack of a free slot.
+	// fullUpstreams counts the upstreams that did not run a request without an adapter and asked
+	// for no backoff: they are assumed to have had no free slot.
 	fullUpstreams int
 	// budgetSpent is set while the current attempt is a retry that was charged to the retry budget.
 	budgetSpent bool
-	version     int64
-	waited      time.Duration
-	// busy is the estimated share of occupied slots at the last upstream when it was chosen, and
-	// holders the number of upstreams that could be chosen.
+	// version is the adapter version expected at the last chosen upstream, and waited is how long
+	// the request has waited for adapters to load, over all attempts that chose an upstream.
+	version int64
+	waited  time.Duration
+	// busy is the estimated share of occupied slots, which can exceed 1, at the last upstream when
+	// it was chosen, and holders is the Holders of that choice.
 	busy    float64
 	holders int
 	// sentAt is when the request was last sent.
@@ -113,7 +117,8 @@
 	}
 }
 
-// admit reads the request, finds its route and charges its workspace's quota.
+// admit finds the request's route and workspace, charges the workspace's quota and reads the body.
+// It counts an admitted request for the service's retry budget.
 func (c *call) admit() error {
 	g := c.gateway
 	if g.Stopping() {
@@ -147,7 +152,8 @@
 	return nil
 }
 
-// resolveRoute decodes the caller's header and finds the route in the current catalog.
+// resolveRoute decodes the caller's header and finds the route in the current catalog. It blocks
+// for a short time if no routes or no upstreams are known yet.
 func (c *call) resolveRoute() error {
 	g := c.gateway
 	if g.Catalog.Catalog() == nil || g.Chooser.Directory.Snapshot() == nil {
@@ -184,7 +190,7 @@
 }
 
 // timeout returns the longest time that the request may take: the smaller of the caller's and the
-// route's timeout.
+// route's timeout. If the route has none, defaultTimeout takes its place.
 func (c *call) timeout() time.Duration {
 	d := defaultTimeout
 	if c.route.Timeout > 0 {
@@ -196,7 +202,8 @@
 	return d
 }
 
-// readBody reads the whole body, because it may have to be sent more than once.
+// readBody reads the whole body, until the deadline at the latest, because the body may have to be
+// sent more than once. It refuses a body above the catalog's limit.
 func (c *call) readBody() error {
 	limit := c.catalog.Limits.BodyBytes
 	tooLarge := snipeerror.New(snipeerror.ErrTooLarge, snipeerror.NotRun, "the body is too large")
@@ -260,7 +267,7 @@
 		if err == nil {
 			return nil
 		}
-		if retry := c.shouldRetry(ctx, err); !retry {
+		if retry := c.decideRetry(ctx, err); !retry {
 			return c.finalError(err)
 		}
 		c.gateway.Log.Log(snipelog.RequestSentAgain, snipelog.Fields{
@@ -286,14 +293,18 @@
 // jitter returns a number from 0 to 1, derived from the request's identifier.
 func (c *call) jitter() float64 { return float64(sniperoute.Hash(c.ID)) / math.MaxUint64 }
 
-// maxLoadWait returns how long the request may wait for an adapter. If the load would take longer,
-// the request is refused at once with the time when capacity is expected.
+// maxLoadWait returns how long the load of an adapter for the request is expected to take at most:
+// loadWaitShare latency targets of the route, zero if the route has none, and no longer than until
+// the deadline. If the load would take longer, the request is refused at once with the time when
+// capacity is expected.
 func (c *call) maxLoadWait() time.Duration {
 	return min(time.Until(c.deadline), loadWaitShare*c.route.Target)
 }
 
-// shouldRetry reports whether the request is sent again after an attempt that ended with err.
-func (c *call) shouldRetry(ctx context.Context, err error) bool {
+// decideRetry reports whether the request is sent again after an attempt that ended with err. If
+// so, it charges the retry to the service's retry budget, unless no upstream has received the
+// request.
+func (c *call) decideRetry(ctx context.Context, err error) bool {
 	f := snipeerror.From(err)
 	switch {
 	case errors.Is(f, snipeerror.ErrUnauthenticated):
@@ -309,14 +320,16 @@
 	case c.answerStarted && !c.route.Resumable:
 		return false
 	case c.reached == 0:
-		// A request that no upstream has received puts no retry load on any, so it needs no budget.
+		// No upstream has received the request, so sending it is no retry for any of them and needs
+		// no budget.
 		return true
 	}
 	c.budgetSpent = c.gateway.Budget(c.service).Spend()
 	return c.budgetSpent
 }
 
-// refundUnsent refunds the retry budget for an attempt that reached no upstream.
+// refundUnsent refunds a retry that was charged to the retry budget if its attempt reached no
+// upstream; reached is the value of c.reached before the attempt.
 func (c *call) refundUnsent(reached int) {
 	if c.budgetSpent && c.reached == reached {
 		c.gateway.Budget(c.service).Refund()
--- a/snipegateway/choose.go
+++ b/snipegateway/choose.go
@@ -29,10 +29,13 @@
 	Upstream *snipedirectory.Upstream
 	// Version is the adapter version to expect at the upstream; zero for any version.
 	Version int64
-	// Waited is the time that the request waited for the adapter to load.
+	// Waited is the time that the request waited for the adapter to load; zero if an engine that
+	// held the adapter was chosen.
 	Waited time.Duration
-	// Holders is the number of usable upstreams to choose from: for an adapter, those believed to
-	// hold it.
+	// Holders is the number of usable upstreams to choose from. For an adapter, they are the
+	// engines believed to hold an accepted version, and the number is zero if the adapter was
+	// loaded because the request could be sent to none of them. For a base model of which only
+	// a sample of the engines is compared, they are the engines of the sample.
 	Holders int
 }
 
@@ -48,7 +51,7 @@
 	// version. It returns a snipeadapter.BusyError at once if the load would take longer than
 	// maxWait.
 	Ensure func(ctx context.Context, u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, maxWait time.Duration) (int64, error)
-	// Owned reports whether an engine has an owner that can order loads on it.
+	// Owned reports whether an engine has an owner that can be reached and may order loads on it.
 	Owned func(u *snipedirectory.Upstream) bool
 
 	estimators estimators
@@ -62,7 +65,8 @@
 }
 
 // Choose returns an upstream of a service for a request. It excludes the upstreams in tried, where
-// earlier attempts failed, and waits at most maxWait for an adapter to load.
+// earlier attempts failed, and requests only loads of an adapter that are expected to take at most
+// maxWait. Its errors carry a retry time for the caller.
 func (c *Chooser) Choose(ctx context.Context, service string, q *Request, tried []string, maxWait time.Duration) (Choice, error) {
 	directory := c.Directory.Snapshot()
 	all := directory.Service(service)
@@ -80,6 +84,7 @@
 	return func(u *snipedirectory.Upstream) bool { return !slices.Contains(tried, u.ID) }
 }
 
+// choosePlain returns an upstream of a plain service, which needs no adapter.
 func (c *Chooser) choosePlain(all []*snipedirectory.Upstream, untried snipebalance.Filter) (Choice, error) {
 	u := c.Balancer.Pick(all, untried, nil)
 	if u == nil {
@@ -105,12 +110,16 @@
 	return defaultErr
 }
 
-// noUpstreamError returns the error for a request that no upstream can take.
+// noUpstreamError returns the error for a request that no upstream can take, with a retry time of
+// one second.
 func noUpstreamError(reason string) *snipeerror.CallError {
 	return snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, reason).After(time.Second)
 }
 
-// chooseEngine returns an engine that holds the request's adapter, or has an engine load it.
+// chooseEngine returns an engine that holds the request's adapter, or has an engine load it. If the
+// best holder is overloaded, another engine may load the adapter for the request (see offload). A
+// suspect holder is chosen only if there are usable ones, all of which were tried; otherwise the
+// adapter is loaded on another engine.
 func (c *Chooser) chooseEngine(ctx context.Context, directory *snipedirectory.Snapshot, service string, q *Request, maxWait time.Duration, tried []string) (Choice, error) {
 	a, untried := q.Adapter, notTried(tried)
 	all := directory.Service(service)
@@ -156,7 +165,8 @@
 // engine.
 const sampleSize = 4
 
-// sample returns up to sampleSize engines, selected by the hash of the request's identifier.
+// sample returns up to sampleSize engines, selected by the hash of the request's identifier. The
+// same engine may be selected more than once.
 func sample(all []*snipedirectory.Upstream, id string) []*snipedirectory.Upstream {
 	if len(all) <= sampleSize {
 		return all
@@ -173,8 +183,8 @@
 // held by more engines.
 const typicalHolders = 8
 
-// enginesByID returns the engines of a service with the given identifiers, and omits those no
-// longer in the directory.
+// enginesByID returns the engines of a service with the given identifiers. It omits identifiers
+// that are not in the directory or belong to another service.
 func enginesByID(directory *snipedirectory.Snapshot, service string, ids []string) []*snipedirectory.Upstream {
 	engines := make([]*snipedirectory.Upstream, 0, len(ids))
 	for _, id := range ids {
--- a/snipegateway/choose_bench_test.go
+++ b/snipegateway/choose_bench_test.go
@@ -24,7 +24,7 @@
 			q := &snipegateway.Request{Adapter: snipecatalog.Adapter{Model: "base", Name: "a15"}}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := c.Choose(b.Context(), service, q, nil, objective); err != nil {
+				if _, err := c.Choose(b.Context(), service, q, nil, latencyTarget); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -32,8 +32,8 @@
 	}
 }
 
-// BenchmarkLoadOrder measures the selection of the first engines to ask for an adapter that none
-// holds.
+// BenchmarkLoadOrder measures the selection of the first three engines to ask to load an adapter
+// that no engine holds.
 func BenchmarkLoadOrder(b *testing.B) {
 	for _, engines := range []int{9, 600, 3000} {
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
--- a/snipegateway/choose_test.go
+++ b/snipegateway/choose_test.go
@@ -86,7 +86,7 @@
 
 var request = &snipegateway.Request{Adapter: snipecatalog.Adapter{Model: "base", Name: "a1"}}
 
-const objective = 600 * time.Millisecond
+const latencyTarget = 600 * time.Millisecond
 
 // TestOneLoadForAll guards against one load for each of many concurrent requests for an adapter
 // that no engine holds: one load must serve all of them, and later requests must find it.
@@ -97,14 +97,14 @@
 		var all sync.WaitGroup
 		for range 10 {
 			all.Go(func() {
-				choice, err := c.Choose(t.Context(), service, request, nil, objective)
+				choice, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 				must.NoError(t, err)
 				must.Eq(t, 250*time.Millisecond, choice.Waited)
 			})
 		}
 		all.Wait()
 		must.Len(t, 1, o.requested)
-		choice, err := c.Choose(t.Context(), service, request, nil, objective)
+		choice, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 		must.NoError(t, err)
 		must.Eq(t, o.requested[0], choice.Upstream.ID)
 		must.Eq(t, 0, choice.Waited)
@@ -117,27 +117,27 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := &fakeOwners{}
 		c := newChooser(o, 12)
-		first, err := c.Choose(t.Context(), service, request, nil, objective)
+		first, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 		must.NoError(t, err)
 		home := first.Upstream.ID
 		c = newChooser(o, 12)
 		o.requested, o.busy = nil, map[string]time.Duration{home: 500 * time.Millisecond}
-		choice, err := c.Choose(t.Context(), service, request, nil, objective)
+		choice, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 		must.NoError(t, err)
 		must.NotEq(t, home, choice.Upstream.ID)
 		must.Eq(t, []string{home, choice.Upstream.ID}, o.requested)
 	})
 }
 
-// TestDeadEngines guards against requests that fail after a crash of a quarter of the engines:
-// engines that do not answer are skipped, and one that accepts no connection is not asked again for
-// a while.
+// TestDeadEngines guards against requests that fail after a crash of many engines: engines whose
+// load requests fail are passed over. A second request asks those again whose owner refused as not
+// the owner, but not those that accept no connection.
 func TestDeadEngines(t *testing.T) {
 	const count = 12
 	tests := map[string]struct {
 		dead     int
 		failure  error
-		requests int // of a second request for another adapter
+		requests int // load requests for a second request, after the adapter's holder was forgotten
 	}{
 		"NoConnection": {5, snipeadapter.ErrUnreached, 1},
 		"NoOwner":      {5, snipeadapter.ErrNotOwner, 6},
@@ -150,11 +150,11 @@
 				for _, u := range c.RankedForTest(service, request.Adapter)[:tt.dead] {
 					o.failures[u] = tt.failure
 				}
-				_, err := c.Choose(t.Context(), service, request, nil, objective)
+				_, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 				must.NoError(t, err)
 				must.Eq(t, tt.dead+1, o.requestCount())
 				c.Residency.Forget(o.requested[tt.dead])
-				_, err = c.Choose(t.Context(), service, request, nil, objective)
+				_, err = c.Choose(t.Context(), service, request, nil, latencyTarget)
 				must.NoError(t, err)
 				must.Eq(t, tt.requests, o.requestCount()-tt.dead-1)
 			})
@@ -162,29 +162,30 @@
 	}
 }
 
-// TestOldVersionEnds guards against requests that begin on an adapter's previous version long after
-// the announcement of the new one. A request may wait for seconds in an engine's queue before it
-// begins, so the previous version may be chosen only for a short time.
+// TestOldVersionEnds guards against requests that begin on an adapter's previous version more than
+// five seconds after the announcement of the new one. An instance may learn of the announcement
+// late, and a request may wait for seconds in an engine's queue before it begins, so the previous
+// version may be chosen only in what is left of the five seconds.
 func TestOldVersionEnds(t *testing.T) {
 	const begunBy, queued, learned = 5 * time.Second, 1800 * time.Millisecond, 1500 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		o := &fakeOwners{}
 		c := newChooser(o, 12)
-		_, err := c.Choose(t.Context(), service, request, nil, objective)
+		_, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 		must.NoError(t, err)
 		must.True(t, c.Versions.Announce(request.Adapter, 2))
-		choice, err := c.Choose(t.Context(), service, request, nil, objective)
+		choice, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 		must.NoError(t, err)
 		must.Eq(t, 1, choice.Version)
 		time.Sleep(begunBy - queued - learned)
-		choice, err = c.Choose(t.Context(), service, request, nil, objective)
+		choice, err = c.Choose(t.Context(), service, request, nil, latencyTarget)
 		must.NoError(t, err)
 		must.Eq(t, 2, choice.Version)
 	})
 }
 
 // TestRefusedAtOnce guards against requests that wait although no engine can load their adapter
-// within the latency target: they are refused at once, with the time when an engine has capacity.
+// within the latency target: a request is refused at once, with the time that the owners named.
 func TestRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &fakeOwners{busy: map[string]time.Duration{}}
@@ -192,7 +193,7 @@
 			o.busy[fmt.Sprint("e", n)] = 2 * time.Second
 		}
 		begun := time.Now()
-		_, err := newChooser(o, 12).Choose(t.Context(), service, request, nil, objective)
+		_, err := newChooser(o, 12).Choose(t.Context(), service, request, nil, latencyTarget)
 		f := snipeerror.From(err)
 		must.Eq(t, snipeerror.NotRun, f.Outcome)
 		must.Eq(t, 2*time.Second, f.RetryAfter)
@@ -200,8 +201,8 @@
 	})
 }
 
-// TestLoadRequestCanceled guards against loads that go on although all requests waiting for them have
-// ended: the load request must be canceled.
+// TestLoadRequestCanceled guards against loads that go on although all requests waiting for them
+// have ended: the load request must be canceled.
 func TestLoadRequestCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &fakeOwners{}
@@ -211,7 +212,7 @@
 			all.Go(func() {
 				ctx, cancel := context.WithTimeout(t.Context(), time.Duration(n+1)*50*time.Millisecond)
 				defer cancel()
-				_, err := c.Choose(ctx, service, request, nil, objective)
+				_, err := c.Choose(ctx, service, request, nil, latencyTarget)
 				must.Error(t, err)
 			})
 		}
@@ -222,8 +223,8 @@
 }
 
 // TestReplicas guards against too few replicas of an adapter that all instances together use often,
-// and against replicas of a rarely used one. The new replicas are reported to other instances for a
-// short time.
+// and against replicas of a rarely used one. It also checks that Replicas returns new replicas, and
+// no longer does so after some seconds.
 func TestReplicas(t *testing.T) {
 	tests := map[string]struct {
 		perSecond float64
@@ -234,7 +235,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				o := &fakeOwners{}
 				c := newChooser(o, 12)
-				choice, err := c.Choose(t.Context(), service, request, nil, objective)
+				choice, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 				must.NoError(t, err)
 				home := choice.Upstream
 				for range 10 {
--- a/snipegateway/end.go
+++ b/snipegateway/end.go
@@ -14,9 +14,10 @@
 	"snipepitch.example/snipepitch/snipemeter"
 )
 
-// finalError returns the error that ends the request, or delivers the fallback answer if there is
-// one. If no upstream ran the request, the error states so and carries a retry time: an upstream
-// that had no free slot has one again within the latency target.
+// finalError returns the error that ends the request after err, or delivers the fallback answer if
+// there is one. If no upstream ran the request, the error states so and carries a retry time. If an
+// upstream had no free slot, the retry time is derived from the latency target, because the
+// upstream has a free slot again within that time.
 func (c *call) finalError(err error) error {
 	if c.fallback != nil && !c.answerStarted {
 		return c.writeBuffered(c.fallback)
@@ -34,14 +35,16 @@
 	return f
 }
 
-// retryAfter returns when a caller should retry a refused request: after half to all of the latency
-// target, with jitter so that callers refused together do not return together.
+// retryAfter returns when a caller should retry a refused request: after half to all of the route's
+// latency target, or of 200 ms if the target is lower. The jitter prevents callers that are refused
+// together from returning together.
 func (c *call) retryAfter() time.Duration {
 	target := max(c.route.Target, 200*time.Millisecond)
 	return target/2 + time.Duration(c.jitter()*float64(target)/2)
 }
 
-// writeError writes an error of this instance to the caller.
+// writeError writes an error of this instance to the caller. Its status is 502 or 504 if the
+// request may have run; if the request has not run, 503 takes the place of these two.
 func (c *call) writeError(f *snipeerror.CallError) {
 	status := f.Status()
 	if f.Outcome == snipeerror.MayHaveRun {
@@ -74,7 +77,8 @@
 	}
 }
 
-// recordEnd logs the end of the request and counts it.
+// recordEnd logs the end of the request and counts it in the metrics. A request whose caller has
+// disconnected counts as abandoned, whatever err is.
 func (c *call) recordEnd(err error) {
 	event := snipelog.RequestEnded
 	outcome := "Answered"
@@ -126,7 +130,7 @@
 	c.gateway.Log.Log(event, fields)
 }
 
-// directoryAge returns the time since the directory of upstreams was read.
+// directoryAge returns the time since the directory of upstreams was read; zero if it never was.
 func (c *call) directoryAge() time.Duration {
 	s := c.gateway.Chooser.Directory.Snapshot()
 	if s == nil {
--- a/snipegateway/estimator.go
+++ b/snipegateway/estimator.go
@@ -9,8 +9,9 @@
 	// delayQuantile is the quantile of the time to the first chunk that is estimated: one request
 	// in five waits that long or longer, and this delay counts as the cost of a busy engine.
 	delayQuantile = 0.8
-	// delayStep sets how far one request moves the estimated delay. Some forty requests move it by
-	// half, and an instance serves that many in a few seconds.
+	// delayStep sets how far one request moves the estimated delay. Some forty requests move the
+	// estimate by half, and an instance serves that many in a few seconds. A smaller step would
+	// follow changes later; with a larger one, single requests would change the estimate more.
 	delayStep = 0.05
 	// minBusy is the share of occupied slots below which a request does not change the estimate: at
 	// less busy engines, network transfer and processing of the prompt make up most of the time to
@@ -23,8 +24,8 @@
 	initialLoadWait = 300 * time.Millisecond
 	// loadWaitWeight is the weight of the latest load in the moving average of load waits.
 	loadWaitWeight = 0.1
-	// maxReloadTime is the time below which a load is attributed to the engine's own memory and
-	// ignored.
+	// maxReloadTime is the time below which a load is taken for a reload from the engine's own
+	// memory, without the weight store, and is ignored.
 	maxReloadTime = 100 * time.Millisecond
 )
 
@@ -33,15 +34,17 @@
 // deployments and change over time. The zero value is ready to use.
 type estimator struct {
 	lock sync.Mutex // guards the fields below
-	// firstChunkDelay is the time to the first chunk at an engine whose slots are all occupied; the
-	// delay is assumed to be proportional to the share of occupied slots.
+	// firstChunkDelay is the estimated delayQuantile of the time to the first chunk at an engine
+	// whose slots are all occupied; zero until a request to a busy engine is observed. The delay is
+	// assumed to be proportional to the share of occupied slots.
 	firstChunkDelay time.Duration
-	// loadWait is the average wait for a load.
+	// loadWait is the moving average of the wait for a load; zero until one is observed.
 	loadWait time.Duration
 }
 
-// recordFirstChunk records the time to the first chunk of an answer from an engine; busy is the
-// share of the engine's slots that were occupied.
+// recordFirstChunk records the time from sending a request to the first chunk of its answer. busy
+// is the share of the engine's slots that were occupied, which can exceed 1; below minBusy, the
+// time is ignored.
 func (e *estimator) recordFirstChunk(d time.Duration, busy float64) {
 	if busy < minBusy {
 		return
@@ -58,7 +61,7 @@
 	e.firstChunkDelay -= time.Duration(delayStep * (1 - delayQuantile) * float64(e.firstChunkDelay))
 }
 
-// recordLoad records the wait for a load.
+// recordLoad records the wait for a load. A wait below maxReloadTime is ignored.
 func (e *estimator) recordLoad(d time.Duration) {
 	if d < maxReloadTime {
 		return
@@ -71,8 +74,8 @@
 	e.loadWait += time.Duration(loadWaitWeight * float64(d-e.loadWait))
 }
 
-// overloadThreshold returns the share of occupied slots from which on a load on another engine
-// takes less time than the delay at the busy engine.
+// overloadThreshold returns the share of occupied slots from which on the wait for a load on
+// another engine is shorter than the delay at the busy engine. The share can exceed 1.
 func (e *estimator) overloadThreshold() float64 {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/snipegateway/estimator_test.go
+++ b/snipegateway/estimator_test.go
@@ -8,10 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestOverloadThreshold guards against an overload threshold that ignores the observed times: where loads take
-// long, because the weight store is at its limit, or where engines are fast, a request must stay at
-// a busy engine for longer. The simulated times to the first chunk are exponentially distributed:
-// half of them are below 0.4 of the time that one in five exceeds.
+// TestOverloadThreshold guards against an overload threshold that ignores the observed times: where
+// loads take long, because the weight store is at its limit, or where engines are fast, a request
+// must stay at a busy engine for longer. The simulated times to the first chunk are exponentially
+// distributed: half of them are below 0.4 of the time that one in five exceeds.
 func TestOverloadThreshold(t *testing.T) {
 	tests := map[string]struct {
 		// slow is the delay at a full engine that one request in five exceeds, load the time of one
@@ -46,8 +46,9 @@
 	}
 }
 
-// TestOverloadThresholdInitial guards against a wrong threshold before anything is observed, and against
-// estimates from idle engines: an engine then counts as overloaded when all its slots are occupied.
+// TestOverloadThresholdInitial guards against a wrong threshold before anything is observed, and
+// against estimates from idle engines: an engine then counts as overloaded when all its slots are
+// occupied.
 func TestOverloadThresholdInitial(t *testing.T) {
 	e := &estimator{}
 	must.Eq(t, 1.0, e.overloadThreshold())
@@ -55,8 +56,8 @@
 	must.Eq(t, 1.0, e.overloadThreshold())
 }
 
-// TestEstimatorPerService guards against observations of one service that change the threshold of
-// another.
+// TestEstimatorPerService guards against loads on the engines of one service that change the
+// overload threshold of another.
 func TestEstimatorPerService(t *testing.T) {
 	var e estimators
 	e.forService("a").recordLoad(time.Second)
--- a/snipegateway/headers.go
+++ b/snipegateway/headers.go
@@ -5,7 +5,8 @@
 	"sync/atomic"
 )
 
-// maxHeaderNames bounds the names that are stored; upstreams use some tens of them.
+// maxHeaderNames bounds the names that are stored; upstreams use some tens of names. Once it is
+// reached, further names are neither stored nor logged.
 const maxHeaderNames = 128
 
 // headerNames holds the names of headers in the answers of upstreams, so that each new name is
@@ -15,7 +16,8 @@
 	count atomic.Int32
 }
 
-// add stores a name and reports whether it is new.
+// add stores a name and reports whether it was new. It returns false without storing the name if
+// maxHeaderNames are stored.
 func (n *headerNames) add(name string) bool {
 	if _, known := n.names.Load(name); known || n.count.Load() >= maxHeaderNames {
 		return false
--- a/snipegateway/limit_test.go
+++ b/snipegateway/limit_test.go
@@ -23,15 +23,15 @@
 	}
 }
 
-// TestLimitedNotChosen guards against choosing an upstream whose limit is reached as the last
-// resort when the others are suspect or do not hold the adapter: the adapter must be loaded on
-// another engine.
+// TestLimitedNotChosen guards against choosing the only holder of an adapter although its limit is
+// reached. While the other engines are suspect, the request is refused; later, another engine must
+// load the adapter, and the limited engine must still count as a holder.
 func TestLimitedNotChosen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := &fakeOwners{}
 		c := newChooser(o, 3)
 		c.Balancer.Open = c.Signals.Open
-		first, err := c.Choose(t.Context(), service, request, nil, objective)
+		first, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 		must.NoError(t, err)
 		home := first.Upstream.ID
 		announceLimit(c.Signals, 1, home)
@@ -40,12 +40,12 @@
 				c.Balancer.Unreached(id)
 			}
 		}
-		_, err = c.Choose(t.Context(), service, request, nil, objective)
+		_, err = c.Choose(t.Context(), service, request, nil, latencyTarget)
 		must.Error(t, err)
 		time.Sleep(time.Minute)
 		_, ok := c.Signals.Take(home)
 		must.True(t, ok)
-		other, err := c.Choose(t.Context(), service, request, nil, objective)
+		other, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 		must.NoError(t, err)
 		must.NotEq(t, home, other.Upstream.ID)
 		version, held := c.Residency.Holds(first.Upstream, request.Adapter)
@@ -63,7 +63,8 @@
 }
 
 // TestAllLimited guards against requests that wait, or reach an upstream, although the limits of
-// all upstreams are reached: they are refused at once, with different retry times.
+// all upstreams are reached: each request is refused, and at most one caller for each upstream gets
+// the same retry time.
 func TestAllLimited(t *testing.T) {
 	c := newChooser(&fakeOwners{}, 2)
 	g, upstream := newGateway(t, c, nil, nil)
@@ -83,8 +84,8 @@
 	must.Eq(t, 0, upstream.Load())
 }
 
-// TestSendSlotReturned guards against the loss of a send slot taken by a request that reached no
-// upstream.
+// TestSendSlotReturned guards against the loss of a send slot that was taken for a request to an
+// upstream that then could not be reached.
 func TestSendSlotReturned(t *testing.T) {
 	c := newChooser(&fakeOwners{}, 1)
 	only := c.Directory.Snapshot().Service(service)[0]
@@ -102,9 +103,10 @@
 	must.False(t, c.Signals.Open(only.ID))
 }
 
-// TestAllInBackoff guards against requests that reach upstreams during the backoff that these asked for,
-// or wait for its end: if all upstreams are in backoff, callers are refused at once with the time
-// when the first backoff ends.
+// TestAllInBackoff guards against requests that reach upstreams during the backoff that these asked
+// for, or wait for its end: an upstream without a backoff receives the request, and if all
+// upstreams are in backoff, the caller is refused at once with the time when the first backoff
+// ends.
 func TestAllInBackoff(t *testing.T) {
 	c := newChooser(&fakeOwners{}, 2)
 	g, upstream := newGateway(t, c, nil, nil)
@@ -121,8 +123,8 @@
 	must.Eq(t, 1, upstream.Load())
 }
 
-// TestBackoffKeepsResidency guards against loading an adapter again because an engine without a free
-// slot asked for backoff: the adapter must not count as missing there.
+// TestBackoffKeepsResidency guards against loading an adapter again because an engine without a
+// free slot asked for backoff: the adapter must not count as missing there.
 func TestBackoffKeepsResidency(t *testing.T) {
 	c := newChooser(&fakeOwners{}, 1)
 	only := c.Directory.Snapshot().Service(service)[0]
--- a/snipegateway/loading.go
+++ b/snipegateway/loading.go
@@ -15,8 +15,9 @@
 )
 
 const (
-	// maxLoadTries is how many busy engines are asked for a load within shortLoadWait before the
-	// first of them is asked for a load within the full wait.
+	// maxLoadTries is how many owners may refuse a load within shortLoadWait as too slow before the
+	// first of them is asked for a load within the full wait. It also bounds the engines that are
+	// asked for a load in place of an overloaded holder.
 	maxLoadTries = 3
 	// maxFailedEngines bounds the engines whose load requests fail because they or their owners do
 	// not answer: a quarter of all engines may have just failed.
@@ -40,15 +41,20 @@
 
 // sharedLoad is one load request to an owner, shared by all requests that wait for its result.
 type sharedLoad struct {
-	done    chan struct{}
-	cancel  context.CancelFunc
+	// done is closed when version and err are set.
+	done   chan struct{}
+	cancel context.CancelFunc
+	// waiters counts the callers of joinLoad that have not stopped waiting. A caller that does not
+	// wait for the result is counted until the end.
 	waiters int
 	version int64
 	err     error
 }
 
-// load has an engine load the adapter: the first of the best candidates that can do so within
-// shortLoadWait, or else the first that can do so within maxWait.
+// load has an engine load the adapter, and waits for the load: the first of the best candidates
+// that can do so within shortLoadWait, or else the first candidate if it can do so within maxWait.
+// Candidates whose load request failed for another reason than time are passed over. If no engine
+// loads the adapter, the error is that of the last load request.
 func (c *Chooser) load(ctx context.Context, all []*snipedirectory.Upstream, a snipecatalog.Adapter, required int64, maxWait time.Duration, untried snipebalance.Filter) (Choice, error) {
 	start := time.Now()
 	var refusal *snipeerror.CallError
@@ -105,7 +111,8 @@
 	return []loadRound{{shortLoadWait, maxLoadTries}, {maxWait, 1}}
 }
 
-// loadRefusal returns the error for a request whose adapter was not loaded, with a retry time.
+// loadRefusal returns the error for a request whose adapter was not loaded, with a retry time: the
+// wait that a busy owner named, otherwise loadRetryAfter.
 func loadRefusal(err error) *snipeerror.CallError {
 	wait := loadRetryAfter
 	var busy *snipeadapter.BusyError
@@ -115,14 +122,17 @@
 	return snipeerror.New(snipeerror.ErrLoadFailed, snipeerror.NotRun, err.Error()).After(wait)
 }
 
-// loadable reports whether an engine can be asked to load an adapter.
+// loadable reports whether an engine can be asked to load an adapter: it serves the adapter's base
+// model, is usable and has an owner.
 func (c *Chooser) loadable(u *snipedirectory.Upstream, a snipecatalog.Adapter) bool {
 	_, serves := c.Residency.Holds(u, snipecatalog.Adapter{Model: a.Model})
 	return serves && c.Balancer.Usable(u) && c.Owned(u)
 }
 
-// requestLoad asks an engine's owner to load an adapter and waits for the result. Concurrent calls
-// share one load request, which is canceled when none of them waits any more.
+// requestLoad asks an engine's owner to load an adapter and waits for the result or for the end of
+// ctx. Concurrent calls for the same version share one load request, which is canceled when none of
+// them waits any more. The maxWait of the call that started the load request applies to all of
+// them.
 func (c *Chooser) requestLoad(ctx context.Context, u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, maxWait time.Duration) error {
 	l := c.joinLoad(u, a, version, maxWait)
 	select {
@@ -138,7 +148,8 @@
 	return ctx.Err()
 }
 
-// joinLoad returns the load request in flight for an adapter on an engine, or starts one.
+// joinLoad returns the load request in flight for an adapter on an engine, or starts one, and
+// counts the caller among its waiters. It does not wait.
 func (c *Chooser) joinLoad(u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, maxWait time.Duration) *sharedLoad {
 	key := loadKey{u.ID, a, version}
 	c.lock.Lock()
@@ -157,6 +168,7 @@
 	return l
 }
 
+// runLoad sends a load request, waits for its result, records the result and releases the waiters.
 func (c *Chooser) runLoad(ctx context.Context, key loadKey, l *sharedLoad, u *snipedirectory.Upstream, maxWait time.Duration) {
 	defer l.cancel()
 	start := time.Now()
--- a/snipegateway/overload.go
+++ b/snipegateway/overload.go
@@ -14,26 +14,26 @@
 )
 
 const (
-	// maxOffloadShare bounds the load of an engine that takes requests from an overloaded engine,
-	// as a share of the overloaded engine's load.
+	// maxOffloadShare bounds the requests in flight at an engine that takes requests from an
+	// overloaded engine, by weight, as a share of those at the overloaded engine.
 	maxOffloadShare = 0.5
-	// offloadMaxWait is the longest expected time for the load on another engine; offloadTimeout is
-	// how long a request waits for that load.
+	// offloadMaxWait is the longest expected time for loading the adapter on another engine;
+	// offloadTimeout is how long a request waits in all before it stays at the overloaded engine.
 	offloadMaxWait = 300 * time.Millisecond
 	offloadTimeout = 450 * time.Millisecond
 )
 
-// overloaded reports whether an engine has so many requests, or announced a limit on them, that
-// another engine serves one more request better, even if that engine has to load the adapter first.
+// overloaded reports whether an engine has a limit in force or so many requests that another engine
+// is expected to answer one more request sooner, even if that engine has to load the adapter first.
 func (c *Chooser) overloaded(u *snipedirectory.Upstream) bool {
 	return c.Signals.Limited(u.ID) || c.Balancer.Busy(u) >= c.estimators.forService(u.Service).overloadThreshold()
 }
 
 // loadCandidates yields engines in the order in which they should be asked to load an adapter:
-// first the engines that held it recently, then the others, and the overloaded engines last. An
-// engine that held the adapter reloads it at once, which leaves the weight store, shared by all
-// engines, to adapters that no engine has. Usually only the first few of many engines are asked, so
-// the others are not sorted.
+// first the engines that held the adapter recently, then the others, and the overloaded engines
+// last. Each group is ordered by rank. An engine that held the adapter recently still has its
+// weights in its own memory, and so does not load them from the weight store, which all engines
+// share. Usually only the first few of many engines are asked, so the others are not sorted.
 func (c *Chooser) loadCandidates(all []*snipedirectory.Upstream, a snipecatalog.Adapter) iter.Seq[*snipedirectory.Upstream] {
 	return func(yield func(*snipedirectory.Upstream) bool) {
 		previous := c.previousHolders(all, a)
@@ -61,8 +61,8 @@
 	}
 }
 
-// previousHolders returns the engines that held an adapter recently and are not overloaded, ordered
-// by rank.
+// previousHolders returns the engines in all, which are sorted by identifier, that held an adapter
+// recently, do not hold it now and are not overloaded. It orders them by rank.
 func (c *Chooser) previousHolders(all []*snipedirectory.Upstream, a snipecatalog.Adapter) []*snipedirectory.Upstream {
 	var engines []*snipedirectory.Upstream
 	for _, id := range c.Residency.PreviousHolders(a, nil) {
@@ -80,9 +80,10 @@
 	return engines
 }
 
-// offload has another engine load an adapter whose least loaded holder is overloaded. Only engines
-// with at most maxOffloadShare of the holder's load are asked. It returns false if none of them
-// loads the adapter in time.
+// offload has another engine load an adapter whose best holder is overloaded, and waits for the
+// load. It asks at most maxLoadTries engines, all of which are not overloaded and have at most
+// maxOffloadShare of the holder's requests in flight. It returns false if none of them loads the
+// adapter within offloadTimeout.
 func (c *Chooser) offload(ctx context.Context, all []*snipedirectory.Upstream, a snipecatalog.Adapter, required int64, tried []string, holder *snipedirectory.Upstream) (Choice, bool) {
 	start := time.Now()
 	maxLoad := maxOffloadShare * c.Balancer.Load(holder)
--- a/snipegateway/overload_test.go
+++ b/snipegateway/overload_test.go
@@ -14,17 +14,18 @@
 const overloadWeight = 66
 
 // TestOverloaded guards against requests that queue at an overloaded engine while others are idle,
-// because many requests for an adapter arrive at once or its home engine is slow. A request goes to
-// an engine that is not overloaded, after a load, and to an overloaded one only if no other helps.
+// because many requests for an adapter arrive at once. A request goes to an engine that is not
+// overloaded, after that engine has loaded the adapter. It goes to an overloaded one only if every
+// other engine is overloaded, has more than half of the load, or cannot load the adapter in time.
 func TestOverloaded(t *testing.T) {
 	const count = 6
 	home := firstInRank(t, count)
 	tests := map[string]struct {
-		homeHolds  bool // by the home engine
+		homeHolds  bool // whether the home engine, the first in rank, holds the adapter
 		overloaded []string
-		otherLoad  float64 // of every other engine
-		busy       map[string]time.Duration
-		moved      bool
+		otherLoad  float64                  // weight of the requests in flight at every other engine
+		busy       map[string]time.Duration // wait for a load, by engine
+		moved      bool                     // whether the request goes to another engine than the home
 		waited     time.Duration
 	}{
 		"HolderIsNot":      {homeHolds: true},
@@ -50,7 +51,7 @@
 				for _, id := range tt.overloaded {
 					c.Balancer.Begin(id, overloadWeight-tt.otherLoad)
 				}
-				choice, err := c.Choose(t.Context(), service, request, nil, objective)
+				choice, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 				must.NoError(t, err)
 				must.Eq(t, tt.moved, choice.Upstream.ID != home)
 				must.Eq(t, tt.waited, choice.Waited)
@@ -59,8 +60,8 @@
 	}
 }
 
-// TestSlowOffload guards against a load on another engine that takes longer than expected and delays
-// a request by half a second or more.
+// TestSlowOffload guards against a load on another engine that takes longer than expected and
+// delays a request by half a second or more. The request must then go to the overloaded holder.
 func TestSlowOffload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		home := "e0"
@@ -69,7 +70,7 @@
 		c.Residency.RecordHeld(home, request.Adapter, 1)
 		c.Balancer.Begin(home, overloadWeight)
 		begun := time.Now()
-		choice, err := c.Choose(t.Context(), service, request, nil, objective)
+		choice, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 		must.NoError(t, err)
 		must.Eq(t, home, choice.Upstream.ID)
 		must.Less(t, 500*time.Millisecond, time.Since(begun))
@@ -79,7 +80,7 @@
 // firstInRank returns the engine that loads the request's adapter when all engines are idle.
 func firstInRank(t *testing.T, count int) (home string) {
 	synctest.Test(t, func(t *testing.T) {
-		choice, err := newChooser(&fakeOwners{}, count).Choose(t.Context(), service, request, nil, objective)
+		choice, err := newChooser(&fakeOwners{}, count).Choose(t.Context(), service, request, nil, latencyTarget)
 		must.NoError(t, err)
 		home = choice.Upstream.ID
 	})
--- a/snipegateway/prefix.go
+++ b/snipegateway/prefix.go
@@ -7,19 +7,21 @@
 )
 
 const (
-	// minSharedTokens is the number of shared prompt tokens from which on the choice prefers the
-	// engine that has processed them. Fewer tokens take an engine less time than the difference
-	// between the engines' loads.
+	// minSharedTokens is the number of shared prompt tokens from which on the choice prefers one
+	// engine for them. Below it, processing the tokens again takes less time than a request loses
+	// at an engine that has more requests in flight.
 	minSharedTokens = 1000
 	// tokensPerRequest is the number of prompt tokens that an engine processes in the time that one
 	// short request takes.
 	tokensPerRequest = 1350
 )
 
-// prefixCost returns the extra cost of choosing an engine that has not processed the prompt parts
-// that a request shares with others, or nil if these parts are short. All instances prefer the same
-// engine for the same parts without coordination, so that each part is processed by one of the
-// engines that hold the adapter and not by all of them.
+// prefixCost returns the extra cost of choosing an engine other than the preferred one for the
+// prompt parts that a request shares with others, or nil if the shared parts are short. The
+// preferred engine is the first of the usable eligible engines in a ranking by these parts. All
+// instances rank alike without exchanging messages, so that usually one of the engines that hold
+// the adapter processes the parts, and not all of them. The cost is that of processing the parts
+// once more.
 func (c *Chooser) prefixCost(all []*snipedirectory.Upstream, eligible snipebalance.Filter, q *Request) snipebalance.Cost {
 	tokens, lastPart := q.sharedPrefix()
 	if tokens < minSharedTokens {
--- a/snipegateway/prefix_test.go
+++ b/snipegateway/prefix_test.go
@@ -20,7 +20,7 @@
 	const engines, holders, prefixes, instances, perInstance = 12, 8, 15, 20, 90
 	tests := map[string]struct {
 		shared   int
-		maxPairs int // pairs of a prefix and an engine that processes it
+		maxPairs int // upper bound of the pairs of a prefix and an engine chosen for it
 	}{"Long": {6300, prefixes}, "Short": {155, prefixes * holders}}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -33,7 +33,7 @@
 					}
 					for n := range perInstance {
 						prefix := fmt.Sprint("part", n%prefixes)
-						choice, err := c.Choose(t.Context(), service, prompt(prefix, tt.shared), nil, objective)
+						choice, err := c.Choose(t.Context(), service, prompt(prefix, tt.shared), nil, latencyTarget)
 						must.NoError(t, err)
 						readers[prefix+choice.Upstream.ID] = true
 						c.Balancer.Begin(choice.Upstream.ID, snipebalance.Weight(0))()
@@ -45,24 +45,24 @@
 	}
 }
 
-// TestBusyPrefixEngine guards against requests that stay at the engine that has processed their prompt's
-// prefix although waiting there costs more than processing it again elsewhere.
+// TestBusyPrefixEngine guards against requests that stay at the engine that has processed their
+// prompt's prefix although waiting there costs more than processing it again elsewhere.
 func TestBusyPrefixEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChooser(&fakeOwners{}, 12)
 		c.Residency.RecordHeld("e1", request.Adapter, 1)
 		c.Residency.RecordHeld("e2", request.Adapter, 1)
 		q := prompt("part", 6300)
-		first, err := c.Choose(t.Context(), service, q, nil, objective)
+		first, err := c.Choose(t.Context(), service, q, nil, latencyTarget)
 		must.NoError(t, err)
 		for range 4 {
 			c.Balancer.Begin(first.Upstream.ID, 1)
 		}
-		choice, err := c.Choose(t.Context(), service, q, nil, objective)
+		choice, err := c.Choose(t.Context(), service, q, nil, latencyTarget)
 		must.NoError(t, err)
 		must.Eq(t, first.Upstream.ID, choice.Upstream.ID)
 		c.Balancer.Begin(first.Upstream.ID, 1)
-		choice, err = c.Choose(t.Context(), service, q, nil, objective)
+		choice, err = c.Choose(t.Context(), service, q, nil, latencyTarget)
 		must.NoError(t, err)
 		must.NotEq(t, first.Upstream.ID, choice.Upstream.ID)
 	})
--- a/snipegateway/previous_test.go
+++ b/snipegateway/previous_test.go
@@ -8,9 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestPreviousHolderFirst guards against avoidable loads from the weight store. When not all adapters fit
-// on the engines, most adapters requested again were evicted some time before, and the engine that
-// held one reloads it in a tenth of the time without the weight store.
+// TestPreviousHolderFirst guards against avoidable loads from the weight store. When not all
+// adapters fit on the engines, most adapters requested again were evicted some time before, and the
+// engine that held one recently reloads it in a tenth of the time without the weight store. Such an
+// engine must be asked first, unless it is overloaded or cannot load the adapter in time.
 func TestPreviousHolderFirst(t *testing.T) {
 	const count = 6
 	home := firstInRank(t, count)
@@ -43,7 +44,7 @@
 				for _, id := range tt.overloaded {
 					c.Balancer.Begin(id, overloadWeight)
 				}
-				choice, err := c.Choose(t.Context(), service, request, nil, objective)
+				choice, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 				must.NoError(t, err)
 				must.Eq(t, tt.want, choice.Upstream.ID)
 			})
--- a/snipegateway/ranking.go
+++ b/snipegateway/ranking.go
@@ -15,6 +15,7 @@
 // every instance. It implements heap.Interface.
 type ranking []rankedEngine
 
+// rankedEngine is an engine with its score for an adapter; the highest score ranks first.
 type rankedEngine struct {
 	upstream *snipedirectory.Upstream
 	score    uint64
--- a/snipegateway/ranking_test.go
+++ b/snipegateway/ranking_test.go
@@ -12,8 +12,8 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// TestLoadCandidates guards against a wrong order of load candidates: engines that held the adapter come
-// first, overloaded engines come last, and each group is ordered by rank, as in a full sort.
+// TestLoadCandidates guards against a wrong order of load candidates: engines that held the adapter
+// come first, overloaded engines come last, and each group is ordered by rank, as in a full sort.
 func TestLoadCandidates(t *testing.T) {
 	const count = 40
 	c := newChooser(&fakeOwners{}, count)
@@ -56,20 +56,20 @@
 }
 
 // TestChooseAmongThousands guards against a choice whose cost grows with the number of engines: the
-// engine that holds an adapter is found among 3000 without examining the others.
+// engine that holds an adapter is found among 3000, with at most four allocations.
 func TestChooseAmongThousands(t *testing.T) {
 	c := newChooser(&fakeOwners{}, 3000)
 	for n := range 3000 {
 		c.Residency.RecordHeld(fmt.Sprint("e", n), snipecatalog.Adapter{Model: "base", Name: fmt.Sprint("a", n)}, 1)
 	}
 	must.Eq(t, []string{"e1"}, c.Residency.Holders(request.Adapter, nil))
-	choice, err := c.Choose(t.Context(), service, request, nil, objective)
+	choice, err := c.Choose(t.Context(), service, request, nil, latencyTarget)
 	must.NoError(t, err)
 	must.Eq(t, "e1", choice.Upstream.ID)
 	must.Eq(t, 1, choice.Holders)
 	must.SliceEmpty(t, (&snipeadapter.Residency{}).Holders(request.Adapter, nil))
 	perChoice := testing.AllocsPerRun(100, func() {
-		_, err = c.Choose(t.Context(), service, request, nil, objective)
+		_, err = c.Choose(t.Context(), service, request, nil, latencyTarget)
 	})
 	must.NoError(t, err)
 	must.LessEq(t, 4, perChoice)
--- a/snipegateway/reach_test.go
+++ b/snipegateway/reach_test.go
@@ -23,9 +23,9 @@
 	"snipepitch.example/snipepitch/sniperetry"
 )
 
-// TestDeadUpstreams guards against requests that fail, or retry budget that is spent, when many
-// upstreams crash at once: attempts that cannot connect spend no budget, however many there are.
-// Attempts that an upstream refuses count as retries and need budget.
+// TestDeadUpstreams guards against requests that fail when many upstreams crash at once: while the
+// retry budget is empty, a request is still sent again after attempts that could not connect. After
+// an upstream received and refused the request, another attempt needs budget.
 func TestDeadUpstreams(t *testing.T) {
 	tests := map[string]struct {
 		dead, refusing int
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestNoFreeSlot guards against a request that waits, or gets a retry time above its latency target,
-// after the only upstream of its service refused it for lack of a free slot.
+// TestNoFreeSlot guards against a retry time above the latency target, and against a second
+// attempt, after the only upstream of a service refused a request for lack of a free slot.
 func TestNoFreeSlot(t *testing.T) {
 	chooser := newChooser(&fakeOwners{}, 1)
 	only := chooser.Directory.Snapshot().Service(service)[0].ID
@@ -82,7 +82,8 @@
 }
 
 // newGateway returns a gateway whose upstreams are all served by one server and whose retry budget
-// is empty, and the number of requests that the server received.
+// is empty, and the number of requests that the server has received. Addresses in dead cannot be
+// connected to, and upstreams in refusing state that they did not run the request.
 func newGateway(t *testing.T, c *snipegateway.Chooser, dead map[netip.AddrPort]bool, refusing map[string]bool) (*snipegateway.Gateway, *atomic.Int32) {
 	received := &atomic.Int32{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/snipegateway/replicas.go
+++ b/snipegateway/replicas.go
@@ -12,14 +12,15 @@
 
 const (
 	// ReplicaRate is the target rate of requests per second for one adapter on one engine: half of
-	// what an engine can answer in total. A lower rate would fill slots that less used adapters
-	// need.
+	// what an engine can answer in total. With a lower rate, more engines would hold the adapter,
+	// in slots that less used adapters need.
 	ReplicaRate = 15.0
 	// replicaMaxWait is the longest expected time for the load of a further replica. An engine with
 	// more loads queued would not relieve the others in time.
 	replicaMaxWait = 300 * time.Millisecond
 	// replicaDecisionInterval is the least time between two decisions about an adapter's replicas:
-	// the loads take 0.3 s, and rates have a half-life of the same length.
+	// the loads take 0.3 s, and rates have a half-life of the same length. After a shorter time,
+	// the rates would not reflect the last decision yet.
 	replicaDecisionInterval = 1200 * time.Millisecond
 	// replicaMargin is the factor by which the rate on one engine must exceed ReplicaRate before an
 	// adapter that several engines hold gets further replicas. The number of requests for one
@@ -34,7 +35,7 @@
 	replicaReportTime = 3 * time.Second
 )
 
-// Replica is an engine that has recently loaded an adapter.
+// Replica is an engine that has recently loaded an adapter, and the version that it loaded.
 type Replica struct {
 	Engine  string
 	Version int64
@@ -105,8 +106,8 @@
 	return count, first
 }
 
-// startReplicaDecision reports whether the rates already reflect the last decision about an
-// adapter's replicas, and if so records the start of a new one.
+// startReplicaDecision reports whether the last decision about an adapter's replicas was made at
+// least replicaDecisionInterval ago, and if so records a new decision.
 func (c *Chooser) startReplicaDecision(a snipecatalog.Adapter) bool {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -122,9 +123,9 @@
 	return true
 }
 
-// CanEvict reports whether an engine may evict an adapter that is used perSecond times a second there,
-// because the other holders can take over its requests. The first holder in rank may never evict
-// it, so that not all holders do so at the same time.
+// CanEvict reports whether an engine may evict an adapter that receives perSecond requests per
+// second there, because the other holders can take over these requests. The first holder in rank
+// may never evict the adapter, so that not all holders evict it at the same time.
 func (c *Chooser) CanEvict(u *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool {
 	holders, first := c.usableHolders(c.Directory.Snapshot(), u.Service, a)
 	return holders > 1 && first != u.ID && perSecond*float64(holders)/float64(holders-1) < maxSpareRate
@@ -136,7 +137,8 @@
 	return max(min(int(math.Ceil(perSecond/ReplicaRate)), engines), 1)
 }
 
-// recordReplica records that an engine has loaded an adapter. The lock is held.
+// recordReplica records that an engine has loaded an adapter now. It replaces an earlier record of
+// the engine. The lock must be held.
 func (c *Chooser) recordReplica(a snipecatalog.Adapter, engine string, version int64) {
 	now := time.Now()
 	if c.replicas == nil {
@@ -149,7 +151,7 @@
 	c.replicas[a][engine] = recentReplica{version, now}
 }
 
-// pruneReplicas removes the records that are no longer reported. The lock is held.
+// pruneReplicas removes the records that are no longer reported. The lock must be held.
 func (c *Chooser) pruneReplicas(now time.Time) {
 	for a, engines := range c.replicas {
 		for engine, n := range engines {
@@ -163,8 +165,8 @@
 	}
 }
 
-// Replicas returns the engines, except the excluded one, that have recently loaded an adapter at
-// this instance's request.
+// Replicas returns the engines, except the excluded one, that have loaded an adapter at this
+// instance's request within replicaReportTime.
 func (c *Chooser) Replicas(a snipecatalog.Adapter, excluded string) []Replica {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/snipegateway/replicas_test.go
+++ b/snipegateway/replicas_test.go
@@ -14,9 +14,9 @@
 )
 
 // TestReplicasOfHotAdapter guards against too few or too many replicas of an adapter that suddenly
-// receives a fifth of all requests at sixty engines: it must be on as many engines as it needs
-// within a second, and not on most of them, whose slots other adapters need. Each engine's owner
-// knows only the rate at its own engine, which lags behind and varies at random.
+// receives a fifth of all requests at sixty engines: as many engines as it needs must hold it
+// within a second, and not most of the engines, whose slots other adapters need. Each engine's
+// owner knows only the rate at its own engine, which lags behind and varies at random.
 func TestReplicasOfHotAdapter(t *testing.T) {
 	const (
 		count  = 60
@@ -65,7 +65,7 @@
 			Versions: first.Versions, Signals: first.Signals, Ensure: o.ensure, Owned: first.Owned,
 		})
 	}
-	_, err := first.Choose(t.Context(), service, request, nil, objective)
+	_, err := first.Choose(t.Context(), service, request, nil, latencyTarget)
 	must.NoError(t, err)
 	return c
 }
@@ -83,7 +83,8 @@
 
 func (c *cluster) holderCount() int { return len(c.holders()) }
 
-// step simulates the time between two reports.
+// step simulates the time d between two reports: requests at the given rate, and then the decision
+// of each holder's owner about replicas.
 func (c *cluster) step(perSecond float64, d time.Duration) {
 	time.Sleep(d)
 	now := time.Now()
@@ -109,8 +110,8 @@
 }
 
 // TestSpare guards against the eviction of an adapter that the other holders cannot take over
-// without a further replica, and against the loss of the last holder: the first in rank always
-// keeps the adapter.
+// without a further replica, and against the loss of the last holder: the first holder in rank
+// always keeps the adapter.
 func TestSpare(t *testing.T) {
 	ranked := newChooser(&fakeOwners{}, 4).RankedForTest(service, request.Adapter)
 	tests := map[string]struct {
--- a/snipegateway/request.go
+++ b/snipegateway/request.go
@@ -9,9 +9,11 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// PromptPart is a section of a prompt that other requests may share.
+// PromptPart is a section of a prompt. Prompts of several requests may begin with the same parts.
 type PromptPart struct {
-	ID     string
+	// ID identifies the section's text and that of all sections before it.
+	ID string
+	// Tokens is the size of this section alone.
 	Tokens int
 }
 
@@ -19,24 +21,27 @@
 type Request struct {
 	// ID identifies this attempt of the caller.
 	ID string
-	// MaxWait is the longest time that the caller waits; zero if not stated.
+	// MaxWait is the longest time that the caller waits, counted from the request's arrival; zero
+	// if the caller states none.
 	MaxWait time.Duration
-	// LastEvent is the identifier of the last event of the stream that the caller has.
+	// LastEvent is the identifier of the last event that the caller has received of the stream
+	// that it resumes; empty if the caller resumes none.
 	LastEvent string
 	// Adapter is the adapter that the request is for; its Model is empty for plain services.
 	Adapter snipecatalog.Adapter
-	// PromptTokens and OutputTokens are the sizes of the prompt and the output.
+	// PromptTokens and OutputTokens are the sizes of the prompt and the output; zero if not stated.
 	PromptTokens int
 	OutputTokens int
 	// SizeStated is set if the caller stated both sizes.
 	SizeStated bool
-	// Parts are the parts of the prompt in order.
+	// Parts are the parts of the prompt in order; nil if the caller states none.
 	Parts []PromptPart
 }
 
 // sharedPrefix returns how many tokens the prompt shares with other requests, and the identifier of
 // the last shared part, which also identifies the parts before it. The last part of the prompt
-// belongs to this request alone and does not count.
+// belongs to this request alone and does not count, so a prompt of fewer than two parts shares
+// nothing.
 func (q *Request) sharedPrefix() (tokens int, lastPart string) {
 	for n := range len(q.Parts) - 1 {
 		tokens += q.Parts[n].Tokens
@@ -48,7 +53,7 @@
 // Dispatch describes how a request is sent to an upstream.
 type Dispatch struct {
 	Upstream *snipedirectory.Upstream
-	// TimeLeft is the time that the upstream may take.
+	// TimeLeft is the time until the request's deadline, which the upstream may take.
 	TimeLeft time.Duration
 	// Version is the adapter version that the upstream must hold; zero for any.
 	Version int64
@@ -60,41 +65,51 @@
 	Workspace string
 }
 
-// Load is the load that an upstream states in an answer.
+// Load is the load that an upstream states in an answer: the requests that it runs, those that wait
+// in its queue, and how many it can run at once.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// AnswerState is what an upstream's answer states in addition to its content.
+// AnswerState is what the headers and the status of an upstream's answer say about the request and
+// the upstream.
 type AnswerState struct {
-	// Signed is set if the answer carries the upstream's signature.
+	// Signed is set if the answer has the header of the upstream's signature. The value of the
+	// header is not verified.
 	Signed bool
-	// NotRun is set if the upstream states that it did not run the request.
+	// NotRun is set if the answer states that the upstream did not run the request: by a header, or
+	// by the status 421.
 	NotRun bool
-	// Elsewhere is set if another upstream answered at the address.
+	// Elsewhere is set if the status is 421 and the answer names an upstream other than the one in
+	// the Dispatch, so that another upstream now has the address.
 	Elsewhere bool
-	// Missing is set if the upstream does not hold the adapter in the expected version.
+	// Missing is set if the status is 421 and Elsewhere is not set: the upstream does not hold the
+	// adapter in the expected version. It is set for an answer of a plain service too. The gateway
+	// does not read it: for a request for an adapter, it records each refusal without a backoff as
+	// the absence of the adapter.
 	Missing bool
-	// Load is nil if the answer does not state it.
+	// Load is nil if the answer states no load or an invalid one.
 	Load *Load
 	// Signal is what the upstream signals about itself in the answer.
 	Signal snipesignal.Signal
 }
 
-// signalApplies reports whether an answer's signal, or the lack of one, applies to the upstream
-// that the request was sent to. The lack of a signal counts only in an answer that this upstream
-// signed.
+// signalApplies reports whether an answer's signal, or the lack of one, is recorded for the
+// upstream that the request was sent to. A signal is recorded unless another upstream has the
+// address. The lack of a signal is recorded only if the answer also has the header of a signature.
 func (v *AnswerState) signalApplies() bool {
 	return !v.Elsewhere && (v.Signed || v.Signal != (snipesignal.Signal{}))
 }
 
 // Protocol translates between the gateway and the formats of callers and upstreams.
 type Protocol struct {
-	// Decode reads what a caller states about its request.
+	// Decode reads what a caller states about its request. The text of its error is returned to the
+	// caller.
 	Decode func(r *http.Request) (Request, error)
 	// Prepare turns a caller's header into the header of a request to an upstream.
 	Prepare func(h http.Header, d Dispatch)
-	// Classify reads what an upstream's answer states in addition to its content.
+	// Classify reads what the headers and the status of an upstream's answer say. It does not read
+	// the body.
 	Classify func(a *http.Response, d Dispatch) AnswerState
 	// Sign adds the request's identifier to an answer of this instance.
 	Sign func(h http.Header, id string)
--- a/snipegateway/snipegateway.go
+++ b/snipegateway/snipegateway.go
@@ -4,16 +4,19 @@
 // Design. One goroutine, that of net/http, handles a request from its arrival to its end. A call
 // (call.go) is the state of one request: the request is admitted, an upstream is chosen
 // (choose.go), the request is sent (attempt.go) and the answer is delivered, either buffered
-// (attempt.go) or event by event (stream.go). After each attempt without an answer,
-// call.shouldRetry alone decides whether another attempt follows.
+// (attempt.go) or event by event (stream.go). After each attempt that failed, call.decideRetry
+// alone decides whether another attempt follows.
 //
 // Invariants:
 //
 //   - A request that may run at most once is sent again only if an upstream stated that it did not
 //     run the request, or if none of the request's bytes were sent.
-//   - Status 503 is returned only for requests that have not run and never will.
-//   - An answer is forwarded only if it carries the upstream's signature and the request's
-//     identifier. An answer that breaks off is not completed: the caller's connection is aborted.
+//   - This instance itself answers with status 503 only if the request has not run and never will.
+//     An upstream's own status 503 is forwarded if the upstream signed the answer and did not state
+//     that it did not run the request.
+//   - An answer is forwarded only if it carries a signature header, whose value is not verified,
+//     and the request's identifier. If an answer breaks off after the caller has received its
+//     start, and no other upstream resumes it, the caller's connection is aborted.
 //   - Where operators declare workspaces, a request without the key of a workspace runs only on
 //     public routes. The key is sent to no upstream and written to no log line.
 //   - The events of a stream reach the caller whole, in order and once each, also when the stream
@@ -44,13 +47,13 @@
 	Signals  *snipesignal.Tracker
 	Protocol Protocol
 	Quotas   Quotas
-	// WaitForStart blocks a request that arrives before routes and upstreams are known, for a short time
-	// after the start.
+	// WaitForStart blocks a request that arrives before routes and upstreams are known. It returns
+	// when they are known, when ctx ends, or at a fixed time shortly after the start.
 	WaitForStart func(ctx context.Context)
 	// Outdated reports whether operators may have declared something that this instance has not
 	// read.
 	Outdated func() bool
-	// Budget returns the budget that limits retries of a service's requests.
+	// Budget returns the budget that limits the retries of all requests to a service.
 	Budget func(service string) *sniperetry.Window
 	// Stopping reports whether a planned stop has begun; connections are then closed after their
 	// current request.
--- a/snipegateway/stream.go
+++ b/snipegateway/stream.go
@@ -27,7 +27,8 @@
 var eventEnd = []byte("\n\n")
 
 // stream forwards events as they arrive. Until the stream's end only whole events are forwarded,
-// because the stream may have to be resumed at another upstream.
+// because the stream may have to be resumed at another upstream. If the answer resumes a stream,
+// its first event must directly follow the last one that the caller has.
 func (c *call) stream(ctx context.Context, id string, answer *snipelink.Answer) error {
 	chunk := chunkPool.Get().(*[]byte)
 	defer chunkPool.Put(chunk)
@@ -60,7 +61,8 @@
 	}
 }
 
-// writeEvents writes whole events to the caller.
+// writeEvents writes events to the caller at once, after the header if nothing was written before,
+// and records the identifier of the last event that has one.
 func (c *call) writeEvents(answer *snipelink.Answer, events []byte) error {
 	if !c.answerStarted {
 		c.gateway.Chooser.estimators.forService(c.service).recordFirstChunk(time.Since(c.sentAt), c.busy)
@@ -88,7 +90,8 @@
 	c.lastWriteAt = now
 }
 
-// finishStream writes the remainder of a stream that has reached its end.
+// finishStream writes what is left of a stream that has reached its end: the data after the last
+// whole event, and the header if the stream had no event.
 func (c *call) finishStream(id string, answer *snipelink.Answer, remainder []byte) error {
 	c.gateway.Balancer.Answered(id, false)
 	if len(remainder) == 0 && c.answerStarted {
@@ -108,7 +111,7 @@
 
 var idField = []byte("id:")
 
-// lastID returns the identifier of the last event that has one.
+// lastID returns the identifier of the last event that has one; empty if none has.
 func lastID(events []byte) string {
 	for len(events) > 0 {
 		at := bytes.LastIndex(events, idField)
@@ -123,7 +126,7 @@
 	return ""
 }
 
-// firstID returns the identifier of the first event that has one.
+// firstID returns the identifier of the first event that has one; empty if none has.
 func firstID(events []byte) string {
 	for len(events) > 0 {
 		line, remainder, _ := bytes.Cut(events, []byte{'\n'})
@@ -141,7 +144,7 @@
 }
 
 // continuesStream reports whether the first event with an identifier directly follows the last
-// event that the caller has.
+// event that the caller has: both identifiers are decimal numbers, and the first is one higher.
 func (c *call) continuesStream(events []byte) bool {
 	last, err := strconv.ParseInt(c.lastEvent, 10, 64)
 	if err != nil {
--- a/snipegateway/use.go
+++ b/snipegateway/use.go
@@ -50,7 +50,7 @@
 	return func() { c.endUse(e, u) }
 }
 
-// engineUse returns the use of an engine and creates it if needed. The lock is held.
+// engineUse returns the use of an engine and creates it if needed. The lock must be held.
 func (c *Chooser) engineUse(engine string) *engineUse {
 	if e := c.uses[engine]; e != nil {
 		return e
@@ -74,8 +74,10 @@
 }
 
 // TakeUseReports returns the use of adapters, by engine, that is due to be reported to the engines'
-// owners. An engine is due if a request has begun or ended there since its last report, or if
-// requests are in flight there and its last report is older than useReportInterval.
+// owners, and records that it was reported. An engine is due if a request has begun or ended there
+// since its last report, or if requests are in flight there and its last report is older than
+// useReportInterval. Requests to the base model itself make an engine due without adding an
+// adapter.
 func (c *Chooser) TakeUseReports() map[string]map[snipecatalog.Adapter]snipeadapter.Use {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -93,7 +95,8 @@
 	return reports
 }
 
-// report returns the use of one engine for a report and resets its counts.
+// report returns the use of one engine for a report, resets the counts of begun requests, and drops
+// the adapters without requests in flight.
 func (e *engineUse) report(now time.Time) map[snipecatalog.Adapter]snipeadapter.Use {
 	e.changed, e.reportedAt = false, now
 	all := make(map[snipecatalog.Adapter]snipeadapter.Use, len(e.adapters))
--- a/snipegateway/use_test.go
+++ b/snipegateway/use_test.go
@@ -12,8 +12,8 @@
 	"snipepitch.example/snipepitch/snipegateway"
 )
 
-// TestTakeUses guards against excessive use reports from hundreds of instances that each have a few
-// streams in flight: unchanged use is reported again rarely, and a change is reported at once.
+// TestTakeUses guards against excessive use reports from an instance with a few streams in flight:
+// unchanged use is reported again three or four times in two seconds, and a change at once.
 func TestTakeUses(t *testing.T) {
 	const tick = 80 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
--- a/snipegateway/waiting_test.go
+++ b/snipegateway/waiting_test.go
@@ -14,9 +14,9 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// TestSignalWhileWaiting guards against a request that is sent to the engine for whose load it waited
-// although that engine has meanwhile signaled that it takes no requests: the request must go to
-// another engine.
+// TestSignalWhileWaiting guards against a request that is sent to the engine for whose load it
+// waited although that engine has meanwhile signaled that it takes no requests: the request must go
+// to another engine.
 func TestSignalWhileWaiting(t *testing.T) {
 	tests := map[string]func(c *snipegateway.Chooser, engine string){
 		"Leaves": func(c *snipegateway.Chooser, engine string) { c.Directory.MarkLeaving(engine) },
--- a/snipegateway/workspace.go
+++ b/snipegateway/workspace.go
@@ -13,10 +13,10 @@
 
 // Quotas charges requests to the quotas of their workspaces.
 type Quotas struct {
-	// Take charges a request. If the quota is used up, it returns false and the time until enough
-	// of the quota is available.
+	// Take charges a request, and may block until ctx ends. If the quota is used up, it returns
+	// false and the time until enough of the quota is expected to be available.
 	Take func(ctx context.Context, w *snipecatalog.Workspace, units float64) (wait time.Duration, ok bool)
-	// TakeAgain charges a request that runs once more.
+	// TakeAgain charges a request that runs once more. It neither blocks nor refuses.
 	TakeAgain func(w *snipecatalog.Workspace, units float64)
 	// Return refunds the charge of a request that was not run.
 	Return func(w *snipecatalog.Workspace, units float64)
@@ -25,7 +25,9 @@
 // keyHeader holds the caller's key. Where keys are declared, it is not sent to upstreams.
 const keyHeader = "Authorization"
 
-// identifyWorkspace finds the workspace of the request's key.
+// identifyWorkspace finds the workspace of the request's key. It refuses a request without the key
+// of a workspace unless the route is public. If the catalog declares no keys, there is no
+// workspace.
 func (c *call) identifyWorkspace() error {
 	if !c.catalog.RequiresKeys() {
 		return nil
@@ -45,8 +47,8 @@
 	}
 }
 
-// unauthenticated returns the refusal of a request without a valid key. The request's body is not
-// read.
+// unauthenticated returns the refusal of a request without a valid key, and sets the answer's
+// header that asks for a key.
 func (c *call) unauthenticated(reason string) error {
 	c.writer.Header().Set("WWW-Authenticate", "Bearer")
 	return snipeerror.New(snipeerror.ErrUnauthenticated, c.outcome(), reason)
@@ -62,8 +64,9 @@
 	return snipeerror.New(snipeerror.ErrUnavailable, c.outcome(), "what operators declare may have changed since it was read").After(startRetryAfter)
 }
 
-// recheckKey checks before each attempt that the key is still valid: it may have been revoked while
-// the request waited or since the previous attempt.
+// recheckKey returns an error if the key no longer belongs to the request's workspace. It is called
+// before each attempt, because the key may have been revoked while the request waited or since the
+// previous attempt.
 func (c *call) recheckKey() error {
 	now := c.gateway.Catalog.Catalog()
 	if c.workspace == nil || now == c.catalog {
@@ -79,7 +82,8 @@
 // hasQuota reports whether the request counts against a quota.
 func (c *call) hasQuota() bool { return c.workspace != nil && c.workspace.Quota.Limited() }
 
-// takeQuota charges the request to its workspace's quota.
+// takeQuota charges the request to its workspace's quota, if there is one. If the quota is used up,
+// it returns ErrLimited with a retry time.
 func (c *call) takeQuota(ctx context.Context) error {
 	if !c.hasQuota() {
 		return nil
@@ -123,7 +127,8 @@
 	return c.workspace.Name
 }
 
-// priority returns the request's priority at upstreams.
+// priority returns the request's priority at upstreams: that of its workspace, or else of its
+// route.
 func (c *call) priority() int {
 	if c.workspace != nil && c.workspace.Priority != nil {
 		return *c.workspace.Priority
@@ -137,12 +142,13 @@
 // workspaceLabels holds the labels of the workspaces with metrics of their own. It is safe for
 // concurrent use.
 type workspaceLabels struct {
-	lock sync.Mutex // guards names
+	lock sync.Mutex // guards labels
 	// labels maps names of workspaces to metric labels.
 	labels map[string]string
 }
 
-// label returns the metric label of a workspace.
+// label returns the quoted metric label of a workspace: its name, or "other" for the workspaces
+// after the first maxWorkspaceLabels.
 func (l *workspaceLabels) label(workspace string) string {
 	l.lock.Lock()
 	defer l.lock.Unlock()
