--- a/snipebalance/board.go
+++ b/snipebalance/board.go
@@ -17,7 +17,7 @@
 	reports map[string]map[string]report // by upstream, then by instance
 }
 
-// report is one instance's share of an upstream's load.
+// report is the weight of one instance's requests in flight at an upstream.
 type report struct {
 	load float64
 	at   time.Time
@@ -37,7 +37,8 @@
 	b.reports[upstream][instance] = report{load, time.Now()}
 }
 
-// Loads returns the total load of each upstream for which there are reports.
+// Loads returns the total load of each upstream for which there are reports, and drops the reports
+// that are older than boardLifetime.
 func (b *Board) Loads() map[string]float64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/snipebalance/snipebalance.go
+++ b/snipebalance/snipebalance.go
@@ -1,9 +1,10 @@
 // Package snipebalance picks an upstream of a service for each request, by the load and health
-// that this instance has recorded for the upstreams.
+// that this instance has recorded for the upstreams. The load of an upstream is the total weight of
+// the requests in flight there from all instances (see Weight).
 //
-// The load of an upstream is the last load reported for it, adjusted by the requests that this
-// instance has begun and ended there since. The weight of a report decreases with its age, so
-// that an upstream that was busy receives requests again.
+// The load is estimated as the weight of this instance's own requests in flight, plus what the last
+// report contained in addition to them. This addition decreases to zero with the age of the report,
+// so that an upstream that was busy receives requests again.
 //
 // Picking an upstream depends only on the recorded state and the clock: it does no I/O and
 // allocates nothing.
@@ -18,11 +19,12 @@
 )
 
 const (
-	// reportLifetime is the age at which a reported load has no weight any more. It is as
-	// long as several answers take under the usual load.
+	// reportLifetime is the age at which a reported load has no influence any more. It is as long
+	// as several answers take under the usual load.
 	reportLifetime = 2 * time.Second
 	// minClearAge is the age that a recorded load must exceed before its absence from another
-	// instance's statements resets it to zero.
+	// instance's reports resets it to zero. A more recent load is kept, because it may have begun
+	// after the other instance received its reports.
 	minClearAge = 500 * time.Millisecond
 	// remoteCost is the cost of an upstream in another failure domain, as a share of the
 	// upstream's slots. Traffic between domains costs about a tenth of the slowdown that a
@@ -56,12 +58,14 @@
 	reported     float64
 	inFlightThen float64
 	reportedAt   time.Time
-	// failures is the decayed share of answers that were failures.
+	// failures is the moving average of the failure rate: of answers that were failures, and of
+	// requests that got no answer.
 	failures float64
-	// unanswered counts consecutive requests without an answer.
+	// unanswered counts consecutive requests without an answer, including those for which no
+	// connection could be opened.
 	unanswered int
-	// suspicion is the length of the last suspicion that failures caused. An answer resets
-	// it to zero.
+	// suspicion is the length of the last suspicion that failures caused. An answer resets it to
+	// zero. suspectUntil is when the suspicion ends, whatever caused it.
 	suspicion    time.Duration
 	suspectUntil time.Time
 }
@@ -71,11 +75,13 @@
 type Balancer struct {
 	// Domain is this instance's failure domain.
 	Domain string
-	// Suspect is called each time an upstream is marked as suspect, and when an answer ends
-	// a suspicion that failures caused. It may be nil.
+	// Suspect is called with true each time an upstream is marked as suspect, also if it already
+	// was, and with false at the first answer after failures made it suspect. It is called without
+	// the lock held, and may be nil.
 	Suspect func(id string, suspect bool)
-	// Open reports whether an upstream accepts requests now, by its own signals; nil means
-	// always. An upstream that does not is never picked, not even as the last one left.
+	// Open reports whether an upstream accepts requests now, by its own signals; nil means that all
+	// always do. An upstream for which Open returns false is never picked, not even as the last one
+	// left.
 	Open func(id string) bool
 
 	lock   sync.Mutex // guards states
@@ -93,9 +99,10 @@
 // The unit is the load of one request.
 type Cost func(u *snipedirectory.Upstream) float64
 
-// Pick returns the upstream with the lowest cost that passes the filter; nil when there is none.
-// A suspect upstream is picked only if every upstream that passes the filter is suspect. The
-// extra cost may be nil.
+// Pick returns the upstream with the lowest cost among those that pass the filter, are open and are
+// not leaving; nil when there is none. A suspect upstream is picked only if all of these are
+// suspect. The extra cost may be nil. Pick records nothing: the caller calls Begin when it sends
+// the request.
 func (b *Balancer) Pick(all []*snipedirectory.Upstream, allowed Filter, extra Cost) *snipedirectory.Upstream {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -131,7 +138,8 @@
 	return s == nil || !time.Now().Before(s.suspectUntil)
 }
 
-// Load returns the estimated weight of all requests in flight at an upstream.
+// Load returns the estimated weight of all requests in flight at an upstream; zero if nothing is
+// recorded.
 func (b *Balancer) Load(u *snipedirectory.Upstream) float64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -162,6 +170,8 @@
 	return load
 }
 
+// cost returns the cost of an upstream, as a share of its slots, and whether the upstream is
+// suspect. The lock must be held.
 func (b *Balancer) cost(u *snipedirectory.Upstream, now time.Time) (cost float64, suspect bool) {
 	cost = b.busy(u, now)
 	if u.Domain != b.Domain {
@@ -186,8 +196,8 @@
 	return s
 }
 
-// Begin records that a request of the given weight is sent to an upstream. The returned
-// function records its end.
+// Begin records that a request of the given weight is sent to an upstream. The returned function
+// records the request's end and must be called once.
 func (b *Balancer) Begin(id string, weight float64) (end func()) {
 	b.lock.Lock()
 	b.state(id).inFlight += weight
@@ -211,7 +221,8 @@
 	return 0
 }
 
-// SetLoad records the load of an upstream, as the upstream itself or a Board reports it.
+// SetLoad records the load of an upstream, as the upstream itself or a Board reports it now. It
+// replaces the previous report. The load includes this instance's requests in flight.
 func (b *Balancer) SetLoad(id string, load float64) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -230,7 +241,8 @@
 	Age  time.Duration
 }
 
-// LoadReports returns the recent reports of the upstreams whose reported load is above zero.
+// LoadReports returns the last report of each upstream whose reported load is above zero, if the
+// report is younger than reportLifetime.
 func (b *Balancer) LoadReports() []LoadReport {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -244,8 +256,9 @@
 	return all
 }
 
-// MergeLoads records the statements of another instance, which lists every upstream that has a load.
-// A load that this instance has recorded more recently is kept.
+// MergeLoads records the load reports of another instance, which lists every upstream with a load
+// above zero. A load that this instance has recorded more recently is kept. The load of an upstream
+// that is not listed is set to zero if it was recorded more than minClearAge ago.
 func (b *Balancer) MergeLoads(all []LoadReport) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -258,15 +271,16 @@
 		}
 	}
 	for id, s := range b.states {
-		// The upstream had no load at the other instance, but since when is unknown. A load
-		// that was recorded here more recently than minClearAge is therefore kept.
+		// The other instance reports no load for the upstream, but not since when. A load that was
+		// recorded here more recently than minClearAge is therefore kept.
 		if !named[id] && s.reported > 0 && now.Sub(s.reportedAt) > minClearAge {
 			b.setLoad(id, 0, now)
 		}
 	}
 }
 
-// Answered records an answer, and whether it was a failure. Any answer ends a suspicion.
+// Answered records an answer, and whether it was a failure. Any answer, also a failure, ends a
+// suspicion and resets the count of requests without an answer.
 func (b *Balancer) Answered(id string, failed bool) {
 	b.lock.Lock()
 	s := b.state(id)
@@ -274,20 +288,20 @@
 	if failed {
 		s.failures += 1 - failureDecay
 	}
-	trusted := s.suspicion > 0
+	wasSuspect := s.suspicion > 0
 	s.unanswered, s.suspicion, s.suspectUntil = 0, 0, time.Time{}
 	b.lock.Unlock()
-	if trusted {
+	if wasSuspect {
 		b.notify(id, false)
 	}
 }
 
-// Unreached records that a connection to an upstream could not be opened, which makes it suspect
-// at once.
+// Unreached records that a connection to an upstream, or to the owner of an engine, could not be
+// opened. This makes the upstream suspect at once.
 func (b *Balancer) Unreached(id string) { b.recordFailure(id, true) }
 
-// Replaced records that another upstream answered at the address of this one, which means that
-// this one is gone for good.
+// Replaced records that another upstream answered at the address of this one, so that this one is
+// gone for good. This makes it suspect for replacedSuspicion.
 func (b *Balancer) Replaced(id string) {
 	b.lock.Lock()
 	b.state(id).suspectUntil = time.Now().Add(replacedSuspicion)
@@ -295,11 +309,13 @@
 	b.notify(id, true)
 }
 
-// Unanswered records that a request got no usable answer. Several in a row make the upstream suspect.
+// Unanswered records that a request got no usable answer. maxUnanswered failures in a row make the
+// upstream suspect.
 func (b *Balancer) Unanswered(id string) { b.recordFailure(id, false) }
 
-// recordFailure counts a failure, which makes the upstream suspect at once or after maxUnanswered
-// failures in a row.
+// recordFailure counts a failure, which makes the upstream suspect if atOnce is set, and otherwise
+// from the maxUnanswered-th failure in a row on. Each failure that does so doubles the time
+// for which the upstream is suspect, up to maxSuspicion.
 func (b *Balancer) recordFailure(id string, atOnce bool) {
 	b.lock.Lock()
 	s := b.state(id)
--- a/snipebalance/snipebalance_test.go
+++ b/snipebalance/snipebalance_test.go
@@ -21,7 +21,8 @@
 
 func every(*snipedirectory.Upstream) bool { return true }
 
-// TestPick checks which upstream is picked by domain, load, failures and suspicion.
+// TestPick checks which upstream is picked by domain, load, failures and suspicion, and that a
+// leaving one is not. Without any record, the upstream in the instance's own domain is picked.
 func TestPick(t *testing.T) {
 	tests := map[string]struct {
 		before func(b *snipebalance.Balancer)
@@ -70,8 +71,9 @@
 	must.Less(t, 0.25, b.Busy(u))
 }
 
-// TestSuspicionEnds checks that an upstream that cannot be reached is suspect for a time that
-// grows with each failure up to a bound, and that it is trusted again with its first answer.
+// TestSuspicionEnds checks that an upstream that cannot be reached is usable again after 3 s,
+// however often it failed before, and that Suspect is called for each failure and once for the
+// first answer.
 func TestSuspicionEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		notified := []bool{}
--- a/snipegateway/choose.go
+++ b/snipegateway/choose.go
@@ -56,7 +56,9 @@
 
 	estimators estimators
 
-	lock     sync.Mutex // guards the fields below
+	lock sync.Mutex // guards the fields below
+	// loads holds the load requests in flight, replicas the new replicas by adapter and engine, and
+	// uses the use of each engine by this instance.
 	loads    map[loadKey]*sharedLoad
 	replicas map[snipecatalog.Adapter]map[string]recentReplica
 	// nextReplicaDecision is the time from which on the replicas of an adapter may change again.
--- a/sniperoute/replicas.go
+++ b/sniperoute/replicas.go
@@ -8,12 +8,14 @@
 const (
 	// MaxReplicas bounds the number of engines that hold one adapter to share its load.
 	MaxReplicas = 16
-	// replicaFill is the share of an engine's batch that the calls of one adapter may occupy
-	// before another engine is added.
+	// replicaFill is the share of an engine's batch, the calls that it runs at once, that the calls
+	// of one adapter may occupy before another engine is added.
 	replicaFill = 0.75
 	// replicaSmoothing is the time in which the weight of a past load decreases to 1/e.
 	replicaSmoothing = 5 * time.Second
-	// replicaHold is how long fewer engines must suffice before their number is reduced.
+	// replicaHold is how long fewer engines must suffice before their number is reduced. Shorter:
+	// engines would be removed and added again when the load varies; longer: the adapter would
+	// occupy slots that it no longer needs.
 	replicaHold = time.Minute
 )
 
@@ -50,28 +52,28 @@
 }
 
 // Replicas computes how many engines should hold one adapter, from the calls in flight at its home
-// engine. The calls are distributed evenly, so that the home receives 1/Count of them. The count of
-// the zero value is 1.
+// engine. The calls are distributed evenly over these engines, so that the home receives 1/Count of
+// them. The count of the zero value is 1. Replicas is not safe for concurrent use.
 type Replicas struct {
-	count    int
-	mean     float64   // smoothed number of calls in flight at the home
-	stepped  time.Time // time of the last step
-	lowSince time.Time // since when fewer engines would suffice; zero if they would not
+	count     int
+	mean      float64   // smoothed number of calls in flight at the home
+	steppedAt time.Time // time of the last step
+	lowSince  time.Time // since when fewer engines would suffice; zero if they would not
 }
 
 // Count returns the number of engines that should hold the adapter, at least 1.
 func (r *Replicas) Count() int { return max(r.count, 1) }
 
 // Step records the number of calls in flight at the home, whose batch has the given size, and
-// returns the new count. The count increases at once, and decreases only after fewer engines have
-// sufficed for replicaHold.
+// returns the new count, at most MaxReplicas. The count increases as soon as the smoothed number of
+// calls requires it, and decreases only after fewer engines have sufficed for replicaHold.
 func (r *Replicas) Step(now time.Time, inFlight, batch int) int {
-	if r.stepped.IsZero() {
-		r.stepped = now
+	if r.steppedAt.IsZero() {
+		r.steppedAt = now
 	}
-	decay := math.Exp(-float64(now.Sub(r.stepped)) / float64(replicaSmoothing))
+	decay := math.Exp(-float64(now.Sub(r.steppedAt)) / float64(replicaSmoothing))
 	r.mean = decay*r.mean + (1-decay)*float64(inFlight)
-	r.stepped = now
+	r.steppedAt = now
 	total := r.mean * float64(r.Count())
 	want := min(max(int(math.Ceil(total/(replicaFill*float64(max(batch, 1))))), 1), MaxReplicas)
 	switch {
--- a/sniperoute/route_test.go
+++ b/sniperoute/route_test.go
@@ -19,9 +19,9 @@
 	return all
 }
 
-// TestEngineRemovalMovesFewAdapters checks that the removal of an engine moves only the adapters whose home it was, and
-// that these spread over the remaining engines. A ranking that depended on the number of engines
-// would move most adapters.
+// TestEngineRemovalMovesFewAdapters checks that only the adapters whose home is an engine that
+// becomes unusable get another home, and that they spread over the remaining engines. A ranking
+// that depended on the number of usable engines would move most adapters.
 func TestEngineRemovalMovesFewAdapters(t *testing.T) {
 	all := engines(12)
 	without := engines(12)
@@ -52,8 +52,8 @@
 	must.Eq(t, 0, testing.AllocsPerRun(100, func() { Pick(AdapterHash(a), all) }))
 }
 
-// BenchmarkPick measures one decision among 600 engines for 66,000 adapters, including the copy of
-// the prepared candidates.
+// BenchmarkPick measures one decision among 600 engines, for 66,000 adapters in turn, including the
+// copy of the candidates that a caller marks as excluded for each call.
 func BenchmarkPick(b *testing.B) {
 	prepared := engines(600)
 	buffer := make([]Candidate, 0, len(prepared))
@@ -93,8 +93,8 @@
 	must.Eq(t, -1, PickReplica(7, 1, 3, nil))
 }
 
-// TestReplicas checks that the count follows a rising load at once and a falling one only after
-// replicaHold.
+// TestReplicas checks that the count is higher within half a minute after the load has risen, and
+// that it follows a falling load only after replicaHold.
 func TestReplicas(t *testing.T) {
 	var r Replicas
 	now := time.Unix(0, 0)
--- a/sniperoute/sniperoute.go
+++ b/sniperoute/sniperoute.go
@@ -1,9 +1,10 @@
 // Package sniperoute decides which upstream serves a call. Its functions are pure: they do no I/O,
 // read no clock and allocate nothing on the hot path.
 //
-// For every adapter, the engines are ranked by rendezvous hashing. The ranking is the same on every
-// instance, so that instances agree on an adapter's home without exchanging messages, and few
-// adapters move when an engine is added or removed.
+// For every adapter, the engines are ranked by rendezvous hashing. The adapter's home is the engine
+// that ranks first. The ranking is the same on every instance, so that instances agree on the home
+// without exchanging messages, and few adapters get another home when an engine is added or
+// removed.
 package sniperoute
 
 import "snipepitch.example/snipepitch/snipecall"
@@ -26,7 +27,7 @@
 	return mix(h)
 }
 
-// mix is the finalizer of MurmurHash3.
+// mix is the finalizer of MurmurHash3: each bit of h influences all bits of the result.
 func mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
@@ -38,8 +39,8 @@
 // AdapterHash returns the hash that ranks engines for an adapter.
 func AdapterHash(a snipecall.Adapter) uint64 { return Hash(a.Team, a.Name, a.Version) }
 
-// Score returns the rank value of a candidate for a key. Both are given by their hashes; the
-// candidate with the highest value ranks first.
+// Score returns the score of a candidate for a key. Both are given by their hashes; the candidate
+// with the highest score ranks first.
 func Score(key, candidate uint64) uint64 { return mix(key ^ candidate) }
 
 // Candidate is an upstream that may serve a call.
--- a/snipesignal/news.go
+++ b/snipesignal/news.go
@@ -7,10 +7,11 @@
 	// instances that missed an announcement or have just started receive it.
 	announceInterval = 5 * time.Second
 	// announcers is how many of the instances that share a limit, counted by rank, announce it at
-	// announceInterval. The others wait twice as long and announce it only if none of those did.
+	// announceInterval. The other ones wait twice as long, and announce the limit only if they have
+	// received no update about it in that time.
 	announcers = 3
-	// limitEndLife is how long the end of a limit is announced again by the instances that received
-	// it from the upstream, and how long Statements reports it.
+	// limitEndLife is how long the instances that received the end of a limit from the upstream
+	// announce the end again, and how long CurrentUpdates returns it.
 	limitEndLife = 12 * time.Second
 )
 
@@ -18,24 +19,27 @@
 type Update struct {
 	Upstream string
 	State
-	// Age is the time since the upstream sent its limit or the end of it.
+	// Age is the time since the upstream sent its limit or the end of its limit to any instance. It
+	// has no meaning if the upstream has sent neither.
 	Age time.Duration
 }
 
 // notifications tracks what the other instances were last notified of about one upstream.
 type notifications struct {
 	// received reports whether this instance has received a limit, the end of one or leaving from
-	// the upstream since it last notified the others. ended reports whether the last of these was
-	// the end of a limit, and no newer update has come from another instance.
+	// the upstream itself since it last notified the others. ended reports whether the last limit
+	// signal from the upstream itself was the end of a limit, and no newer update has come from
+	// another instance.
 	received bool
 	ended    bool
-	// notified is the state that the other instances were last notified of, by any instance, and
-	// notifiedAt is the time of that notification.
+	// notified is the state in the last update about the upstream that this instance sent or
+	// received, and notifiedAt is when it did so.
 	notified   State
 	notifiedAt time.Time
 }
 
-// due reports whether the other instances must be notified of the state of an upstream.
+// due reports whether the other instances must be notified of the state of an upstream now: because
+// the state has changed, or because a limit or the end of one must be announced again.
 func (n *notifications) due(e *entry, now time.Time) bool {
 	since := now.Sub(n.notifiedAt)
 	switch {
@@ -52,9 +56,11 @@
 	}
 }
 
-// PendingUpdates returns the states of upstreams that other instances must be notified of now, and records
-// that they have been notified. It returns only states with a signal that this instance received
-// from the upstream itself.
+// PendingUpdates returns the states of upstreams to send to other instances now, and marks them as
+// sent. It leaves out an upstream from which this instance itself has received no limit, end of a
+// limit or leaving since it last sent an update about that upstream: states that it knows only from
+// other instances are not sent on. Only the end of a limit is returned repeatedly, for
+// limitEndLife.
 func (b *Tracker) PendingUpdates() []Update {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -70,8 +76,9 @@
 	return all
 }
 
-// CurrentUpdates returns the states of the upstreams that have a limit, whose limit has ended within
-// limitEndLife, or that are leaving.
+// CurrentUpdates returns the states of the upstreams that have a limit, whose limit has ended
+// within limitEndLife, or that are leaving, also if this instance knows of them only from other
+// instances. It marks nothing as sent.
 func (b *Tracker) CurrentUpdates() []Update {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -86,7 +93,9 @@
 	return all
 }
 
-// Merge merges states that another instance reports. A newer limit that is known here is kept.
+// Merge merges states that another instance reports. A reported limit, or the end of one, replaces
+// the one known here only if it is newer. Leaving is added and never removed. For each upstream
+// whose state changes, Changed is called.
 func (b *Tracker) Merge(all []Update) {
 	for _, s := range all {
 		change, changed := b.merge(s)
@@ -94,6 +103,8 @@
 	}
 }
 
+// merge merges the state of one upstream and returns the change to pass to Changed. A state without
+// a limit or leaving is ignored if nothing is known about the upstream here.
 func (b *Tracker) merge(s Update) (Change, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -109,7 +120,7 @@
 		e.notifications.ended = false
 	}
 	e.Leaving = e.Leaving || s.Leaving
-	// The instance that received the signal has notified the other instances too.
+	// The instance that sent this update has sent it to the other instances too.
 	e.notifications.notified, e.notifications.notifiedAt = s.State, now
 	return e.pendingChange(s.Upstream, Instance)
 }
--- a/snipesignal/rest_test.go
+++ b/snipesignal/rest_test.go
@@ -17,9 +17,9 @@
 	return snipesignal.Signal{Backoff: backoff}
 }
 
-// TestBackoff guards against requests to an upstream during the backoff that it asked for, also when
-// it asks for a shorter backoff after a longer one, and against all waiting requests being sent at
-// once when the backoff ends.
+// TestBackoff guards against requests to an upstream during the backoff that it asked for, also
+// when it asks for a shorter backoff after a longer one, and against all waiting requests being
+// sent at once when the backoff ends.
 func TestBackoff(t *testing.T) {
 	type step struct {
 		// at is when the step happens, and signal is the signal that arrives then; nil for none.
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestBackoffAppliesToOneInstance guards against a backoff that also stops instances other than the one that the
-// upstream asked for it.
+// TestBackoffAppliesToOneInstance guards against a backoff that is passed to another instance in
+// the updates and also stops the requests of that instance.
 func TestBackoffAppliesToOneInstance(t *testing.T) {
 	asked, other := &snipesignal.Tracker{}, &snipesignal.Tracker{}
 	asked.Record(upstream, time.Now(), backoffSignal(second))
@@ -69,8 +69,8 @@
 	must.True(t, other.Open(upstream))
 }
 
-// TestBackoffProbeNotSent guards against requests that are held up because the first request after a
-// backoff took the send slot and could not be sent.
+// TestBackoffProbeNotSent guards against requests that are held up because the first request after
+// a backoff took the send slot and could not be sent.
 func TestBackoffProbeNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipesignal.Tracker{}
@@ -84,8 +84,9 @@
 	})
 }
 
-// TestRetryTimesAfterBackoff guards against retry times of refused callers that lie within the backoff,
-// or all at the same moment after it.
+// TestRetryTimesAfterBackoff guards against retry times of refused callers that lie before the end
+// of the first backoff, or all at the same moment after it, and against a retry time without a
+// backoff.
 func TestRetryTimesAfterBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipesignal.Tracker{}
--- a/snipesignal/snipesignal.go
+++ b/snipesignal/snipesignal.go
@@ -3,23 +3,24 @@
 // an upstream.
 //
 // Design. An overloaded upstream names how many requests per second it accepts from all instances
-// together. Each instance uses a share of that limit without a message to any other instance:
-// Divide gives shares to only so many instances, by rank, that all together stay within the limit
-// even if each of them sends its next request at the same moment. The other instances send the
-// upstream nothing except a rare request that detects the end of the limit. Instances also notify
-// each other of limits and of their end.
+// together. Each instance computes its share of that limit without a message to any other instance:
+// Divide divides the limit among only so many instances, by rank, that all together stay within the
+// limit even if each of them sends its next request at the same moment. The other instances send
+// the upstream nothing except a rare request, a probe, which detects the end of the limit.
+// Instances also notify each other of limits and of their end.
 //
 // Invariants:
 //
-//   - A signal of an upstream holds until the answer to a request that was sent later contradicts
-//     it, because answers overtake each other.
+//   - A limit holds until the answer to a request that was sent after the limit arrived names no
+//     limit, or until another instance reports a later end: answers overtake each other. A newly
+//     named limit replaces the previous one at once. Leaving holds for good.
 //   - State is kept under the identifier of one start of an upstream, and applies to no other
 //     start.
-//   - Two requests of one instance to an upstream that names a limit are separated by the interval
-//     of the instance's share.
-//   - An upstream that has asked an instance for a backoff receives no request from it until the
-//     backoff ends, and then a single request first. A backoff applies to that instance only: other
-//     instances are not notified.
+//   - An instance sends an upstream that names a limit at most one request in each interval of the
+//     instance's share.
+//   - An upstream that has asked an instance for a backoff receives no new request from that
+//     instance until the backoff ends, and then one request each probeTimeout until it has served
+//     one. A backoff applies to that instance only: other instances are not notified.
 package snipesignal
 
 import (
@@ -42,7 +43,8 @@
 	Invalid string
 }
 
-// State is the known state of an upstream, from its answers to any instance.
+// State is the known state of an upstream, from its answers to any instance. The fields mean the
+// same as those of Signal.
 type State struct {
 	Limit   float64
 	Limited bool
@@ -70,13 +72,13 @@
 	Instance Source = "Instance"
 )
 
-// Change is a change of the known state of an upstream.
+// Change is a change of the known state of an upstream, from Before to Now.
 type Change struct {
 	Upstream string
 	Before   State
 	Now      State
 	Source   Source
-	// Share is the share of this instance in the limit.
+	// Share is the share of this instance in the last limit; the zero value if there never was one.
 	Share Share
 }
 
@@ -86,9 +88,10 @@
 	// Share returns the share of this instance in the limit of an upstream. If it is nil, the
 	// instance uses the whole limit.
 	Share func(upstream string, limit float64) Share
-	// Changed is called for each change, Rested when an upstream asks for a backoff while none is
-	// in force, and Wrong once for each upstream that sends a signal that cannot be parsed. Each
-	// may be nil. They are called without the lock held.
+	// Changed is called for each change that limitTolerance does not cover, BackoffStarted when an
+	// upstream asks for a backoff while none is in force, and Invalid once for each upstream that
+	// sends a signal that cannot be parsed. Each of the three may be nil, and is called without the
+	// lock held.
 	Changed        func(c Change)
 	BackoffStarted func(upstream string, backoff time.Duration)
 	Invalid        func(upstream, text string)
@@ -100,7 +103,8 @@
 // entry is the known state of one upstream.
 type entry struct {
 	State
-	// signaledAt is when the upstream last sent its limit, or the end of it, to any instance.
+	// signaledAt is when the upstream last sent its limit, or the end of its limit, to any
+	// instance; zero if it never did.
 	signaledAt time.Time
 	// reported is the state that was last passed to Changed.
 	reported State
@@ -109,11 +113,13 @@
 	backoff       backoff
 	// slots determines when requests may be sent while there is a limit.
 	slots sendSlots
-	// invalid reports whether the upstream has sent a signal that cannot be parsed.
+	// invalid reports whether the upstream has ever sent a signal that cannot be parsed.
 	invalid bool
 }
 
 // Record records the signal of an answer that has just arrived. sent is when its request was sent.
+// The zero Signal means that the upstream named nothing: it ends a limit that was named before
+// sent, and confirms the end of a backoff that is over. It does not end leaving.
 func (b *Tracker) Record(upstream string, sent time.Time, s Signal) {
 	b.lock.Lock()
 	if b.entries[upstream] == nil && s == (Signal{}) {
@@ -126,7 +132,7 @@
 	if s.Backoff > 0 {
 		backedOff = e.backoff.extend(s.Backoff, now)
 	} else {
-		e.backoff.served(now)
+		e.backoff.recordServed(now)
 	}
 	if s.Limited || e.Limited && sent.After(e.signaledAt) {
 		b.setLimit(upstream, e, s.Limit, s.Limited, now, now)
@@ -146,7 +152,8 @@
 	b.reportChange(change, changed)
 }
 
-// recordInvalid records a signal that cannot be parsed, and reports whether it is the first one.
+// recordInvalid records whether the signal could not be parsed, and reports whether this is the
+// first such signal of the upstream.
 func (e *entry) recordInvalid(s Signal) bool {
 	if s.Invalid == "" || e.invalid {
 		return false
@@ -155,8 +162,9 @@
 	return true
 }
 
-// setLimit records a limit, or its end, as of the time at which the upstream sent it. The lock must
-// be held.
+// setLimit records a limit, or the end of one, which the upstream sent at signaledAt. If there was
+// no limit, the send slots start anew; if the limit has changed, the share is computed again. The
+// lock must be held.
 func (b *Tracker) setLimit(upstream string, e *entry, limit float64, limited bool, signaledAt, now time.Time) {
 	begins := limited && !e.Limited
 	changes := limited && limit != e.Limit
@@ -180,8 +188,8 @@
 	return b.entries[upstream]
 }
 
-// pendingChange returns the change since the last one that was passed to Changed, if there is any,
-// and records it as passed.
+// pendingChange returns the change of the state since the state that was last passed to Changed,
+// and records the current state as passed. It returns false if the two are similar.
 func (e *entry) pendingChange(upstream string, source Source) (Change, bool) {
 	if e.similar(e.reported) {
 		return Change{}, false
@@ -191,13 +199,14 @@
 	return c, true
 }
 
+// reportChange passes a change to Changed. The lock must not be held.
 func (b *Tracker) reportChange(c Change, changed bool) {
 	if changed && b.Changed != nil {
 		b.Changed(c)
 	}
 }
 
-// Limited reports whether an upstream has a limit in force.
+// Limited reports whether an upstream has a limit in force, as far as this instance knows.
 func (b *Tracker) Limited(upstream string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -205,7 +214,7 @@
 	return e != nil && e.Limited
 }
 
-// Leaving reports whether an upstream has signaled that it is leaving.
+// Leaving reports whether an upstream has signaled to any instance that it is leaving.
 func (b *Tracker) Leaving(upstream string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/snipesignal/turn.go
+++ b/snipesignal/turn.go
@@ -3,11 +3,12 @@
 import "time"
 
 const (
-	// shareLife is how long a share is used before it is computed again, because instances start
-	// and stop.
+	// shareLife is how long a share is used before it is computed again, because the number of
+	// instances changes when instances start and stop.
 	shareLife = time.Second
-	// probeAfter is how long an instance without a share must have received no update of a limit
-	// before it probes whether the limit still holds: several announcement intervals.
+	// probeAfter is how long an instance that only probes must have received no update of a limit
+	// before it probes whether the limit still holds: several announcement intervals, so that
+	// instances do not probe a limit that others still announce.
 	probeAfter = 3 * announceInterval
 	// maxRetryAfter is the longest retry time that is returned for a refused caller.
 	maxRetryAfter = 5 * time.Second
@@ -15,20 +16,22 @@
 
 // sendSlots determines when this instance may send requests to an upstream that names a limit.
 type sendSlots struct {
+	// share was computed at shareAt.
 	share   Share
 	shareAt time.Time
-	// next is the earliest time of the next request. lastRetry is the retry time that was last
-	// given to a refused caller.
+	// next is when the next send slot begins. lastRetry is the retry time that was last given to a
+	// refused caller.
 	next      time.Time
 	lastRetry time.Time
 }
 
-// begin starts a limit.
+// begin resets the send slots for a limit that starts now with the share p.
 func (s *sendSlots) begin(p Share, now time.Time) {
 	*s = sendSlots{share: p, shareAt: now, next: now.Add(p.First)}
 }
 
-// setShare replaces the share.
+// setShare replaces the share. If the next send slot is further away than the new interval,
+// setShare moves it to the end of that interval.
 func (s *sendSlots) setShare(p Share, now time.Time) {
 	s.share, s.shareAt = p, now
 	if latest := now.Add(p.Interval); s.next.After(latest) {
@@ -37,8 +40,8 @@
 }
 
 // open reports whether a request may be sent. sinceSignal is the time since the upstream last named
-// the limit, as far as this instance has been notified. An instance without a share may send only
-// while each send slot lasts, and only after probeAfter without an update.
+// the limit, as far as this instance has been notified. An instance that only probes may send only
+// while a send slot lasts, and only after probeAfter without an update.
 func (s *sendSlots) open(now time.Time, sinceSignal time.Duration) bool {
 	since := now.Sub(s.next)
 	if s.share.SlotTime == 0 || since < 0 {
@@ -47,7 +50,7 @@
 	return sinceSignal >= probeAfter && since%s.share.Interval < s.share.SlotTime
 }
 
-// use takes the send slot that is open.
+// use takes the send slot that is open, and sets the beginning of the next one.
 func (s *sendSlots) use(now time.Time) {
 	if s.share.SlotTime == 0 {
 		s.next = now.Add(s.share.Interval)
@@ -57,7 +60,8 @@
 	s.next = s.next.Add((passed + 1) * s.share.Interval)
 }
 
-// share returns the share of this instance in the limit of an upstream.
+// share returns the share of this instance in the limit of an upstream; the whole limit if Share is
+// nil.
 func (b *Tracker) share(upstream string, limit float64) Share {
 	if b.Share == nil {
 		return Divide(limit, 1, 0)
@@ -65,7 +69,8 @@
 	return b.Share(upstream, limit)
 }
 
-// Open reports whether a request may be sent to an upstream now.
+// Open reports whether a request may be sent to an upstream now: no backoff is in force, and if
+// there is a limit, a send slot is open. It takes no send slot and ignores leaving.
 func (b *Tracker) Open(upstream string) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -77,9 +82,10 @@
 	return e.backoff.open(now) && (!e.Limited || e.slots.open(now, now.Sub(e.signaledAt)))
 }
 
-// Take takes the send slot for a request that is about to be sent to an upstream. It returns false
-// if the request may not be sent. The returned function must be called if the request was not sent
-// after all: it makes the send slot available again.
+// Take takes the send slot for a request that is about to be sent to an upstream, after it has
+// computed again a share older than shareLife. It returns nil and false if the request may not be
+// sent. The returned function must be called if the request was not sent after all: it makes the
+// send slot available again.
 func (b *Tracker) Take(upstream string) (undo func(), ok bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -106,9 +112,11 @@
 	}, true
 }
 
-// RetryAfter returns the time after which a request that could be sent to none of the given upstreams
-// may be retried. It considers the upstreams that have named a limit or asked for a backoff, and
-// gives each caller another time. It returns false if there is no such upstream.
+// RetryAfter returns the time after which a request that could be sent to none of the given
+// upstreams may be retried: from retrySpacing to maxRetryAfter. It considers the upstreams with a
+// limit or a backoff in force, takes the one that accepts a request first, and records the time as
+// given, so that the next caller gets a later one. It returns false if no upstream has a limit or a
+// backoff in force.
 func (b *Tracker) RetryAfter(upstreams []string) (time.Duration, bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -131,7 +139,8 @@
 	return min(max(soonest.Sub(now), retrySpacing), maxRetryAfter), true
 }
 
-// nextRetry returns the earliest retry time that no caller has been given.
+// nextRetry returns the earliest retry time that neither the backoff nor the send slots forbid, and
+// that no caller has been given.
 func (e *entry) nextRetry() time.Time {
 	at := e.backoff.nextRetry()
 	if e.Limited && e.slots.nextRetry().After(at) {
--- a/snipesignal/world_test.go
+++ b/snipesignal/world_test.go
@@ -26,7 +26,7 @@
 )
 
 // simulation simulates one upstream and many instances without a network. Each instance gets
-// requests at random moments, and sends those that its Book allows.
+// requests at random moments, and sends those that its Tracker allows.
 type simulation struct {
 	rand  *rand.Rand
 	limit float64
@@ -40,9 +40,9 @@
 
 // instance is an instance of the simulation.
 type instance struct {
-	name   string
-	book   *snipesignal.Tracker
-	demand float64
+	name    string
+	tracker *snipesignal.Tracker
+	demand  float64
 	// known is how many instances it has discovered.
 	known int
 	// partitioned instances reach no other instance.
@@ -71,7 +71,7 @@
 // add starts an instance that has discovered the given number of instances.
 func (s *simulation) add(known int, d divide) {
 	p := &instance{name: fmt.Sprint("i", len(s.instances)), known: known}
-	p.book = &snipesignal.Tracker{Share: func(upstream string, limit float64) snipesignal.Share {
+	p.tracker = &snipesignal.Tracker{Share: func(upstream string, limit float64) snipesignal.Share {
 		return d(limit, p.known, s.rank(p, upstream))
 	}}
 	s.instances = append(s.instances, p)
@@ -116,12 +116,12 @@
 	}
 }
 
-// send sends a request if the instance's Book allows it.
+// send sends a request if the instance's Tracker allows it.
 func (s *simulation) send(p *instance) {
-	if !p.book.Open(upstream) {
+	if !p.tracker.Open(upstream) {
 		return
 	}
-	if _, ok := p.book.Take(upstream); !ok {
+	if _, ok := p.tracker.Take(upstream); !ok {
 		return
 	}
 	now := time.Now()
@@ -134,20 +134,20 @@
 	for len(s.answers) > 0 && !s.answers[0].at.After(time.Now()) {
 		a := s.answers[0]
 		s.answers = s.answers[1:]
-		a.to.book.Record(upstream, a.sent, a.signal)
+		a.to.tracker.Record(upstream, a.sent, a.signal)
 	}
 }
 
 // exchangeUpdates sends the updates of each instance to the other ones.
 func (s *simulation) exchangeUpdates() {
 	for _, p := range s.instances {
-		updates := p.book.PendingUpdates()
+		updates := p.tracker.PendingUpdates()
 		if p.partitioned || len(updates) == 0 {
 			continue
 		}
 		for _, other := range s.instances {
 			if other != p && !other.partitioned {
-				other.book.Merge(updates)
+				other.tracker.Merge(updates)
 			}
 		}
 	}
@@ -218,8 +218,8 @@
 	}
 }
 
-// TestLimitOver guards against instances that send an upstream nothing long after its limit is
-// over, because they receive no answer that shows it and no update about it.
+// TestLimitOver guards against instances that still count an upstream as limited long after its
+// limit is over, because they receive no answer that shows the end and no update about it.
 func TestLimitOver(t *testing.T) {
 	for _, count := range []int{7, 66, 300} {
 		for _, limit := range []float64{0.5, 3, 60} {
@@ -234,7 +234,7 @@
 					// instances shortly afterwards.
 					s.run(time.Duration(3/limit*float64(time.Second)) + 2*updateInterval)
 					for _, p := range s.instances {
-						must.False(t, p.book.Limited(upstream), must.Sprint(p.name))
+						must.False(t, p.tracker.Limited(upstream), must.Sprint(p.name))
 					}
 				})
 			})
@@ -242,8 +242,8 @@
 	}
 }
 
-// TestLimitUnderFaults guards against more requests than allowed while new instances have discovered
-// few others, some instances are partitioned, and the limit rises and falls.
+// TestLimitUnderFaults guards against more requests than an upstream allows while new instances
+// have discovered few others, every third instance is partitioned, and the limit rises and falls.
 func TestLimitUnderFaults(t *testing.T) {
 	for _, count := range []int{7, 66, 300} {
 		for _, limit := range []float64{0.5, 3, 60} {
@@ -280,8 +280,8 @@
 	}
 }
 
-// TestLimitEndAnnouncedAgain guards against an instance that sends an upstream nothing for minutes because
-// the single update about the end of a limit was lost.
+// TestLimitEndAnnouncedAgain guards against an end of a limit that is announced only once: if that
+// update is lost, an instance sends the upstream nothing for a long time.
 func TestLimitEndAnnouncedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipesignal.Tracker{}
@@ -301,9 +301,9 @@
 	})
 }
 
-// TestUpdateMergedWithOwnSignal guards against a signal that is never passed on: this instance received it from the
-// upstream, and before it notified the others, one of them reported another state of the same
-// upstream.
+// TestUpdateMergedWithOwnSignal guards against a signal that is never passed on: this instance
+// received the signal from the upstream, and before it notified the other instances, one of them
+// reported another state of the same upstream.
 func TestUpdateMergedWithOwnSignal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &snipesignal.Tracker{}
