--- a/snipeadapter/controller.go
+++ b/snipeadapter/controller.go
@@ -24,11 +24,12 @@
 	maxActiveStoreLoads = 2
 	// orderTimeout bounds one order; an engine answers within milliseconds.
 	orderTimeout = 150 * time.Millisecond
-	// maxReportAge is how old an engine's report may be.
+	// maxReportAge is how old an engine's report may be. After an order whose outcome is unknown
+	// the controller waits this long, so that the next report shows the order's effect.
 	maxReportAge = 300 * time.Millisecond
 	// storeLoadTime is how long an adapter usually takes to load from the weight store; reloadTime
-	// is a tenth of that, for an adapter that the engine has held recently. The first poll of a
-	// load is sent after reloadTime.
+	// is a tenth of that, for an adapter that the engine has held recently and still has in its own
+	// memory. The first poll of a load is sent after reloadTime.
 	storeLoadTime = 245 * time.Millisecond
 	reloadTime    = 25 * time.Millisecond
 	// pollInterval is the time between two polls for the completion of an order.
@@ -39,17 +40,17 @@
 	// proportionally longer when many engines load one at the same time.
 	modelTimeout = 15 * time.Second
 	// minIdle is how long an adapter must have been unused before it can be evicted. Uses are
-	// seldom reported later than this after they begin. An engine that has to wait for a running
-	// request before it unloads an adapter accepts no other order meanwhile; a longer idle time
-	// leaves too few candidates under heavy load.
+	// seldom reported later than this after they begin. Shorter: a use that has begun but is not
+	// reported yet could be missed, and the engine would accept no other order until that request
+	// ends. Longer: too few adapters can be evicted under heavy load.
 	minIdle = 300 * time.Millisecond
 	// firstVersion is the version that engines list for an adapter before any version was
 	// announced.
 	firstVersion = 1
 )
 
-// Controller is the controller that gives orders to the engines that this instance owns. Exported fields
-// are set before the first call; the methods are safe for concurrent use.
+// Controller gives orders to the engines that this instance owns. Exported fields are set before
+// the first call; the methods are safe for concurrent use.
 type Controller struct {
 	Engine Engine
 	// Fence returns the fencing number for an order, and whether this instance may give one.
@@ -65,11 +66,11 @@
 	// Redundant reports whether an engine can lose an adapter that is used perSecond times a second
 	// there, because other engines hold it too; nil means that it never can.
 	Redundant func(u *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) bool
-	// EngineRestarted is called with an engine's ID when the engine's report shows that this start has
-	// ended but the directory still lists it.
+	// EngineRestarted is called with the ID of the directory's entry when the engine's report
+	// states another start than that entry.
 	EngineRestarted func(id string)
-	// PreviouslyHeld reports whether an engine held an adapter recently, so that it reloads the adapter
-	// without the weight store; nil means never.
+	// PreviouslyHeld reports whether an engine held an adapter recently and does not hold it now,
+	// so that the engine reloads it without the weight store; nil means never.
 	PreviouslyHeld func(engine string, a snipecatalog.Adapter) bool
 	// Holder is this instance's name in orders.
 	Holder string
@@ -98,8 +99,9 @@
 	// fence is the fencing number under which the engine was last read; state that was read under
 	// an earlier one is invalid.
 	fence uint64
-	// accepted is the number of orders that the engine has accepted; it is valid once the engine
-	// was read. stateKnown is false until then, and while the state must be read again.
+	// accepted is the number of orders that the engine has accepted since its start; it is valid
+	// while stateKnown is true. stateKnown is false until the engine was read, and while it must be
+	// read again.
 	accepted   uint64
 	stateKnown atomic.Bool
 	// lastAnswered reports that this controller received the answer to the engine's latest order.
@@ -114,7 +116,8 @@
 	models map[string]bool
 	held   map[snipecatalog.Adapter]*heldAdapter
 	loads  map[snipecatalog.Adapter]*load
-	// inFlightReports are the adapters with requests in flight, by the instance that reported them.
+	// inFlightReports holds, for each instance that has requests in flight on the engine, its last
+	// report of their adapters.
 	inFlightReports map[string]inFlightReport
 	// queue are the loads that have not started yet, activeLoads the adapters of those that have,
 	// activeStoreLoads the number of active loads that come from the weight store.
@@ -155,7 +158,7 @@
 	replacing bool
 }
 
-// recordUses records n uses of the adapter.
+// recordUses records n uses of the adapter, and that it was last used now, even if n is 0.
 func (h *heldAdapter) recordUses(now time.Time, n int) {
 	h.lastUsed = now
 	h.useCount.Add(now, float64(n))
@@ -170,8 +173,11 @@
 }
 
 // Ensure waits until an engine holds an adapter in at least the given version and returns the
-// version that it holds. If the load is not expected to complete within maxWait, Ensure returns a
-// BusyError at once.
+// version that it holds. If the adapter has to be loaded and no load of a sufficient version is
+// pending, Ensure queues one, or returns a BusyError at once if that load is not expected to
+// complete within maxWait. It also fails at once if the engine is unknown, if this instance may not
+// order it, or if it is known not to hold the base model. When ctx ends, Ensure returns the error
+// of ctx; a load that has started continues.
 func (c *Controller) Ensure(ctx context.Context, id string, a snipecatalog.Adapter, version int64, maxWait time.Duration) (int64, error) {
 	u := c.Upstream(id)
 	if u == nil {
@@ -207,7 +213,8 @@
 	return max(minVersion, c.Newest(a), firstVersion)
 }
 
-// UseRates returns the uses per second of an engine's adapters, without those below minRate.
+// UseRates returns the uses per second of an engine's adapters, without those below minRate. The
+// map is nil if none remain or the engine has no state here.
 func (c *Controller) UseRates(id string, minRate float64) map[snipecatalog.Adapter]float64 {
 	c.lock.Lock()
 	e := c.engines[id]
@@ -232,8 +239,8 @@
 	return rates
 }
 
-// Refresh replaces older versions of an adapter by the given version on all engines of this
-// controller that hold it.
+// Refresh queues the load of a version of an adapter on each engine of this controller that holds
+// an older version. It does not wait for the loads.
 func (c *Controller) Refresh(a snipecatalog.Adapter, version int64) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -247,9 +254,11 @@
 	}
 }
 
-// ReadEngine reads the state of an engine that this instance has come to own, so that the state is known
-// before the first order. It then queues the load of a missing base model, or of newer versions of
-// the adapters that the engine holds.
+// ReadEngine reads the state of an engine that this instance has come to own, so that the state is
+// known before the first order; it waits for an order in progress. It then queues the load of a
+// missing base model, or else of newer versions of the adapters that the engine holds. It does
+// nothing if the state is already known under the current fencing number, or if this instance may
+// not order the engine; a failed read is only logged.
 func (c *Controller) ReadEngine(ctx context.Context, u *snipedirectory.Upstream) {
 	fence, ok := c.Fence(u.Address)
 	if !ok {
@@ -290,6 +299,7 @@
 	delete(c.engines, id)
 }
 
+// engine returns the state of an engine's start, and creates it if there is none.
 func (c *Controller) engine(u *snipedirectory.Upstream) *engine {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/snipeadapter/controller_test.go
+++ b/snipeadapter/controller_test.go
@@ -39,8 +39,8 @@
 	inMemory map[snipecatalog.Adapter]bool
 	// newest are the announced versions; a load that states no version gets the newest.
 	newest map[snipecatalog.Adapter]int64
-	// lost is the share of orders that get no answer, late the share of the lost ones that are
-	// executed seconds later.
+	// lost is the fraction of orders that get no answer, late the fraction of the lost ones that
+	// are executed seconds later.
 	lost, late float64
 	crashed    bool
 	loads      int
@@ -327,8 +327,8 @@
 	}
 }
 
-// TestReplacement checks that a new version takes a slot of its own while the previous version is
-// still held.
+// TestReplacement checks that a new version is loaded on a full engine without exceeding its slots:
+// the new version takes a slot of its own while the previous version is still held.
 func TestReplacement(t *testing.T) {
 	runSimulation(t, 2, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		for n := range slots {
@@ -344,7 +344,8 @@
 	})
 }
 
-// TestUsedAdaptersAreKept checks that an adapter in use is kept while unused ones are evicted.
+// TestUsedAdaptersAreKept checks that 40 adapters that are requested once, one after the other,
+// cause 40 loads while uses of the first one are reported.
 func TestUsedAdaptersAreKept(t *testing.T) {
 	runSimulation(t, 3, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		for n := range 40 {
@@ -357,9 +358,9 @@
 	})
 }
 
-// TestInFlightAdaptersAreKept checks that an adapter with requests in flight is not evicted, even if other
-// adapters are requested and its use is not reported again. It can be evicted once the end of the
-// requests was reported, or once the report has expired.
+// TestInFlightAdaptersAreKept checks that an adapter with requests in flight is not evicted, even
+// if other adapters are requested and its use is not reported again. It can be evicted once the end
+// of the requests was reported, or once the report has expired.
 func TestInFlightAdaptersAreKept(t *testing.T) {
 	type uses = map[snipecatalog.Adapter]snipeadapter.Use
 	tests := map[string]struct {
@@ -393,8 +394,8 @@
 	}
 }
 
-// TestRates checks that the rate adds up the rare uses of many instances, that it shows new demand
-// after a few reports, and that it falls soon after the demand ends.
+// TestRates checks that the rate adds up the rare uses in many reports, that it shows new demand
+// after a few rounds of reports, and that it falls soon after the demand ends.
 func TestRates(t *testing.T) {
 	const instances, reports = 80, 80 * time.Millisecond
 	tests := map[string]struct{ perSecond, early, least, most float64 }{
@@ -435,8 +436,8 @@
 	}
 }
 
-// TestUseOfAbsentAdapter checks that an instance that reports the use of an adapter the engine does not
-// hold gets that adapter in the answer.
+// TestUseOfAbsentAdapter checks that an instance that reports the use of an adapter that the engine
+// does not hold gets this adapter in the answer.
 func TestUseOfAbsentAdapter(t *testing.T) {
 	runSimulation(t, 10, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		_, err := c.Ensure(t.Context(), "e1", adapter(1), 0, longWait)
@@ -474,8 +475,8 @@
 	})
 }
 
-// TestBusyWithoutWaiting checks that a load that cannot be complete in time is refused at once, with the
-// expected time to wait.
+// TestBusyWithoutWaiting checks that a load that is not expected to be complete in time is refused
+// at once, with the expected time to wait.
 func TestBusyWithoutWaiting(t *testing.T) {
 	runSimulation(t, 4, func(t *testing.T, _ *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		var all sync.WaitGroup
@@ -542,22 +543,22 @@
 // was used very often until a few seconds ago must be evicted before adapters that are used now and
 // then.
 func TestEvictsIdleAdapters(t *testing.T) {
-	const hot = 1
+	const idle = 1
 	runSimulation(t, 12, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		fill(t, c)
 		for range 20 {
-			c.RecordUse("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(hot): {Begun: 8}})
+			c.RecordUse("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(idle): {Begun: 8}})
 			time.Sleep(80 * time.Millisecond)
 		}
 		for round := range 16 {
-			for n := hot + 1; n <= slots; n++ {
+			for n := idle + 1; n <= slots; n++ {
 				c.RecordUse("e1", "i1", map[snipecatalog.Adapter]snipeadapter.Use{adapter(n): {Begun: 1 + round%2}})
 			}
 			time.Sleep(330 * time.Millisecond)
 		}
 		_, err := c.Ensure(t.Context(), "e1", adapter(99), 0, longWait)
 		must.NoError(t, err)
-		must.False(t, e.holds(adapter(hot)))
+		must.False(t, e.holds(adapter(idle)))
 	})
 }
 
--- a/snipeadapter/decay.go
+++ b/snipeadapter/decay.go
@@ -18,7 +18,7 @@
 	half time.Duration
 }
 
-// At returns the count at a time.
+// At returns the count after its decay up to now, which is not before the last Add.
 func (d *DecayingCount) At(now time.Time) float64 {
 	if d.value == 0 {
 		return 0
@@ -30,7 +30,7 @@
 	return d.value * math.Exp2(-float64(now.Sub(d.at))/float64(half))
 }
 
-// Add adds n to the count.
+// Add lets the count decay up to now and then adds n.
 func (d *DecayingCount) Add(now time.Time, n float64) {
 	d.value, d.at = d.At(now)+n, now
 }
@@ -39,8 +39,8 @@
 	// rateHalfLife is the half-life of rates: four reports of use, so that new demand shows within
 	// a few tenths of a second.
 	rateHalfLife = 300 * time.Millisecond
-	// minRateSpan is the shortest time over which a rate is computed: that between two reports.
-	// The first uses of an adapter, reported a moment ago, do not make up a rate yet.
+	// minRateSpan is the shortest time over which a rate is computed: the time between two reports.
+	// Without it the first uses of an adapter, reported a moment ago, would appear as a high rate.
 	minRateSpan = 100 * time.Millisecond
 )
 
@@ -58,9 +58,9 @@
 	r.count.Add(now, n)
 }
 
-// PerSecond returns the rate. The count of a steady rate grows until decay balances new
-// occurrences. Until then the count is divided by the fraction of the steady value that it has
-// reached.
+// PerSecond returns the rate; zero before the first Add. The count of a steady rate grows until
+// decay balances new occurrences. Until then the count is divided by the fraction of the steady
+// value that it has reached.
 func (r *Rate) PerSecond(now time.Time) float64 {
 	if r.since.IsZero() {
 		return 0
--- a/snipeadapter/due_test.go
+++ b/snipeadapter/due_test.go
@@ -10,10 +10,10 @@
 	"snipepitch.example/snipepitch/snipeadapter"
 )
 
-// TestLoadsMeetingDeadlineFirst guards against one load that is already too late delaying others that can still
-// be in time. During a burst of rarely used adapters more loads are queued than can complete in
-// time. A load that is too late for all of its waiters must start after those that are in time for
-// at least one waiter, however many wait for it.
+// TestLoadsMeetingDeadlineFirst guards against one load that is already too late delaying others
+// that can still be in time. During a burst of rarely used adapters more loads are queued than can
+// complete in time. A load that is too late for all of its waiters must start after the loads that
+// are in time for at least one waiter, however many callers wait for the late one.
 func TestLoadsMeetingDeadlineFirst(t *testing.T) {
 	const late, soon, other = 50, 60, 70
 	runSimulation(t, 16, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
--- a/snipeadapter/evict.go
+++ b/snipeadapter/evict.go
@@ -12,8 +12,9 @@
 	"snipepitch.example/snipepitch/snipetime"
 )
 
-// freeSlot unloads adapters, those of least value first, until a slot is free. The caller holds
-// orderLock.
+// freeSlot unloads adapters, those of least value first, until a slot is free. If the engine is
+// full and foreignLoadsDue is true, freeSlot reads the engine again first. The error wraps errInUse
+// if no adapter can be evicted now. The caller holds orderLock.
 func (e *engine) freeSlot(ctx context.Context, u *snipedirectory.Upstream) error {
 	for {
 		victim, full := e.victim(u)
@@ -58,8 +59,9 @@
 // loads are complete by then, and reading an engine costs as much as an order.
 const foreignLoadAge = 500 * time.Millisecond
 
-// unload unloads an adapter and waits until its slot is free. The caller holds orderLock: the
-// engine accepts no other order meanwhile.
+// unload unloads an adapter and waits until its slot is free. If the outcome is unknown, it reads
+// the engine again and returns nil, so that the caller checks for a free slot again. The caller
+// holds orderLock: the engine accepts no other order meanwhile.
 func (e *engine) unload(ctx context.Context, u *snipedirectory.Upstream, victim snipecatalog.Adapter) error {
 	order := Order{Action: Unload, Adapter: victim}
 	reply, err := e.sendUntilAnswered(ctx, u, &order)
@@ -86,9 +88,9 @@
 	}
 }
 
-// victim returns the adapter to unload so that a slot becomes free, and whether the engine is full.
-// The adapter is the zero value if none can be evicted. A new version takes a slot beside the
-// version that it replaces.
+// victim returns the adapter to unload so that a slot becomes free, and whether the engine is full,
+// apart from the reserved slots. The adapter is the zero value if the engine is not full or no
+// adapter can be evicted.
 func (e *engine) victim(u *snipedirectory.Upstream) (snipecatalog.Adapter, bool) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -100,7 +102,8 @@
 	return a, true
 }
 
-// slotsTaken returns how many slots are taken. The lock is held.
+// slotsTaken returns how many slots are taken: a new version that is loading takes a slot beside
+// the version that it replaces. The lock is held.
 func (e *engine) slotsTaken() int {
 	taken := len(e.held)
 	for _, h := range e.held {
@@ -111,14 +114,16 @@
 	return taken
 }
 
-// evictable reports whether an adapter can be evicted: it was not used for minIdle, and no request
-// for it is in flight. An adapter whose newer version is still queued can be evicted: otherwise, if
-// all adapters had a newer version queued, none of these loads would get a slot. The lock is held.
+// evictable reports whether an adapter can be evicted: it was not used for minIdle, no request for
+// it is in flight, and neither it nor a newer version is loading. An adapter whose newer version is
+// still queued can be evicted: otherwise, if all adapters had a newer version queued, none of these
+// loads would get a slot. The lock is held.
 func (e *engine) evictable(a snipecatalog.Adapter, h *heldAdapter, inFlight map[snipecatalog.Adapter]bool, now time.Time) bool {
 	return !h.loading && !h.replacing && !e.activeLoads[a] && !inFlight[a] && now.Sub(h.lastUsed) >= minIdle
 }
 
-// leastValuable returns the evictable adapter whose loss costs least. The lock is held.
+// leastValuable returns the evictable adapter whose loss costs least, and false if none is
+// evictable. The lock is held.
 func (e *engine) leastValuable(u *snipedirectory.Upstream) (snipecatalog.Adapter, bool) {
 	var least snipecatalog.Adapter
 	var lowest float64
--- a/snipeadapter/evictions.go
+++ b/snipeadapter/evictions.go
@@ -12,7 +12,7 @@
 // owner about every 0.7 s, and the registry shows the eviction to all a second later.
 const evictionTTL = 1500 * time.Millisecond
 
-// Eviction is an adapter that an engine no longer holds.
+// Eviction names an engine and an adapter that it has unloaded.
 type Eviction struct {
 	Engine  string
 	Adapter snipecatalog.Adapter
@@ -53,9 +53,9 @@
 	v.all = slices.DeleteFunc(v.all, func(d datedEviction) bool { return time.Since(d.at) > evictionTTL })
 }
 
-// Evictions returns the adapters that engines of this controller have recently unloaded and do not
-// hold again, as far as their numbers are greater than after, and the number of the latest
-// eviction.
+// Evictions returns the evictions of the last evictionTTL whose numbers are greater than after,
+// without the adapters that their engines hold again. It also returns the number of the latest
+// eviction, for the caller to pass as after in its next call.
 func (c *Controller) Evictions(after uint64) (recent []Eviction, last uint64) {
 	v := &c.evicted
 	v.lock.Lock()
--- a/snipeadapter/load.go
+++ b/snipeadapter/load.go
@@ -41,13 +41,15 @@
 	deadline time.Time
 	// waiters counts the callers that wait for the load. A load without waiters is not started.
 	waiters int
-	done    chan struct{}
-	err     error
+	// done is closed when the load has ended; err is its result, set before.
+	done chan struct{}
+	err  error
 }
 
-// findOrQueue returns the load of an adapter, queueing one if none is pending, or the version that
-// the engine already holds if it is at least minVersion. The caller waits for the load or calls
-// removeWaiter. If the load is not expected to complete within maxWait, the error is a BusyError.
+// findOrQueue returns the version that the engine already holds if it is at least minVersion, or
+// else a load of at least minVersion, with the caller counted as a waiter. It queues a load of the
+// target version if none is pending; the error is a BusyError if that load is not expected to
+// complete within maxWait. The caller waits for the load or calls removeWaiter.
 func (e *engine) findOrQueue(a snipecatalog.Adapter, target, minVersion int64, maxWait time.Duration) (*load, int64, error) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -101,7 +103,8 @@
 	return a.Name != "" && e.controller.PreviouslyHeld != nil && e.controller.PreviouslyHeld(e.id, a)
 }
 
-// enqueue queues a load. The lock is held.
+// enqueue queues a load, which replaces a pending load of an older version in e.loads, and starts
+// queued loads as far as the limits allow. The lock is held.
 func (e *engine) enqueue(a snipecatalog.Adapter, version int64, maxWait time.Duration) *load {
 	l := &load{adapter: a, version: version, queuedAt: time.Now(), reload: e.isReload(a), done: make(chan struct{})}
 	l.addWaiter(maxWait)
@@ -118,7 +121,8 @@
 	l.waiters--
 }
 
-// startLoads starts queued loads as far as the limits allow. The lock is held.
+// startLoads starts queued loads as far as the limits allow. A load without waiters ends with
+// ErrNoWaiter instead. The lock is held.
 func (e *engine) startLoads() {
 	for len(e.activeLoads) < maxActiveLoads {
 		next := e.nextLoad()
@@ -182,7 +186,8 @@
 	close(l.done)
 }
 
-// runLoad carries out one load and starts the next ones.
+// runLoad carries out one load, at most for loadTimeout or modelTimeout, records and logs its
+// result, and starts the next loads.
 func (e *engine) runLoad(l *load) {
 	limit := loadTimeout
 	if l.adapter.Name == "" {
@@ -228,7 +233,8 @@
 	return l.waiters
 }
 
-// recordLoaded records an adapter or a model that the engine now holds. The lock is held.
+// recordLoaded records an adapter or a model that the engine now holds, and counts the load's
+// waiters as uses of the adapter. The lock is held.
 func (e *engine) recordLoaded(l *load) {
 	if l.adapter.Name == "" {
 		e.models[l.adapter.Model] = true
@@ -241,7 +247,8 @@
 	e.controller.evicted.drop(e.id, l.adapter)
 }
 
-// performLoad orders the load and polls until it is complete.
+// performLoad orders the load and polls until it is complete. While all adapters of the engine are
+// in use, it repeats the attempt every evictionRetryInterval as long as callers wait for the load.
 func (e *engine) performLoad(ctx context.Context, l *load) error {
 	started := time.Now()
 	o := Order{Action: Load, Adapter: l.adapter, Version: l.version}
--- a/snipeadapter/order.go
+++ b/snipeadapter/order.go
@@ -13,7 +13,9 @@
 )
 
 // executeOrder sends an order until the engine accepts it, replies that it is already in the
-// ordered state, or refuses it. Before each attempt to load an adapter a slot is freed.
+// ordered state, or refuses it, or until ctx ends. Before each attempt to load an adapter it frees
+// a slot. It waits for an order in progress, and returns an error if the engine cannot be read, if
+// this instance may not order it, or if no slot can be freed.
 func (e *engine) executeOrder(ctx context.Context, o *Order) (Reply, error) {
 	if err := e.orderLock.acquire(ctx); err != nil {
 		return Unanswered, err
@@ -42,8 +44,8 @@
 	}
 }
 
-// ensureState returns the engine's directory entry once the engine's state is known under the
-// current fencing number. The caller holds orderLock.
+// ensureState returns the engine's directory entry. It reads the engine first unless the engine's
+// state is known under the current fencing number. The caller holds orderLock.
 func (e *engine) ensureState(ctx context.Context) (*snipedirectory.Upstream, error) {
 	u := e.controller.Upstream(e.id)
 	if u == nil {
@@ -60,7 +62,7 @@
 }
 
 // sendUntilAnswered sends one order until the engine answers or maxRepeats is reached, and records
-// the reply. After a conflict the engine's state has to be read again.
+// the reply. After a conflict or without an answer the engine's state has to be read again.
 func (e *engine) sendUntilAnswered(ctx context.Context, u *snipedirectory.Upstream, o *Order) (Reply, error) {
 	reply, err := e.send(ctx, u, o)
 	unanswered := false
@@ -72,7 +74,8 @@
 		reply, err = e.send(ctx, u, o)
 	}
 	if reply == Conflict && unanswered && e.lastAnswered {
-		// One of the repeats was accepted: no other instance's order can be in progress.
+		// The engine accepted one of the earlier sends, whose answer was lost: no other instance's
+		// order can be in progress. The order is sent again with the increased count.
 		e.accepted++
 		reply, err = e.send(ctx, u, o)
 		if reply == Taken || reply == Holds && o.Action == Unload {
@@ -103,7 +106,9 @@
 	return reply, err
 }
 
-// recordReply updates the engine's state from the reply to an order, and logs the reply.
+// recordReply updates the engine's state from the reply to an order, and logs the reply. If the
+// outcome is unknown, it waits for maxReportAge, so that the next report of the engine shows the
+// outcome.
 func (e *engine) recordReply(ctx context.Context, o *Order, reply Reply, err error) {
 	fields := e.logFields(snipelog.Fields{
 		"Action": o.Action.String(), "Adapter": o.Adapter.Name, "Version": o.Version,
@@ -137,7 +142,8 @@
 	}
 }
 
-// recordAccepted records the slot of an adapter that is loading.
+// recordAccepted records the slot that an accepted load takes: that of a new adapter, or the second
+// slot of an adapter whose older version is replaced. Other orders change no record.
 func (e *engine) recordAccepted(o *Order) {
 	if o.Action != Load || o.Adapter.Name == "" {
 		return
@@ -164,7 +170,9 @@
 	}
 }
 
-// readState reads what the engine holds. The caller holds orderLock.
+// readState replaces the recorded state of the engine by the engine's own report, and keeps the use
+// statistics of the adapters that remain. If the report states another start than the directory
+// entry, readState calls EngineRestarted and returns ErrRestarted. The caller holds orderLock.
 func (e *engine) readState(ctx context.Context, u *snipedirectory.Upstream, fence uint64) error {
 	bounded, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -204,15 +212,17 @@
 	return nil
 }
 
-// addHeld adds an adapter of a report to the state. The lock is held.
+// addHeld adds an adapter of a report to the state, with its use statistics in old. The lock is
+// held.
 func (e *engine) addHeld(held snipedirectory.Resident, old map[snipecatalog.Adapter]*heldAdapter, loading bool) {
 	h := &heldAdapter{version: held.Version, loading: loading}
 	h.inheritUse(old[held.Adapter])
 	e.held[held.Adapter] = h
 }
 
-// awaitLoad polls until an accepted load is complete. The poll is the order itself: an engine that
-// holds the ordered adapter replies with Holds and does nothing.
+// awaitLoad polls until an accepted load is complete, the engine refuses the order, this instance
+// may no longer order the engine, or ctx ends. The poll is the order itself: an engine that holds
+// the ordered adapter replies with Holds and does nothing.
 func (e *engine) awaitLoad(ctx context.Context, o Order) error {
 	started := time.Now()
 	if !snipetime.Sleep(ctx, reloadTime) {
@@ -232,11 +242,12 @@
 	}
 }
 
-// nextPoll returns the time to the next poll of a load. An adapter that is not loaded after twice
-// reloadTime comes from the weight store.
-func nextPoll(o Order, since time.Duration) time.Duration {
-	if o.Adapter.Name != "" && since >= 2*reloadTime {
-		return max(storeLoadTime-since, pollInterval)
+// nextPoll returns the time from a poll of a load to the next, given the time since the load was
+// accepted. An adapter that is not loaded after twice reloadTime comes from the weight store, so
+// the next poll waits until storeLoadTime has passed.
+func nextPoll(o Order, elapsed time.Duration) time.Duration {
+	if o.Adapter.Name != "" && elapsed >= 2*reloadTime {
+		return max(storeLoadTime-elapsed, pollInterval)
 	}
 	return pollInterval
 }
--- a/snipeadapter/previous.go
+++ b/snipeadapter/previous.go
@@ -7,7 +7,8 @@
 )
 
 // maxPrevious bounds the adapters recorded as previously held by one engine: a few times as many as
-// an engine holds. A wrong entry affects only the order in which engines are asked.
+// an engine holds. A wrong record affects only the order in which callers try engines and the
+// expected duration of a load.
 const maxPrevious = 100
 
 // previousAdapters are the adapters that an engine has held recently, with the time until which it
@@ -36,7 +37,7 @@
 	return oldest, true
 }
 
-// contains reports whether the engine held an adapter recently.
+// contains reports whether an adapter is among the recorded ones.
 func (p *previousAdapters) contains(a snipecatalog.Adapter) bool {
 	_, ok := p.lastHeld[a]
 	return ok
--- a/snipeadapter/reload_test.go
+++ b/snipeadapter/reload_test.go
@@ -12,9 +12,9 @@
 	"snipepitch.example/snipepitch/snipecatalog"
 )
 
-// TestReloadsBypassStoreQueue guards against a reload waiting behind loads that are queued for the weight
-// store. An adapter that the engine loads from its own memory must not wait for these loads, and
-// must not delay them.
+// TestReloadsBypassStoreQueue guards against a reload waiting behind loads that are queued for the
+// weight store. An adapter that the engine loads from its own memory must not wait for these loads,
+// and must not delay them.
 func TestReloadsBypassStoreQueue(t *testing.T) {
 	const reloaded, queued = 99, 10
 	runSimulation(t, 14, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
@@ -34,8 +34,8 @@
 	})
 }
 
-// TestConcurrentStoreLoads checks that two adapters at a time load from the weight store, in addition to
-// those that load from the engine's own memory.
+// TestConcurrentStoreLoads checks that two adapters at a time load from the weight store, in
+// addition to those that load from the engine's own memory.
 func TestConcurrentStoreLoads(t *testing.T) {
 	runSimulation(t, 15, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		var all sync.WaitGroup
--- a/snipeadapter/residency.go
+++ b/snipeadapter/residency.go
@@ -40,8 +40,8 @@
 type Residency struct {
 	lock    sync.RWMutex // guards the fields below
 	engines map[string]*engineView
-	// read is when the directory was last read. The age of an observation is measured against it,
-	// so an observation stays in force until the directory must include it, however long the
+	// read is when the directory was last read. The age of an observation is measured up to this
+	// time, so an observation stays in force until the directory must include it, however long the
 	// directory cannot be read.
 	read time.Time
 	// holders are the engines that may hold an adapter, previousHolders those recorded to have held
@@ -68,15 +68,16 @@
 	x[a] = remaining
 }
 
-// MarkRead records that the directory was read: entries that were not passed to Observe since then are
-// unchanged.
+// MarkRead records that the directory was read now, and that the entries of engines that are not
+// passed to Observe are unchanged.
 func (r *Residency) MarkRead() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.read = time.Now()
 }
 
-// Observe records an engine's directory entry, which was read just now.
+// Observe records an engine's directory entry, which was read just now and replaces the engine's
+// previous entry. The engine becomes a previous holder of the adapters that it no longer holds.
 func (r *Residency) Observe(u *snipedirectory.Upstream) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -142,7 +143,8 @@
 	return v
 }
 
-// RecordHeld records a report that an engine holds an adapter.
+// RecordHeld records a report that an engine holds an adapter. The report replaces the previous one
+// about that adapter and overrides the directory entry for overrideTTL.
 func (r *Residency) RecordHeld(engine string, a snipecatalog.Adapter, version int64) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -151,6 +153,8 @@
 }
 
 // RecordAbsent records a report that an engine does not hold an adapter in the expected version.
+// The report replaces the previous one about that adapter and overrides the directory entry for
+// overrideTTL.
 func (r *Residency) RecordAbsent(engine string, a snipecatalog.Adapter) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -161,8 +165,8 @@
 	v.observed[a] = observation{at: time.Now()}
 }
 
-// PreviouslyHeld reports whether an engine held an adapter recently and does not hold it now: the engine
-// reloads it in a tenth of the time of a load, without the weight store.
+// PreviouslyHeld reports whether an engine held an adapter recently and does not hold it now: the
+// engine reloads it in a tenth of the time of a load, without the weight store.
 func (r *Residency) PreviouslyHeld(engine string, a snipecatalog.Adapter) bool {
 	r.lock.RLock()
 	defer r.lock.RUnlock()
@@ -212,8 +216,9 @@
 	}
 }
 
-// Holds returns the version of an adapter that an engine is believed to hold. Every engine that
-// lists a base model holds the model itself, with version 0.
+// Holds returns the version of an adapter that an engine is believed to hold, and false if it holds
+// none. A base model, which has no adapter name, counts as held with version 0 if the engine's
+// directory entry lists it.
 func (r *Residency) Holds(u *snipedirectory.Upstream, a snipecatalog.Adapter) (int64, bool) {
 	if a.Name == "" {
 		return 0, slices.Contains(u.Models, a.Model)
@@ -227,16 +232,16 @@
 	return v.holds(a, r.read)
 }
 
-// Holders appends the engines that may hold an adapter; Holds reports whether one does. Few of some
-// thousand engines hold an adapter, so a caller need not check them all.
+// Holders appends the IDs of the engines that may hold an adapter; Holds reports whether an engine
+// does. Few of some thousand engines hold an adapter, so a caller need not check them all.
 func (r *Residency) Holders(a snipecatalog.Adapter, engines []string) []string {
 	r.lock.RLock()
 	defer r.lock.RUnlock()
 	return append(engines, r.holders[a]...)
 }
 
-// PreviousHolders appends the engines that are recorded to have held an adapter; Formerly reports whether
-// one has held it and does not hold it now.
+// PreviousHolders appends the IDs of the engines that are recorded to have held an adapter;
+// PreviouslyHeld reports whether an engine has held it and does not hold it now.
 func (r *Residency) PreviousHolders(a snipecatalog.Adapter, engines []string) []string {
 	r.lock.RLock()
 	defer r.lock.RUnlock()
--- a/snipeadapter/residency_test.go
+++ b/snipeadapter/residency_test.go
@@ -44,8 +44,9 @@
 	})
 }
 
-// TestPreviouslyHeld checks that an engine counts as a previous holder of an adapter however its removal
-// was learned, until it holds the adapter again, restarts, or has held many others since.
+// TestPreviouslyHeld checks that an engine counts as a previous holder of an adapter whether the
+// directory or a report shows that the adapter is gone, until the engine holds the adapter again,
+// restarts, or has held many others since.
 func TestPreviouslyHeld(t *testing.T) {
 	const most = 100
 	synctest.Test(t, func(t *testing.T) {
--- a/snipeadapter/restart_test.go
+++ b/snipeadapter/restart_test.go
@@ -34,7 +34,7 @@
 	f.start = start
 }
 
-// setLoss makes a share of the orders get no answer, and a share of these execute late.
+// setLoss makes a fraction of the orders get no answer, and a fraction of these execute late.
 func (f *fakeEngine) setLoss(lost, late float64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -123,7 +123,8 @@
 }
 
 // TestReportOfAnotherStart checks that an engine whose report shows another start than the
-// directory gets no order, and that the directory is notified, until it shows that start too.
+// directory gets no order and that the directory is notified, and that the engine gets orders once
+// the directory shows the reported start too.
 func TestReportOfAnotherStart(t *testing.T) {
 	tests := map[string]struct {
 		reported  int64
@@ -159,8 +160,8 @@
 	}
 }
 
-// TestReservedSlotAfterRestart checks that a slot stays free for a load from before the restart as long as
-// that load may still be executed.
+// TestReservedSlotAfterRestart checks that a slot stays free for a load from before the restart as
+// long as this load may still be executed.
 func TestReservedSlotAfterRestart(t *testing.T) {
 	runSimulation(t, 3, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		e.setStart(2)
@@ -212,9 +213,9 @@
 	})
 }
 
-// TestEvictsLoadsOfPreviousOwner guards against slots that stay blocked after a change of owner. Adapters
-// that were loading by orders of the previous owner when the engine was read must become evictable
-// once they are loaded.
+// TestEvictsLoadsOfPreviousOwner guards against slots that stay blocked after a change of owner.
+// Adapters that were loading by orders of the previous owner when the engine was read must become
+// evictable once they are loaded.
 func TestEvictsLoadsOfPreviousOwner(t *testing.T) {
 	runSimulation(t, 4, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		for n := range slots {
--- a/snipeadapter/slotwait.go
+++ b/snipeadapter/slotwait.go
@@ -10,7 +10,9 @@
 )
 
 // expectedSlotWait returns how long one more load is expected to wait for a slot. The wait is zero
-// if more slots are free or evictable than the loads ahead of it need. The lock is held.
+// if more slots are free or evictable than the loads ahead of it need: those in the queue, and
+// those that have started but do not take a slot yet. It is zero also while the engine's state is
+// unknown or the engine is not in the directory. The lock is held.
 func (e *engine) expectedSlotWait() time.Duration {
 	u := e.controller.Upstream(e.id)
 	if u == nil || !e.stateKnown.Load() {
@@ -40,7 +42,8 @@
 	return e.slotWait
 }
 
-// recordSlotWait adds an observed wait for a slot to the moving average.
+// recordSlotWait adds an observed wait for a slot to the moving average, which starts at
+// initialSlotWait.
 func (e *engine) recordSlotWait(d time.Duration) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/snipeadapter/snipeadapter.go
+++ b/snipeadapter/snipeadapter.go
@@ -1,9 +1,9 @@
 // Package snipeadapter loads adapters onto engines and tracks which engine holds which adapter.
 //
 // It has two parts. A Residency is one instance's view of the adapters that engines hold. It is
-// built from the directory, from replies of engine owners and from refusals. A Desk is the
-// controller that gives the orders for the engines that this instance owns (package snipeowner);
-// other instances call it over Twirp.
+// built from the directory, from replies of engine owners and from refusals. A Controller gives the
+// orders to the engines that this instance owns (package snipeowner); other instances call it over
+// Twirp.
 //
 // Engines protect their adapters themselves: an engine refuses a request for an adapter that it
 // does not hold, without running the request, and unloads an adapter only when no request uses it.
@@ -14,7 +14,8 @@
 //
 //   - Each order states the number of orders that the engine has accepted so far, so an order that
 //     arrives late, after others, has no effect.
-//   - Loads that may have been accepted count as adapters that the engine holds.
+//   - An accepted load takes a slot at once. After an order whose outcome is unknown, the engine's
+//     state is read again before the next order.
 //   - A load states the adapter's version, so repeating it only queries whether the load is
 //     complete and never starts another load.
 //   - No order is sent without the right to order the engine at that moment.
@@ -135,6 +136,7 @@
 
 const (
 	// overrideTTL is how long an owner's reply or a refusal overrides a directory entry that
-	// contradicts it: entries are written about every 1.2 s, and read later.
+	// contradicts it, up to the latest read of the directory: entries are written about every
+	// 1.2 s, and read later.
 	overrideTTL = 4 * time.Second
 )
--- a/snipeadapter/unanswered.go
+++ b/snipeadapter/unanswered.go
@@ -10,9 +10,9 @@
 const maxOrderDelay = 15 * time.Second
 
 // unansweredLoads records the loads that got no answer, by engine name, for all starts of the
-// engine. The order count in a load prevents late execution as long as the engine keeps counting;
-// after a restart the count begins again and reaches every number once more. The zero value is
-// ready to use.
+// engine. A load that arrives late has no effect as long as the engine keeps counting its orders,
+// because the load states an older count; after a restart the count begins again and reaches every
+// number once more. The zero value is ready to use.
 type unansweredLoads struct {
 	lock sync.Mutex // guards sent
 	// sent is when a load was last sent, by engine name and by the order count that the load
@@ -52,9 +52,10 @@
 	}
 }
 
-// reservedSlots returns how many slots are kept free for loads that were ordered before a restart:
-// as many as this instance knows of, but at least one, because another instance may have sent one.
-// At least one slot stays usable.
+// reservedSlots returns how many slots are kept free for late loads that were ordered before a
+// restart: as many as this instance knows of, but at least one, because another instance may have
+// sent one. At least one slot stays usable. It returns 0 for an engine that has not restarted, and
+// once this controller has used the engine's present start for maxOrderDelay.
 func (e *engine) reservedSlots(slots int) int {
 	if !e.restarted || time.Since(e.discovered) > maxOrderDelay {
 		return 0
--- a/snipeadapter/use.go
+++ b/snipeadapter/use.go
@@ -7,8 +7,8 @@
 )
 
 // UseTTL is how long a report of requests in flight is valid. An instance repeats the report while
-// the requests last, so a lost report does no harm, and reports their end at once. The adapters
-// that a killed instance was using can be evicted after this time.
+// the requests last, so a lost report does no harm, and reports their end without waiting for this
+// time. The adapters that a killed instance was using can be evicted after this time.
 const UseTTL = 1500 * time.Millisecond
 
 // Use is what one instance reports about an adapter on an engine.
@@ -25,8 +25,11 @@
 	expires  time.Time
 }
 
-// RecordUse records an instance's use of the adapters of an engine, and returns the adapters that the
-// engine neither holds nor is about to load.
+// RecordUse records an instance's use of the adapters of an engine. The report replaces the
+// instance's previous report about that engine: an adapter with requests in flight there and not
+// here counts as used until now. RecordUse returns the adapters that the engine neither holds nor
+// is about to load, and drops the uses of all adapters that the engine does not hold. While the
+// engine's state is unknown, it records nothing and returns nil.
 func (c *Controller) RecordUse(id, instance string, uses map[snipecatalog.Adapter]Use) (absent []snipecatalog.Adapter) {
 	c.lock.Lock()
 	e := c.engines[id]
