--- a/snipeowner/outage.go
+++ b/snipeowner/outage.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// storeTimeout is how long a renewal may be unanswered before the store is considered lost:
-	// it answers within 10 ms, and within 250 ms when it is slow.
+	// storeTimeout is how long a step may be without an answer of the store, to its read or its
+	// renewal, before the store is considered lost: the store answers within 10 ms, and within
+	// 250 ms when it is slow.
 	storeTimeout = 300 * time.Millisecond
 	// extensionInterval is the time between two checks whether the right to order needs a lease
 	// extension, extensionLead how long before its end the extension is requested.
@@ -26,7 +27,7 @@
 	extensionTimeout = 200 * time.Millisecond
 	// standbyGrantors is how many of the instances on standby are asked for a lease extension,
 	// in addition to all that are not on standby. If a third of all instances cannot reach the
-	// store, all eight belong to that third in one of five thousand cases.
+	// store, all eight belong to that third in fewer than one of five thousand cases.
 	standbyGrantors = 8
 	// observationTime is how long an owner's row must be observed unchanged, without
 	// interruption, before its engines may be taken over.
@@ -39,26 +40,27 @@
 	// renews its row at most 1.3 s after the store is back; with this limit its row cannot be
 	// considered lapsed before that.
 	maxReadGap = 2200 * time.Millisecond
-	// rowsAgeError is by how much the reported age of a copy may be too low, because the copy is
-	// passed on from instance to instance.
+	// rowsAgeError is by how much the reported age of rows may be too low if they come from another
+	// instance's copy of the table, because such copies are passed on from instance to instance.
 	rowsAgeError = 100 * time.Millisecond
 )
 
-// ExtensionRequest is a request for a lease extension: it asks an instance not to take over engines for
-// as long as their owner may order them without the store.
+// ExtensionRequest is a request for a lease extension: it asks an instance not to take over engines
+// for as long as their owner may order them without the store.
 type ExtensionRequest struct {
 	Owner   netip.AddrPort
 	Engines []netip.AddrPort
-	// Unanswered is how long the store has not answered the owner.
+	// Unanswered is the time since the owner began the first step that the store did not answer.
 	Unanswered time.Duration
 }
 
-// ErrExtensionRefused reports that an instance refuses a lease extension, because it reaches the store
-// or has another owner recorded.
+// ErrExtensionRefused reports that an instance refuses a lease extension, because it reaches the
+// store, owns one of the engines itself or has another owner recorded.
 var ErrExtensionRefused = errors.New("lease extension refused")
 
-// ExtensionFunc sends a request for a lease extension to an instance. Its error wraps ErrNoPromise if
-// the instance refuses; any other error means that the instance did not answer.
+// ExtensionFunc sends a request for a lease extension to an instance and waits for the answer. Its
+// error wraps ErrExtensionRefused if the instance refuses; any other error means that the instance
+// did not answer.
 type ExtensionFunc func(ctx context.Context, peer netip.AddrPort, q ExtensionRequest) error
 
 // outage records whether the store answers the renewals of this instance, and since when the
@@ -81,11 +83,12 @@
 	// grantedAt is when the last lease extension was granted; zero if none was granted.
 	grantedAt time.Duration
 	// unansweredSince is when the step began whose renewal was the first that the store did not
-	// answer.
+	// answer. While the last renewal was answered, it is when the last step began.
 	unansweredSince time.Duration
 }
 
-// beginStep records the begin of a step, which reads the rows and renews.
+// beginStep records the begin of a step. If this instance was suspended before, the observation of
+// the rows starts anew.
 func (o *outage) beginStep(now time.Duration) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -99,7 +102,8 @@
 	}
 }
 
-// endRenewal records the end of a renewal and whether the store answered it.
+// endRenewal records the end of a renewal and whether the store answered it. The observation of the
+// rows starts anew with the first answer after an outage.
 func (o *outage) endRenewal(now time.Duration, answered bool) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -116,8 +120,10 @@
 	o.pendingSince = 0
 }
 
-// recordRead records that the rows were read, with the age that they had. The read counts as an
-// answer to the step in progress. An instance on standby detects an outage only by its reads.
+// recordRead records that the rows were read, with the age that they had. The observation of the
+// rows starts anew if more than maxReadGap lies between the last read of the store and this one.
+// The read counts as an answer to the step in progress. An instance on standby detects an outage
+// only by its reads.
 func (o *outage) recordRead(now, age time.Duration) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -138,7 +144,8 @@
 	return o.failing
 }
 
-// storeLost reports whether the store does not answer.
+// storeLost reports whether the store is considered lost: it did not answer the last renewal, or
+// has not answered the step in progress for storeTimeout.
 func (o *outage) storeLost(now time.Duration) bool {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -173,7 +180,8 @@
 	return max(now, o.grantedAt+observationTime)
 }
 
-// unanswered returns how long the store has not answered.
+// unanswered returns how long the store has not answered; it is meaningful only while storeLost is
+// true.
 func (o *outage) unanswered(now time.Duration) time.Duration {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -187,9 +195,10 @@
 	return o.observedSince + observationTime
 }
 
-// GrantExtension answers a request for a lease extension. It returns true if this instance does not take
-// over the engines for the duration of a lease, because the store answers neither the owner nor
-// this instance.
+// GrantExtension answers a request for a lease extension. It returns true if the store answers
+// neither the owner nor this instance, or if this instance has not read any rows yet; this instance
+// then does not take over any engine for the duration of a lease. It returns false otherwise, and
+// if one of the engines belongs to this instance or has another live owner than the one that asks.
 func (h *Holder) GrantExtension(q ExtensionRequest) bool {
 	v := h.View()
 	for _, engine := range q.Engines {
@@ -219,7 +228,8 @@
 }
 
 // ExtendLease requests a lease extension from the other instances if the right to order is about to
-// end because the store does not answer.
+// end because the store does not answer. If it is granted before the right ends, this instance may
+// order for orderTime after the request. ExtendLease waits up to extensionTimeout for the answers.
 func (h *Holder) ExtendLease(ctx context.Context) {
 	asked := h.Clock()
 	engines, deadline := h.orderable(asked)
@@ -262,10 +272,10 @@
 	return engines, h.orderDeadline
 }
 
-// grantors returns the instances that could take over engines. The required ones must grant a
-// lease extension: all that are neither leaving nor on standby, and some of those on standby.
-// The optional ones may be unreachable but must not refuse. They were leaving, and may have
-// restarted since, or their rows have lapsed: such an instance is dead or cannot reach the
+// grantors returns the other instances that are asked for a lease extension. The required ones must
+// grant it: all that are neither leaving nor on standby, and at most standbyGrantors of those on
+// standby. The optional ones may be unreachable but must not refuse. They were leaving, and may
+// have restarted since, or their rows have lapsed: such an instance is dead or cannot reach the
 // store, and if it does not answer it cannot reach this instance either.
 func (h *Holder) grantors() (required, optional []netip.AddrPort) {
 	v := h.View()
@@ -287,9 +297,9 @@
 	return required, optional
 }
 
-// requestExtension requests a lease extension from all grantors at once. It returns the first
-// error that prevents the extension: a required grantor that does not grant it, or any grantor
-// that refuses.
+// requestExtension requests a lease extension from all grantors at once and waits for their
+// answers. It returns at the first error that prevents the extension: a required grantor does not
+// grant it, or any grantor refuses.
 func (h *Holder) requestExtension(ctx context.Context, required, optional []netip.AddrPort, q ExtensionRequest) error {
 	ctx, cancel := context.WithTimeout(ctx, extensionTimeout)
 	defer cancel()
--- a/snipeowner/outage_test.go
+++ b/snipeowner/outage_test.go
@@ -11,8 +11,9 @@
 )
 
 // TestOutage guards against owners that stop ordering while the store answers no instance for
-// ten seconds, although no other instance can take over their engines, and against owners that
-// continue although the store answers some instances, or one that may reach it does not answer.
+// ten seconds, although no other instance can take over their engines, against two instances that
+// order an engine at the same time because the store answers only some instances, and against
+// engines that no instance may order six seconds after the outage.
 func TestOutage(t *testing.T) {
 	const outage = 10 * time.Second
 	all := []int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}
@@ -59,10 +60,10 @@
 	}
 }
 
-// TestOutageRecovery simulates outages of the store for 40 instances, most of which are on standby
-// and not all asked for lease extensions. After an outage other instances may read the rows
-// before an owner that continued renews; none of them may order its engines. In these seeds of
-// the first 60 an instance on standby took over an engine before its owner had renewed.
+// TestOutageRecovery simulates outages of the store for 40 instances. Most of them are on standby,
+// and not all of these are asked for lease extensions. After an outage other instances may read the
+// rows before an owner that continued renews; none of them may order its engines. With these seeds,
+// out of the first 60, an instance on standby took over an engine before its owner had renewed.
 func TestOutageRecovery(t *testing.T) {
 	for _, seed := range []uint64{5, 12, 14, 36, 52} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/snipeowner/renew.go
+++ b/snipeowner/renew.go
@@ -13,9 +13,9 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// renew writes the row of this instance, together with the engines that it takes over or
-// releases. The write is conditional: it succeeds only if this instance still owns all engines
-// in its holdings.
+// renew writes the row of this instance, together with the owner rows of the engines that it takes
+// over or, after Leave, releases. Unless the instance is leaving or on standby, the write succeeds
+// only if the instance still owns all engines in its holdings.
 func (h *Holder) renew(ctx context.Context, standby bool) error {
 	self := h.Self
 	self.Leaving, self.Standby = h.leaving.Load(), standby
@@ -76,7 +76,8 @@
 	return n
 }
 
-// deduplicate removes conditions on a row that an earlier change already covers.
+// deduplicate keeps only the first change of each row: several takeovers from one owner each have a
+// condition on that owner's row.
 func deduplicate(changes []snipeplatform.Change) []snipeplatform.Change {
 	seen := make(map[snipeplatform.Key]bool, len(changes))
 	return slices.DeleteFunc(changes, func(c snipeplatform.Change) bool {
@@ -106,9 +107,9 @@
 	return changes
 }
 
-// endOrders permanently ends the right to order. It precedes the write that releases engines:
-// the next owner orders as soon as it reads that write, even if this instance never receives
-// the outcome of the write.
+// endOrders permanently ends the right to order. It is called before the write that releases
+// engines: the next owner orders as soon as it reads this write, even if this instance never
+// receives the outcome of the write.
 func (h *Holder) endOrders() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
--- a/snipeowner/rows.go
+++ b/snipeowner/rows.go
@@ -13,8 +13,7 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// read reads the rows that have changed and removes engines that this instance no longer owns
-// from its holdings.
+// read reads the rows that have changed and makes the holdings match them.
 func (h *Holder) read(ctx context.Context) error {
 	rows, position, err := h.Table.List(ctx, Partition, h.position)
 	if err != nil {
@@ -29,7 +28,7 @@
 	return nil
 }
 
-// rowsAge returns the age of the rows that were just read; zero when it is unknown.
+// rowsAge returns the age of the rows that were just read, or zero if it is unknown.
 func (h *Holder) rowsAge() time.Duration {
 	if h.RowsAge == nil {
 		return 0
@@ -90,7 +89,9 @@
 	return o.Peer == h.Self.Peer && o.Incarnation == h.Self.Incarnation
 }
 
-// reconcileHoldings makes the holdings match the owner rows.
+// reconcileHoldings makes the holdings match the owner rows: it removes the engines that this
+// instance no longer owns, and adds those that an owner row unexpectedly assigns to it. The added
+// ones cannot be ordered until the next successful renewal.
 func (h *Holder) reconcileHoldings() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
--- a/snipeowner/snipeowner.go
+++ b/snipeowner/snipeowner.go
@@ -3,9 +3,10 @@
 // Design. Every instance sends calls directly to the engines; only orders (loads and
 // evictions) require a single author at a time. Each instance renews one row in the table.
 // The address of each engine has an owner row, which names the instance that may order the
-// engine and a fencing number. Instances read all rows once per step. An engine without a
-// live owner is taken over by the live instance that ranks first for it by rendezvous hash,
-// so that the loss of one instance leaves most engines with their owners.
+// engine and a fencing number. In a step, about once a second, an instance reads the changed
+// rows, renews its own row and takes over engines. An engine without a live owner is taken over
+// by the live instance that ranks first for it by rendezvous hash, so that the loss of one
+// instance leaves most engines with their owners.
 //
 // The engines do not check fencing numbers. Two successive owners are therefore separated by
 // time:
@@ -13,21 +14,26 @@
 //	renewal sent ....... orderTime ....... | margin ... | first order
 //	          (old owner's orders end here)              (of the new owner)
 //
+// A lease lasts for orderTime and margin together.
+//
 // Invariants:
 //
-//   - An instance orders only within orderTime of sending its last successful
-//     renewal, by a clock that also runs while the machine is suspended.
+//   - An instance orders only within orderTime of sending its last successful renewal or its last
+//     granted request for a lease extension, by a clock that also runs while the machine is
+//     suspended.
 //   - A renewal succeeds only while all rows that make this instance an owner are
 //     in the version that this instance last read or wrote.
 //   - A takeover succeeds only while the previous owner's row is in the version that the
 //     new owner first read at least the lease's duration ago. An owner that releases an
 //     engine has ended its orders before.
-//   - While the store answers no instance, an owner continues if all instances that could
-//     take over its engines grant a lease extension. A grantor restarts its observation of
-//     the owner's row, so that it can take over an engine no sooner than the extended
+//   - While the store does not answer, an owner continues if the grantors grant a lease
+//     extension: all live instances that are neither leaving nor on standby, and some of those
+//     on standby; and if no other instance that it asks refuses. A grantor restarts its
+//     observation of all rows, so that it can take over an engine no sooner than the extended
 //     right ends.
 //   - Two instances do not alternate as owners: an instance that becomes the owner of an
-//     engine again, after another instance owned it, waits for OrderGap.
+//     engine again, after another instance owned it, orders no sooner than OrderGap after it
+//     lost the engine.
 //   - A fencing number grows whenever the owner changes, also when the same instance has
 //     restarted.
 package snipeowner
@@ -59,11 +65,12 @@
 const (
 	// stepInterval is the time between two renewals. One renewal may fail before orders stop.
 	stepInterval = time.Second
-	// maxRowAge is how old the copy from which the rows are read may be, in addition to the age
-	// of a row in that copy.
+	// maxRowAge is how old the rows that List returns may be, because they may come from another
+	// instance's copy of the table. An instance counts as live for this much longer than a lease
+	// after the last change of its row.
 	maxRowAge = 2 * time.Second
-	// lapsedRetention is how long an instance that no longer renews is listed as lapsed, since it
-	// may return. Its row is never deleted.
+	// lapsedRetention is how long after the last change of its row an instance that no longer
+	// renews is listed as lapsed, since it may return. Its row is never deleted.
 	lapsedRetention = 5 * time.Minute
 	// startPollInterval is the time between two attempts to read the rows until the first one
 	// succeeds, so that an instance that restarts takes its engines back at once.
@@ -97,13 +104,13 @@
 	// Peer is the address at which other instances reach it.
 	Peer   netip.AddrPort
 	Domain string
-	// Power is the share of a core that the machine gives to the instance. Duties for other
-	// instances go to those with the most power.
+	// Power is how much of a processor core the machine gives to the instance. Duties for all
+	// instances, such as owning engines, go to the instances with the most power.
 	Power float64 `json:",omitempty"`
 	// Leaving reports that the instance is stopping. It owns no engines.
 	Leaving bool `json:",omitempty"`
 	// Standby reports that there are enough other owners. The instance owns no engines and
-	// rarely renews its row.
+	// renews its row only every standbyInterval.
 	Standby bool `json:",omitempty"`
 }
 
@@ -111,15 +118,17 @@
 type ownership struct {
 	// Peer is the owner's address, which stays the same when the owner restarts; empty when
 	// the engine was released.
-	Peer        netip.AddrPort `json:"Machine,omitzero"`
+	Peer netip.AddrPort `json:"Machine,omitzero"`
+	// Incarnation identifies the start of the owner's process; empty when the engine was released.
 	Incarnation string
 	Fence       uint64
 }
 
 // Table is the part of the platform's table that ownership depends on.
 type Table struct {
-	// List returns the rows of a partition that were added or changed after a position, or all
-	// rows for 0, and the position from which to continue.
+	// List returns the rows of a partition that were added or changed after a position, which is
+	// a number returned by an earlier call, or all rows for 0. It also returns the position for
+	// the next call. The error is ErrNotRead of package snipeplatform while no rows are available.
 	List func(ctx context.Context, partition string, since uint64) ([]snipeplatform.Row, uint64, error)
 	// Write makes all changes or none and returns the version that the changed
 	// rows have then. Its errors are those of package snipeplatform.
@@ -144,12 +153,14 @@
 	Clock func() time.Duration
 	// Operation returns a new identifier for a write.
 	Operation func() string
-	// RequestExtension requests a lease extension from another instance while the store does not
-	// answer; nil disables extensions.
+	// RequestExtension asks one other instance for a lease extension; it is called while the store
+	// does not answer. If nil, no extensions are requested.
 	RequestExtension ExtensionFunc
-	// RowsAge returns the age of the rows that List returns; nil when it is unknown.
+	// RowsAge returns the age of the rows that List returned last; nil if their age is unknown,
+	// which counts as zero.
 	RowsAge func() time.Duration
-	// RenewalEnded, if not nil, is called after each renewal and reports whether the table answered.
+	// RenewalEnded, if not nil, is called after each renewal; ok reports whether the table
+	// answered, also if it rejected the renewal because a row had changed.
 	RenewalEnded func(ok bool)
 	Log          *snipelog.Logger
 
@@ -172,7 +183,7 @@
 	ownersChanged bool
 	instances     map[netip.AddrPort]instanceRow
 	owners        map[netip.AddrPort]ownerRow
-	// renewalFailed reports that the last renewal failed.
+	// renewalFailed reports that the last renewal failed, for lack of an answer or of a condition.
 	renewalFailed bool
 	// enginesKnown reports that at least one engine was known when the last step began.
 	enginesKnown bool
@@ -214,8 +225,8 @@
 	observedAt time.Duration
 }
 
-// Fence returns the fencing number for an order to an engine, and false when this
-// instance must not order it now.
+// Fence returns the fencing number for an order to an engine, and false when this instance does not
+// own the engine or must not order it now.
 func (h *Holder) Fence(engine netip.AddrPort) (uint64, bool) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -227,17 +238,19 @@
 	return o.fence, true
 }
 
-// Owns reports whether this instance owns engines.
+// Owns reports whether this instance owns any engine, even if it must not order it now.
 func (h *Holder) Owns() bool {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return len(h.holdings) > 0
 }
 
-// Leave requests that the holder release all engines.
+// Leave requests that this instance release all engines and take over no more. It returns at once;
+// the next steps of Run release the engines.
 func (h *Holder) Leave() { h.leaving.Store(true) }
 
-// Run maintains the row and the ownerships until ctx ends.
+// Run maintains the row and the ownerships until ctx ends. It returns nil. The engines are not
+// released when ctx ends; see Leave.
 func (h *Holder) Run(ctx context.Context) error {
 	h.initialize()
 	for errors.Is(h.read(ctx), snipeplatform.ErrNotRead) {
@@ -295,7 +308,8 @@
 }
 
 // awaitRetry waits for startRetryInterval if, within startWindow, the write by which this
-// instance takes back its engines has failed. It reports whether the next step is due.
+// instance takes back its engines has failed. It reports whether it waited, so that the next step
+// is due.
 func (h *Holder) awaitRetry(ctx context.Context) bool {
 	if !h.renewalFailed || h.Owns() || h.leaving.Load() || h.Clock()-h.started > startWindow || !h.ownedPreviously() {
 		return false
@@ -321,7 +335,7 @@
 }
 
 // RequestRead requests that the rows be read before the next step, for callers that wait for their
-// content.
+// content. It returns at once.
 func (h *Holder) RequestRead() {
 	select {
 	case h.readRequests() <- struct{}{}:
@@ -355,8 +369,10 @@
 	h.holdings = make(map[netip.AddrPort]holding)
 }
 
-// Step reads all rows, renews the row of this instance together with its ownerships, and takes
-// over engines that have no live owner.
+// Step reads the changed rows, renews the row of this instance together with its ownerships, takes
+// over engines that have no live owner, or releases engines after Leave, and publishes a new view.
+// It does not renew while an instance on standby need not, or once the row of a leaving instance is
+// final, and does nothing more if no rows were ever read.
 func (h *Holder) Step(ctx context.Context) {
 	h.initialize()
 	h.outage.beginStep(h.Clock())
@@ -381,8 +397,8 @@
 	h.publish()
 }
 
-// reportRenewal reports to Reached whether the table answered a renewal. It logs the first
-// failure and the first success after it.
+// reportRenewal reports to RenewalEnded whether the table answered a renewal. It logs the first
+// failed renewal and the first successful one after that.
 func (h *Holder) reportRenewal(err error) {
 	if h.RenewalEnded != nil {
 		h.RenewalEnded(snipeplatform.IsDefinite(err))
--- a/snipeowner/snipeowner_test.go
+++ b/snipeowner/snipeowner_test.go
@@ -60,7 +60,7 @@
 }
 
 // TestViews checks that the views of all instances agree on the owners of engines and on the
-// ranking, that Others does not contain the instance itself, and that a step without changes
+// ranking, that OtherOwners does not contain the instance itself, and that a step without changes
 // keeps the owners.
 func TestViews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -151,7 +151,8 @@
 	})
 }
 
-// TestOwnerDies checks that the engines of a dead instance have another owner after the lease.
+// TestOwnerDies checks that all engines may be ordered again six seconds after the death of an
+// instance.
 func TestOwnerDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulation(t, 2, 3, 6)
@@ -164,7 +165,8 @@
 	})
 }
 
-// TestOwnerLeaves checks that a planned stop releases the engines at once.
+// TestOwnerLeaves checks that all engines may be ordered again four seconds after the begin of the
+// planned stop of an instance.
 func TestOwnerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulation(t, 3, 3, 6)
@@ -206,8 +208,8 @@
 	})
 }
 
-// TestOrderGapAcrossRestart guards against an instance that releases engines, restarts, and orders them
-// again within OrderGap, since it has no record of the orders before its restart.
+// TestOrderGapAcrossRestart guards against an instance that releases engines, restarts, and orders
+// them again within OrderGap, since it has no record of the orders before its restart.
 func TestOrderGapAcrossRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulation(t, 6, 2, 6)
@@ -261,7 +263,7 @@
 
 // TestOneOwnerRelayed simulates the same faults where instances relay each other's writes. A write
 // may reach the table by its sender's link, by the link of another instance, by both in any
-// order, or late, and must take effect once.
+// order, or late. The test guards against the same failures as TestOneOwner.
 func TestOneOwnerRelayed(t *testing.T) {
 	var seeds []uint64
 	for seed := range uint64(60) {
--- a/snipeowner/standby.go
+++ b/snipeowner/standby.go
@@ -42,7 +42,9 @@
 	standbyRetryInterval = 5 * time.Second
 )
 
-// standby reports whether there are enough other instances to own the engines.
+// standby reports whether this instance should be on standby, because there are enough other
+// instances to own the engines. It is false if this instance owns engines or is leaving, or if an
+// earlier start of it owned engines.
 func (h *Holder) standby() bool {
 	if len(h.holdings) > 0 || h.leaving.Load() || h.ownedPreviously() {
 		return false
@@ -73,14 +75,14 @@
 	})
 }
 
-// ownerCount returns how many instances should share the given number of engines in a large
-// deployment.
+// ownerCount returns how many instances should own the given number of engines in a large
+// deployment. In a small one it is below minOwners, which the caller then uses.
 func ownerCount(engines int) int {
 	return max(min(engines/enginesPerOwner, maxOwners), engines/enginesPerOwnerAtMax)
 }
 
-// leaveRecorded reports whether the row of this instance states that it is leaving, and it owns
-// no engines. Such an instance no longer renews: otherwise 70 instances that are replaced one
+// leaveRecorded reports whether the row of this instance states that it is leaving and the instance
+// owns no engines. Such an instance no longer renews: otherwise 70 instances that are replaced one
 // after the other would write until their last requests end.
 func (h *Holder) leaveRecorded() bool {
 	row := h.instances[h.Self.Peer]
--- a/snipeowner/start_test.go
+++ b/snipeowner/start_test.go
@@ -40,8 +40,8 @@
 	})
 }
 
-// TestStartDuringDirectoryRead guards against the same delay when the engines become known during the
-// write of the first step.
+// TestStartDuringDirectoryRead guards against instances that order their engines a whole renewal
+// interval late when the engines become known during the write of the first step.
 func TestStartDuringDirectoryRead(t *testing.T) {
 	// A read of the rows takes up to 600 ms here.
 	const limit = 700 * time.Millisecond
--- a/snipeowner/take.go
+++ b/snipeowner/take.go
@@ -19,8 +19,9 @@
 }
 
 // takeovers returns the engines without a live owner for which this instance ranks first among
-// the live instances, and the engines that an earlier start of this instance owned. It returns
-// as many as fit into capacity entries of a transaction.
+// the live instances, from settleTime after the start, and at any time the engines that an earlier
+// start of this instance owned. It returns as many as fit into capacity entries (conditions and
+// writes) of a transaction, and none if the rows could not be read in this step.
 func (h *Holder) takeovers(capacity int) []takeover {
 	if h.readFailed {
 		return nil
@@ -73,9 +74,9 @@
 // ranksFirst reports whether this instance ranks before all rivals for an engine.
 func (h *Holder) ranksFirst(engine netip.AddrPort, rivals []uint64) bool {
 	key := addressHash(engine)
-	own := rank(key, addressHash(h.Self.Peer))
+	own := score(key, addressHash(h.Self.Peer))
 	for _, rival := range rivals {
-		if rank(key, rival) > own {
+		if score(key, rival) > own {
 			return false
 		}
 	}
@@ -135,9 +136,10 @@
 	return t, true
 }
 
-// orderGapEnd returns when this instance may order an engine again that another instance owned
-// since. It is unknown which engines an earlier start of this instance owned; that start had
-// ended when this one began, so the gap is counted from there.
+// orderGapEnd returns the earliest time, not before now, at which OrderGap permits this instance to
+// order an engine that it takes over from another instance: OrderGap after it last owned the
+// engine. It is unknown which engines an earlier start of this instance owned; that start had ended
+// when this one began, so the gap of every other engine is counted from there.
 func (h *Holder) orderGapEnd(engine netip.AddrPort, now time.Duration) time.Duration {
 	at, ok := h.lastOwned[engine]
 	if !ok {
--- a/snipeowner/view.go
+++ b/snipeowner/view.go
@@ -19,22 +19,24 @@
 
 // View is an immutable snapshot of the live instances and the owners of engines.
 type View struct {
-	// Live maps addresses to the instances that renew their rows. Ranked holds the same instances
-	// in the order in which they are chosen for duties for all instances.
+	// Live maps addresses to the instances that renew their rows, and to this instance once its row
+	// was read or written. Ranked holds the same instances in the order in which they are chosen
+	// for duties for all instances.
 	Live   map[netip.AddrPort]Instance
 	Ranked []Instance
 	// Lapsed holds the addresses of the instances that stopped renewing within the last
 	// lapsedRetention.
 	Lapsed []netip.AddrPort
-	// Owners maps the addresses of engines to their live owners. Others holds the addresses of
-	// those owners that are other instances.
+	// Owners maps the addresses of engines to their live owners. OtherOwners holds the addresses of
+	// the owners other than this instance.
 	Owners      map[netip.AddrPort]Owner
 	OtherOwners []netip.AddrPort
-	// Read is when the view was created, which is after each attempt to read the rows.
+	// Read is when the view was created. That is at the end of each step, also if the rows could
+	// not be read or the renewal failed, and after each successful read between two steps.
 	Read time.Time
 }
 
-// View returns the last snapshot; never nil.
+// View returns the last snapshot. It is never nil, but empty until the rows were first read.
 func (h *Holder) View() *View {
 	if v := h.view.Load(); v != nil {
 		return v
@@ -107,8 +109,10 @@
 	return owners, slices.Collect(maps.Keys(peers))
 }
 
-// live reports whether an instance's row has changed within the duration of a lease. While the
-// table does not answer, no row changes and the liveness of all instances stays as it was.
+// live reports whether an instance's row has changed within the duration of a lease and maxRowAge,
+// or, for an instance on standby, within two standbyInterval more. This instance is always live.
+// While the table does not answer, no row changes and the liveness of all instances stays as it
+// was.
 func (h *Holder) live(r instanceRow) bool {
 	if r.Peer == h.Self.Peer {
 		return true
@@ -132,15 +136,16 @@
 // comparePower orders instances for duties that a few perform for all: by decreasing power, then
 // by rank.
 func comparePower(a, b instanceRow) int {
-	return cmp.Or(cmp.Compare(b.Power, a.Power), cmp.Compare(rank(noEngine, b.hash), rank(noEngine, a.hash)))
+	return cmp.Or(cmp.Compare(b.Power, a.Power), cmp.Compare(score(noEngineHash, b.hash), score(noEngineHash, a.hash)))
 }
 
-// noEngine replaces the engine's hash where instances rank for duties that concern no engine.
-var noEngine = addressHash(netip.AddrPort{})
+// noEngineHash takes the place of an engine's hash where instances are ranked for duties that
+// concern no engine.
+var noEngineHash = addressHash(netip.AddrPort{})
 
 // addressHash returns the hash of an address from which ranks are calculated.
 func addressHash(a netip.AddrPort) uint64 { return sniperoute.Hash(a.String()) }
 
-// rank returns the score of an instance for an engine; the highest score ranks first. Both are
-// given by the hashes of their addresses.
-func rank(engine, instance uint64) uint64 { return sniperoute.Score(engine, instance) }
+// score returns the score of an instance for an engine in the rendezvous hash; the instance with
+// the highest score ranks first. Both are given by the hashes of their addresses.
+func score(engine, instance uint64) uint64 { return sniperoute.Score(engine, instance) }
