--- a/snipequota/account.go
+++ b/snipequota/account.go
@@ -13,8 +13,8 @@
 	// askTimeout bounds one call to the issuer, which normally takes a few milliseconds. Requests
 	// wait for it.
 	askTimeout = 120 * time.Millisecond
-	// issuerRetryDelay is how long after an unanswered call requests are served without the issuer
-	// instead of waiting for another call.
+	// issuerRetryDelay is how long after the begin of an unanswered call requests are served
+	// without the issuer instead of waiting for another call.
 	issuerRetryDelay = 250 * time.Millisecond
 	// leaseMargin is how much earlier an instance ends the lease of its share than the issuer does.
 	leaseMargin = time.Second
@@ -23,9 +23,11 @@
 // Account tracks what one instance may use of all quotas. Exported fields are set before Run. It is
 // safe for concurrent use.
 type Account struct {
-	// Ask sends asks to the issuer and returns its grants.
+	// Ask sends asks to the issuer and returns its grants; an error means that the issuer did not
+	// answer.
 	Ask func(ctx context.Context, asks []Ask) ([]Grant, error)
-	// Limited reports whether any workspace has a quota.
+	// Limited reports whether any workspace has a quota; while it is false, Run makes no periodic
+	// calls.
 	Limited func() bool
 	// Instances returns the number of live instances.
 	Instances func() int
@@ -37,17 +39,18 @@
 
 	lock       sync.Mutex // guards the fields below
 	allowances map[string]*allowance
-	// answeredAt is the time of the last call that the issuer answered, and askedAt the time of the
-	// last call.
+	// answeredAt is when the last call that the issuer answered began, and askedAt when the last
+	// completed call began.
 	answeredAt time.Time
 	askedAt    time.Time
 	// unreachable reports whether the issuer did not answer the last call.
 	unreachable bool
 }
 
-// Take counts a request of the given number of units against the quota of a workspace. If the
-// request may not run, Take returns false and the time until units are available. Take may wait for
-// an answer of the issuer. If ctx ends meanwhile, it returns zero and false.
+// Take counts a request of the given number of units against the quota of a workspace, and returns
+// zero and true if the request may run. Otherwise it returns the time until units are expected to
+// be available, and false. Take may block until the issuer answers or the call to it fails; Run
+// makes the calls. If ctx ends meanwhile, Take returns zero and false and takes no units.
 func (a *Account) Take(ctx context.Context, w *snipecatalog.Workspace, units float64) (time.Duration, bool) {
 	d, waiting := a.take(w, units)
 	if waiting == nil {
@@ -89,15 +92,16 @@
 	return decision{}, r
 }
 
-// Charge counts a request that runs once more. Such a request can no longer be refused, so its units
-// are deducted from later grants if none are left.
+// Charge counts a request that runs once more. Such a request can no longer be refused, so its
+// units are deducted from later grants if none are left.
 func (a *Account) Charge(w *snipecatalog.Workspace, units float64) { a.add(w, -units) }
 
-// Return returns the units that were taken for a request that did not run.
+// Return returns the units that were taken for a request that did not run. They expire together
+// with the instance's grants.
 func (a *Account) Return(w *snipecatalog.Workspace, units float64) { a.add(w, units) }
 
-// add changes the remaining units. The workspace may be from a previous catalog whose quota is no
-// longer in force.
+// add changes the remaining units of the quota in force; it does nothing if the workspace has no
+// allowance. The workspace may be from a previous catalog, so its quota is not applied here.
 func (a *Account) add(w *snipecatalog.Workspace, units float64) {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -124,7 +128,9 @@
 	}
 }
 
-// allowance returns the allowance of a workspace, and creates it if there is none.
+// allowance returns the allowance of a workspace, and creates it if there is none. If the quota has
+// changed, allowance drops the units that remain of grants under the previous one. The lock is
+// held.
 func (a *Account) allowance(w *snipecatalog.Workspace) *allowance {
 	p := a.allowances[w.Name]
 	if p == nil {
@@ -171,7 +177,8 @@
 	}
 }
 
-// askOnce sends one call to the issuer and applies its answer.
+// askOnce sends one call to the issuer and applies its answer. If the issuer does not answer, the
+// waiting requests are decided without it.
 func (a *Account) askOnce(ctx context.Context) {
 	begun := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
@@ -193,9 +200,9 @@
 			a.wakeRun()
 		}
 	}
-	// The issuer returns no grant for a workspace that has no quota in its catalog, which may
-	// differ from the catalog here. The waiting requests of such a workspace are served without the
-	// issuer.
+	// A level from before this call shows that the answer held no grant for the workspace: the
+	// workspace has no quota in the issuer's catalog, which may differ from this instance's. Its
+	// waiting requests are decided without the issuer.
 	for _, q := range asks {
 		if p := a.allowances[q.Workspace]; p.levelAt.Before(begun) {
 			a.serveFallback(p, now)
@@ -218,7 +225,8 @@
 	a.unreachable = err != nil
 }
 
-// pendingAsks returns the asks for all workspaces with recent requests.
+// pendingAsks returns the asks for the workspaces with waiting requests, with a demand of at least
+// one unit per second, with units left or owed, or with use to report that no issuer knows of.
 func (a *Account) pendingAsks(now time.Time) []Ask {
 	a.lock.Lock()
 	defer a.lock.Unlock()
@@ -234,16 +242,16 @@
 	return all
 }
 
-// serveFallback decides on the waiting requests without an issuer.
+// serveFallback decides on all waiting requests without an issuer. The lock is held.
 func (a *Account) serveFallback(p *allowance, now time.Time) {
 	for len(p.waiting) > 0 {
 		p.answerFirst(a.takeFallback(p, p.waiting[0].units, now))
 	}
 }
 
-// takeFallback counts a request against what this instance may use without an issuer: its share of
+// takeFallback decides on a request by what this instance may use without an issuer: its share of
 // the rate since the last answer of the issuer, and its fraction of the bounds for instances
-// without one.
+// without one. A request of a workspace without a quota may run.
 func (a *Account) takeFallback(p *allowance, units float64, now time.Time) decision {
 	if !p.quota.Limited() {
 		return decision{ok: true}
--- a/snipequota/allowance.go
+++ b/snipequota/allowance.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// aheadTime is how far ahead of their use units are requested. lowTime is how long the
-	// remaining units must last for no more to be requested.
+	// aheadTime is how long the units that are requested ahead of use last at the present demand.
+	// lowTime is how long the remaining units must last; otherwise more are requested at once.
 	aheadTime = time.Second
 	lowTime   = 300 * time.Millisecond
 	// aheadRequests is the minimum number of requests of mean size whose units are requested ahead.
@@ -19,15 +19,16 @@
 	// minPause and maxPause bound the time between two asks for a workspace whose quota is used up.
 	minPause = 60 * time.Millisecond
 	maxPause = 300 * time.Millisecond
-	// fallbackTime is the time over which a share may accumulate without an issuer.
+	// fallbackTime limits the unused units of a share that may accumulate without an issuer: those
+	// of this time.
 	fallbackTime = 500 * time.Millisecond
 )
 
 // allowance is what this instance may use of the quota of one workspace.
 type allowance struct {
 	quota snipecatalog.Quota
-	// remaining is the number of units left of the grants, which expire at expires. It is negative
-	// after requests that ran again.
+	// remaining is the number of units left of the grants, all of which expire at expires. It is
+	// negative after requests that ran again and exceeded the grants.
 	remaining float64
 	expires   time.Time
 	// demand is the rate of arriving requests, in units per second, as of demandAt. meanUnits is
@@ -40,9 +41,10 @@
 	refuseUntil time.Time
 	availableAt time.Time
 	waiting     []*waiter
-	// share is the fraction of the rate that may be used without an issuer. fallback is the level
-	// of the bucket for that use as of fallbackAt, which fills at fallbackRate up to fallbackLimit.
-	// fallbackUsed is the number of units taken from it since an issuer last answered.
+	// share is the fraction of the rate that may be used without an issuer. fallback is the level,
+	// as of fallbackAt, of the bucket for use without an issuer, which fills at fallbackRate up to
+	// fallbackLimit. fallbackUsed is the number of units taken from this bucket since an issuer
+	// last returned a grant.
 	share         float64
 	fallback      float64
 	fallbackAt    time.Time
@@ -60,13 +62,14 @@
 	done  chan decision
 }
 
-// decision reports whether a request may run, or otherwise the time until units are available.
+// decision reports whether a request may run, and otherwise the time until units are expected to be
+// available.
 type decision struct {
 	ok   bool
 	wait time.Duration
 }
 
-// recordDemand counts a request in the demand.
+// recordDemand counts an arriving request in the demand and in the mean size of requests.
 func (p *allowance) recordDemand(units float64, now time.Time) {
 	p.decayDemand(now)
 	p.demand += units / demandTime.Seconds()
@@ -83,7 +86,7 @@
 	p.demandAt = now
 }
 
-// expire removes the units of grants that have expired.
+// expire removes the remaining units if the grants have expired. A debt stays.
 func (p *allowance) expire(now time.Time) {
 	if p.remaining > 0 && !now.Before(p.expires) {
 		p.remaining = 0
@@ -98,7 +101,8 @@
 	return max(max(p.demand*aheadTime.Seconds(), aheadRequests*p.meanUnits)-max(p.remaining, 0), 0)
 }
 
-// ask returns the ask for the issuer.
+// ask returns the ask for the issuer: the units for the waiting requests less the remaining ones,
+// or, if no request waits, the units that are owed; and the units ahead of use.
 func (p *allowance) ask(name string, now time.Time) Ask {
 	q := Ask{Workspace: name, Held: p.remaining, FallbackUsed: p.fallbackUsed, Demand: p.demand}
 	for n, r := range p.waiting {
@@ -120,8 +124,10 @@
 	return q
 }
 
-// receive applies a grant and serves the waiting requests in the order of arrival. It reports
-// whether requests still wait: they have arrived since the ask.
+// receive applies the grant that answers an ask sent at the given time, and serves the waiting
+// requests in the order of arrival. Granted units extend the life of those left of earlier grants.
+// If the grant states a wait, receive refuses the requests that it cannot serve. It reports whether
+// requests still wait: they have arrived since the ask.
 func (p *allowance) receive(g Grant, asked, now time.Time) (more bool) {
 	p.expire(now)
 	if g.Units > 0 {
@@ -139,8 +145,8 @@
 	return len(p.waiting) > 0
 }
 
-// refuse refuses the waiting requests and those that arrive during a pause, because the quota is
-// used up.
+// refuse refuses the waiting requests, because the quota is used up, and makes Take refuse those
+// that arrive within the wait, bounded by minPause and maxPause, and exceed the remaining units.
 func (p *allowance) refuse(wait time.Duration, now time.Time) {
 	pause := min(max(wait, minPause), maxPause)
 	p.refuseUntil, p.availableAt = now.Add(pause), now.Add(max(wait, pause))
@@ -155,9 +161,12 @@
 	p.waiting = p.waiting[1:]
 }
 
-// fillFallback adds the units that may be used without an issuer to the fallback bucket.
+// fillFallback computes the rate and the limit of the fallback bucket, and adds the units that have
+// become available since fallbackAt. The share adds units only for the time since the issuer's last
+// answer, and only until leaseMargin before the end of the lease.
 func (p *allowance) fillFallback(a *Account, now time.Time) {
-	// One half of the reserve is available at once, the other half accumulates over the window.
+	// This instance's fraction of the bounds for instances without an issuer is twice the reserve:
+	// one half of it is available at once, the other half accumulates over the window.
 	reserve := a.Bounds.Over(p.quota) / 2 / float64(max(a.Instances(), 1)) / 2
 	reserveRate, share := reserve/a.Bounds.Span.Seconds(), 0.0
 	if now.Sub(a.answeredAt) < lease-leaseMargin {
--- a/snipequota/faults_test.go
+++ b/snipequota/faults_test.go
@@ -81,8 +81,9 @@
 	})
 }
 
-// TestQuotaLowered guards against a quota that is lowered far below the demand and does not apply once
-// all instances have read it, or that is raised again and is not used at once.
+// TestQuotaLowered guards against a quota that is lowered far below the demand and does not apply
+// an eighth of the window after all instances have read it, or that is raised again and is not used
+// at once.
 func TestQuotaLowered(t *testing.T) {
 	lower := snipecatalog.Quota{PerSecond: 40_000, Burst: 40_000, Tokens: true}
 	synctest.Test(t, func(t *testing.T) {
@@ -101,8 +102,8 @@
 	})
 }
 
-// TestUnitsReturned guards against units of requests that did not run and cannot be taken again, and
-// against requests that ran twice and count only once.
+// TestUnitsReturned guards against returned units that cannot be taken again, and against requests
+// that ran twice and count only once.
 func TestUnitsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 5, 3, small)
--- a/snipequota/issuer.go
+++ b/snipequota/issuer.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// equalFraction is the fraction of a rate that is shared equally among all instances. The
-	// remainder is shared in proportion to the demand at each instance.
+	// equalFraction is the fraction of a rate that is shared equally among the instances that
+	// contact the issuer. The remainder is shared in proportion to the demand at each instance.
 	equalFraction = 0.2
 	// aheadReserve is the fraction of the burst that is reserved for waiting requests. Only units
 	// above it are granted ahead of use.
@@ -32,8 +32,8 @@
 	Bounds    Bounds
 
 	lock sync.Mutex // guards the fields below
-	// startedAt is when the state below was last reset. contacts holds the time of the last ask of
-	// each instance.
+	// startedAt is when the state below was last reset. contacts holds the time of the last call of
+	// each instance; an instance without a call for longer than a lease is removed.
 	startedAt   time.Time
 	contacts    map[string]time.Time
 	recountedAt time.Time
@@ -49,7 +49,8 @@
 	instances map[string]*instanceState
 	demand    float64
 	held      float64
-	// withheld is the fraction of the rate that is withheld for instances without contact.
+	// withheld is the fraction of the rate that is withheld for instances whose contact has timed
+	// out, and for those that have not contacted this issuer since it started.
 	withheld float64
 }
 
@@ -66,7 +67,8 @@
 	withheldShare float64
 }
 
-// Issue answers the asks of an instance. It returns no grant for a workspace without a quota.
+// Issue answers one call of an instance, with one grant for each ask, but none for a workspace
+// without a quota. A call without asks counts as contact.
 func (s *Issuer) Issue(instance string, asks []Ask) []Grant {
 	now := time.Now()
 	s.lock.Lock()
@@ -84,7 +86,8 @@
 	return all
 }
 
-// recordContact records that an instance asks.
+// recordContact records that an instance calls. If no instance has called within contactTimeout, it
+// discards all state first, as if the issuer had just started.
 func (s *Issuer) recordContact(instance string, now time.Time) {
 	if s.contacts == nil || s.idle(now) {
 		// State from before an idle time is void, because another instance has granted units
@@ -94,8 +97,8 @@
 	s.contacts[instance] = now
 }
 
-// idle reports whether no instance has asked for so long that the instances must have asked another
-// issuer.
+// idle reports whether no instance has called within contactTimeout. The instances must then have
+// called another issuer.
 func (s *Issuer) idle(now time.Time) bool {
 	for _, at := range s.contacts {
 		if now.Sub(at) < contactTimeout {
@@ -105,6 +108,8 @@
 	return true
 }
 
+// issue answers one ask. A new bucket starts with at most the units that Bounds leave to issuers
+// that start.
 func (s *Issuer) issue(instance string, a Ask, q snipecatalog.Quota, now time.Time) Grant {
 	b := s.buckets[a.Workspace]
 	if b == nil {
@@ -130,13 +135,14 @@
 	p.held += g.Units
 	g.Level = b.level
 	if g.Units < a.Need {
-		g.Wait = b.wait(a.Need-g.Units, q)
+		g.Wait = b.waitTime(a.Need-g.Units, q)
 	}
 	return g
 }
 
 // adoptLevel lowers the level of the bucket to the one that a previous issuer reported to an
-// instance that asks for the first time, plus what the rate may have added since.
+// instance that asks for the first time, plus what the rate may have added since. It does nothing
+// if the level of the bucket is lower already or the instance knows of none.
 func (b *bucket) adoptLevel(a Ask, q snipecatalog.Quota) {
 	if a.LevelKnown {
 		b.level = min(b.level, a.Level+q.PerSecond*a.LevelAge.Seconds())
@@ -154,8 +160,8 @@
 	b.level = min(b.level-a.FallbackUsed, q.Burst)
 }
 
-// fill adds the units that the rate has produced. Units that instances hold count towards the
-// burst.
+// fill adds the units that the rate, less the withheld fraction, has produced since the last fill.
+// Units that instances hold count towards the burst.
 func (b *bucket) fill(q snipecatalog.Quota, now time.Time) {
 	rate := q.PerSecond * max(1-b.withheld, 0)
 	capacity := max(q.Burst-b.held, 0)
@@ -181,8 +187,10 @@
 	return units
 }
 
-// wait returns the time until the bucket holds the given number of units.
-func (b *bucket) wait(units float64, q snipecatalog.Quota) time.Duration {
+// waitTime returns the estimated time until the bucket holds the given number of units, or a full
+// burst if that is less. It assumes a fill rate of at least equalFraction of the quota's rate,
+// however much is withheld, and is at least minWait and at most maxWait.
+func (b *bucket) waitTime(units float64, q snipecatalog.Quota) time.Duration {
 	rate := q.PerSecond * max(1-b.withheld, equalFraction)
 	seconds := max(min(units, q.Burst)-b.level, 0) / rate
 	return min(max(time.Duration(seconds*float64(time.Second)), minWait), maxWait)
@@ -213,8 +221,9 @@
 	return float64(unknown) / float64(max(len(all), 1))
 }
 
-// recount computes the withheld shares and the held units again, and removes the instances without
-// contact for longer than a lease.
+// recount computes the withheld shares, the demands and the held units again, and removes the
+// instances without contact for longer than a lease. It does nothing within recountInterval of the
+// last time.
 func (s *Issuer) recount(now time.Time) {
 	if now.Sub(s.recountedAt) < recountInterval {
 		return
@@ -231,8 +240,9 @@
 	}
 }
 
-// recount computes what one bucket withholds. For an instance whose contact has just timed out, it
-// also deducts the units of its share since the last contact.
+// recount computes the sums of one bucket and what it withholds, which includes the given fraction
+// for instances that have not contacted this issuer. For an instance whose contact has just timed
+// out, it also deducts the units of its share since the last contact.
 func (b *bucket) recount(s *Issuer, q snipecatalog.Quota, unknown float64, now time.Time) {
 	b.fill(q, now)
 	b.demand, b.held, b.withheld = 0, 0, unknown
--- a/snipequota/snipequota.go
+++ b/snipequota/snipequota.go
@@ -1,20 +1,24 @@
 // Package snipequota enforces the quotas of workspaces over all instances together.
 //
-// Design. One instance, the issuer, keeps a token bucket for each workspace. The bucket fills at
-// the rate of the quota up to its burst. The issuer grants units to the instances ahead of their
-// use, according to the demand at each. An instance takes the units of its requests from its grants
-// without a message, and asks for more before they run out, for all workspaces at once. A grant
-// that is not used expires after a while, and its units return to the bucket.
+// Design. A quota counts units, which are requests or tokens. One instance, the issuer, keeps a
+// token bucket for each workspace. The bucket fills at the rate of the quota up to its burst. The
+// issuer grants units to the instances ahead of their use, according to the demand at each. An
+// instance takes the units of its requests from its grants without a message, and asks for more
+// before they run out, for all workspaces at once. A grant that is not used expires after a while.
+// The units that instances hold count towards the burst, so the bucket fills up again once a grant
+// was used or has expired.
 //
-// An instance that cannot reach an issuer continues with its share of the rate. The issuer has
-// reported this share to it, and computes it from the demand at the instance. The issuer withholds the
-// shares of the instances that do not contact it, so that all instances together stay within the
+// An instance that cannot reach an issuer continues with its share of the rate, which is a fraction
+// that the issuer computes from the demand at the instance and reports with each grant, and with a
+// fixed reserve (see Bounds). The issuer withholds the shares of the instances that do not contact
+// it: its buckets fill more slowly by these shares, so that all instances together stay within the
 // quota, whichever of them reach which.
 //
 // Invariants:
 //
 //   - In any span of time, an issuer grants no more than the rate times that time and the burst,
-//     less the shares of the instances that do not contact it.
+//     less the shares of the instances that do not contact it. One request larger than the level of
+//     the bucket may exceed this; nothing more is granted until the rate has made up for it.
 //   - An instance stops using its share within a lease of its last contact, before the issuer stops
 //     withholding that share.
 //   - Use that no instance can count (use before all instances were killed, grants of an issuer
@@ -34,7 +38,9 @@
 	// grantLife is how long a grant may be used: long enough for several requests of a workspace
 	// that sends few.
 	grantLife = 3 * time.Second
-	// lease is how long after its last contact with an issuer an instance may use its share.
+	// lease is the time after an instance's last contact (its last call to the issuer) at which the
+	// issuer stops withholding the share of the instance. The instance itself stops using its share
+	// leaseMargin earlier.
 	lease = 14 * time.Second
 	// contactTimeout is how long an instance may be without contact before the issuer withholds its
 	// share: several report intervals.
@@ -64,20 +70,21 @@
 	// Need is the number of units that waiting requests need, First the number that the first of
 	// them needs, and Ahead the number that may be granted in addition, ahead of use.
 	Need, First, Ahead float64
-	// Held is the number of units left of previous grants.
+	// Held is the number of units left of previous grants; negative after requests that ran again
+	// and exceeded the grants.
 	Held float64
 	// FallbackUsed is the number of units used without an issuer since the last answer of one.
 	FallbackUsed float64
 	// Demand is the rate of arriving requests, in units per second.
 	Demand float64
-	// Level is the level of the bucket that an issuer last reported, and Age the time since then.
-	// Both are set only if Known is true.
+	// Level is the level of the bucket that an issuer last reported, and LevelAge the time since
+	// then. Both are set only if LevelKnown is true.
 	Level      float64
 	LevelAge   time.Duration
 	LevelKnown bool
 }
 
-// Grant is the answer to an Ask.
+// Grant is the answer to an Ask. Units may be zero.
 type Grant struct {
 	Workspace string
 	Units     float64
--- a/snipequota/ways_test.go
+++ b/snipequota/ways_test.go
@@ -169,9 +169,10 @@
 	"EvenShare": {evenShare, []int{66}}, "LateSum": {delayedSum, []int{66}}, "Granted": {granted, []int{9, 66}},
 }
 
-// TestMethods runs the loads with each method. It guards against a method of this package that exceeds
-// the bound of the quota, or that refuses more than a twentieth of what the quota allows although
-// the instances reach each other.
+// TestMethods runs the loads with each method of counting. It guards against grants, the method of
+// this package, that exceed the bound of the quota, or that refuse more than a twentieth of what
+// one bucket for all instances would have let run, although the instances reach an issuer. The
+// other methods are run for comparison and not checked.
 func TestMethods(t *testing.T) {
 	// withoutIssuer are the loads in which instances reach no issuer for a while.
 	withoutIssuer := map[string]bool{"ThirdCut": true, "IssuerFrozen": true, "AllKilled": true, "Replaced": true}
@@ -193,8 +194,8 @@
 	}
 }
 
-// TestThreeHundredInstances guards against the same failures for a workspace that sends four times its quota to
-// three hundred instances.
+// TestThreeHundredInstances guards against the same failures for a workspace that sends up to four
+// times its quota to three hundred instances.
 func TestThreeHundredInstances(t *testing.T) {
 	maxUse, early := runLoad(t, 300, loads["Hot"], granted)
 	must.LessEq(t, 1, maxUse)
--- a/snipequota/world_test.go
+++ b/snipequota/world_test.go
@@ -297,8 +297,8 @@
 	return max(ideal-ran, 0) / ideal
 }
 
-// sizes returns a generator of request sizes like those of drafts: mostly some hundred tokens, few
-// of them many.
+// sizes returns a generator of request sizes with the given mean: most sizes are below it, a few
+// are several times as large.
 func (c *cluster) sizes(mean float64) func() float64 {
 	return func() float64 {
 		c.lock.Lock()
