--- a/snipering/snipering.go
+++ b/snipering/snipering.go
@@ -12,12 +12,12 @@
 	items chan T
 }
 
-// New returns a ring that holds at most size items; size is at least 1.
+// New returns a ring that holds at most size items; a size below 1 counts as 1.
 func New[T any](size int) *Ring[T] {
 	return &Ring[T]{items: make(chan T, max(size, 1))}
 }
 
-// TryPush adds v and reports whether the ring had space for it.
+// TryPush adds v if the ring has space for it, and reports whether it did. It never blocks.
 func (r *Ring[T]) TryPush(v T) bool {
 	select {
 	case r.items <- v:
@@ -42,7 +42,8 @@
 // Len returns the number of items in the ring.
 func (r *Ring[T]) Len() int { return len(r.items) }
 
-// TryPop removes and returns the oldest item, and reports false when the ring is empty.
+// TryPop removes and returns the oldest item, and reports false when the ring is empty. It never
+// blocks.
 func (r *Ring[T]) TryPop() (T, bool) {
 	select {
 	case v := <-r.items:
