--- a/snipeslot/audit.go
+++ b/snipeslot/audit.go
@@ -120,10 +120,11 @@
 	return nil
 }
 
-// audit reads the list of aliases that the engine holds. Entries that are not
-// listed are removed (an engine that has restarted is empty), and unknown
-// aliases are adopted or evicted. Entries that became resident or were removed
-// while the list was read are left as they are.
+// audit reads the list of aliases that the engine holds. Resident entries that
+// are not listed are removed (an engine that has restarted is empty), and
+// unknown aliases are adopted or evicted. Entries that became resident while the
+// list was read are kept, and entries that were removed meanwhile are not added
+// again.
 func (s *Slots) audit(ctx context.Context) error {
 	s.auditing.Lock()
 	defer s.auditing.Unlock()
@@ -165,7 +166,8 @@
 // not retired, since earlier owners can no longer retire it, unless another
 // alias already serves the same adapter and path. All other aliases are
 // evicted: one that appears after the first audit was loaded by a late order,
-// and a late order to unload it may follow. s.lock is held.
+// and a late order to unload it may follow. A name that is not an alias is
+// ignored. s.lock is held.
 func (s *Slots) adoptOrEvict(name string) {
 	a, err := ParseAlias(name)
 	if err != nil {
--- a/snipeslot/capacity.go
+++ b/snipeslot/capacity.go
@@ -88,7 +88,8 @@
 }
 
 // availableSlots returns the number of slots that are free, are being freed or
-// can be freed now. s.lock is held.
+// can be freed now. It leaves out entries that must be evicted, because their
+// eviction may have to be repeated for long. s.lock is held.
 func (s *Slots) availableSlots() int {
 	n := s.Capacity - len(s.slots)
 	now := time.Now()
@@ -100,6 +101,7 @@
 	return n
 }
 
+// evictable reports whether an entry may be evicted now to free its slot.
 func (s *Slots) evictable(e *entry, now time.Time) bool {
 	return e.state == resident && e.inFlight == 0 && !now.Before(e.notBefore)
 }
--- a/snipeslot/counts.go
+++ b/snipeslot/counts.go
@@ -25,8 +25,9 @@
 	return true
 }
 
-// LoadsInProgress returns the number of load orders in progress. Evictions are not
-// counted, since the next owner does not have to wait for them.
+// LoadsInProgress returns the number of load orders in progress. It counts neither
+// loads that wait for permission or a slot, for which no order was sent, nor
+// evictions, for which the next owner does not have to wait.
 func (s *Slots) LoadsInProgress() int {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/snipeslot/fake_test.go
+++ b/snipeslot/fake_test.go
@@ -32,7 +32,8 @@
 	faultCount
 )
 
-// fakeEngine is an engine that detects violations of the invariants.
+// fakeEngine is an engine that detects violations of the invariants: an alias
+// that is loaded twice, evicted during a call or used for another path.
 type fakeEngine struct {
 	lock        sync.Mutex
 	capacity    int
--- a/snipeslot/interleaving_test.go
+++ b/snipeslot/interleaving_test.go
@@ -107,8 +107,9 @@
 	}
 }
 
-// run runs the simulation and returns the first violation of an invariant, or
-// an adapter that cannot be loaded once all faults have ended, or "".
+// run runs the simulation and returns the first violation of an invariant; if
+// there is none, it names an adapter that cannot be loaded once all faults have
+// ended, or returns "".
 func (sm *simulation) run() string {
 	sm.engine = newFakeEngine(3, sm.checksFence)
 	sm.engine.nextFault = func() fault {
@@ -166,8 +167,8 @@
 	os.Exit(m.Run())
 }
 
-// TestInterleavings checks the invariants in 300 simulations, with an engine
-// that refuses old fencing numbers and with one that ignores them.
+// TestInterleavings checks the invariants in 300 simulations with an engine that
+// refuses old fencing numbers, and in 300 with one that ignores them.
 func TestInterleavings(t *testing.T) {
 	for kind, checks := range map[string]bool{"engine refuses old numbers": true, "engine ignores numbers": false} {
 		t.Run(kind, func(t *testing.T) {
--- a/snipeslot/orders.go
+++ b/snipeslot/orders.go
@@ -22,7 +22,7 @@
 // alias stays on the list only while an order for it may still arrive.
 const maxRetired = 256
 
-// load loads an adapter and publishes the result to its waiters. It runs in a
+// load loads an adapter and passes the result to its waiters. It runs in a
 // goroutine that outlives the caller that started it, since other callers may
 // wait for the same load. ctx is canceled if the last waiter leaves while the
 // load is still queued.
@@ -118,7 +118,8 @@
 }
 
 // overCapacity audits the engine and reports whether aliases that were unknown
-// until then leave no slot for the load that was refused.
+// until then leave no slot for the load that was refused. It reports false if
+// the audit fails.
 func (s *Slots) overCapacity(ctx context.Context) bool {
 	if s.audit(ctx) != nil {
 		return false
@@ -144,7 +145,9 @@
 	}
 }
 
-// tryEvict makes one attempt and reports whether the eviction has ended.
+// tryEvict makes one attempt to unload an alias, and reports whether the eviction
+// has ended: the engine has confirmed it, it was canceled before an order was
+// sent, or the ownership has ended.
 func (s *Slots) tryEvict(e *entry) bool {
 	ctx, cancel := context.WithTimeout(s.lifetime, s.Timeout)
 	defer cancel()
@@ -200,8 +203,8 @@
 }
 
 // aliasIdle reports whether no call of an earlier owner runs or waits under the
-// alias. If the engine does not report busy aliases, this is assumed once
-// Settle has passed since the first audit.
+// alias. It reports false if Busy fails. If Busy is nil, it reports true once
+// PreviousCallTime has passed since the first audit.
 func (s *Slots) aliasIdle(ctx context.Context, e *entry) bool {
 	if s.Busy != nil {
 		busy, err := s.Busy(ctx)
@@ -213,7 +216,7 @@
 }
 
 // commitRetired ensures that the committed list, which the next owner reads,
-// contains the alias.
+// contains the alias. It does nothing if the engine refuses late orders.
 func (s *Slots) commitRetired(ctx context.Context, e *entry) error {
 	if s.CommitRetired == nil {
 		return nil
@@ -242,7 +245,9 @@
 }
 
 // retire adds an alias to the list of retired aliases, not yet committed. If
-// the list is full, the oldest alias is removed from it.
+// the list is full, the oldest alias is removed from it: if the engine still
+// holds that alias, a later owner may then use it while a late order to unload
+// it may follow.
 func (s *Slots) retire(name string) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -258,7 +263,8 @@
 }
 
 // unretire removes an alias from the list of retired aliases: every order for
-// it has been answered, so none can arrive late. s.lock is held.
+// it has been answered, so none can arrive late. The committed list contains the
+// alias until the next commit. s.lock is held.
 func (s *Slots) unretire(name string) {
 	if _, ok := s.retired[name]; !ok {
 		return
--- a/snipeslot/record.go
+++ b/snipeslot/record.go
@@ -21,8 +21,8 @@
 	Aliases []string
 }
 
-// RetiredRecord stores the list of retired aliases of one engine in the table. Each
-// write checks the owner row in the same transaction: an owner that has lost
+// RetiredRecord stores the list of retired aliases of one engine in the table.
+// Each write checks the owner row in the same transaction: an owner that has lost
 // the engine can no longer add to the list, so the list that the next owner
 // reads after its takeover is final.
 type RetiredRecord struct {
@@ -44,7 +44,7 @@
 }
 
 // Read returns the list that the last owner committed, or nil if there is
-// none. It must be called before GiveUp, which expects the row version read
+// none. It must be called before Commit, which expects the row version read
 // here.
 func (r *RetiredRecord) Read(ctx context.Context) ([]string, error) {
 	row, err := r.Table.Get(ctx, r.key())
--- a/snipeslot/record_test.go
+++ b/snipeslot/record_test.go
@@ -10,6 +10,9 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
+// TestRecord guards against a list that is taken as committed although the table
+// was down or another owner has taken the engine, and against a write that fails
+// because its reply was lost.
 func TestRecord(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault snipestand.TableFault
--- a/snipeslot/snipeslot.go
+++ b/snipeslot/snipeslot.go
@@ -1,27 +1,31 @@
 // Package snipeslot manages the adapter slots of one engine during one
-// ownership, on the instance that owns the engine.
+// ownership, on the instance that owns the engine. A slot holds the weights of
+// one adapter; a use keeps an adapter in its slot for one call.
 //
 // All calls to an engine pass through its owner, so the in-flight counts kept
-// here are exact for this owner. The aliases that earlier owners left at the
-// engine are read before the first load (audit.go): an alias that no order of
-// theirs can still unload is adopted, all others are evicted. Orders are sent
-// in orders.go; capacity.go decides which load gets a slot and which adapter is
-// evicted for it. Invariants:
+// here are exact for this owner. An order is a request to the engine to load an
+// adapter under a name, its alias, or to unload an alias. The aliases that
+// earlier owners left at the engine are read before the first load (audit.go):
+// an alias that no order of an earlier owner can still unload is adopted, unless
+// another alias serves the same adapter and path; all others are evicted. Orders
+// are sent in orders.go; capacity.go decides which load gets a slot and which
+// adapter is evicted for it. Invariants:
 //
 //   - An adapter with a use in flight is never evicted. An alias of an earlier
 //     owner is evicted only after the engine has reported, later than the
-//     takeover, that no call runs or waits under it; at an engine that does not
-//     report this, only after Settle.
+//     takeover, that no call runs or waits under it. If Busy is nil, it is
+//     evicted only once PreviousCallTime has passed since the first audit.
 //   - Every load has an alias that was never used before.
 //   - Before the first order to unload an alias is sent, the alias is committed
-//     to the list of retired aliases that later owners read (GiveUp), unless
+//     to the list of retired aliases that later owners read (CommitRetired), unless
 //     the engine refuses late orders. A later owner never uses a retired alias,
 //     so a late order can only unload an alias that is not in use.
-//   - A slot counts as free only once the engine has confirmed that the alias
-//     is not loaded, whatever replies were lost before.
+//   - A slot counts as free only once an answer of the engine shows that the
+//     alias is not loaded, whatever replies were lost before.
 //   - One load serves all callers that wait for it.
-//   - No adapter is evicted before the weight store's permission for the load
-//     that needs the slot has been granted: until then the adapter stays in use.
+//   - No adapter is evicted to free a slot before the weight store's permission
+//     for the load that needs the slot has been granted: until then calls can
+//     use the adapter.
 package snipeslot
 
 import (
@@ -72,7 +76,8 @@
 	path    uint64
 }
 
-// entry is an adapter whose load is queued, or an alias that occupies a slot.
+// entry is an adapter whose load is queued, or an alias that occupies a slot
+// while it is loading, resident or evicting.
 type entry struct {
 	key           key
 	alias         Alias
@@ -85,6 +90,7 @@
 	// soon as possible, and the eviction cannot be canceled.
 	mustEvict bool
 	// outcomeUnknown is set if an order for the alias may still be carried out.
+	// The alias then stays retired after its eviction.
 	outcomeUnknown bool
 	// notBefore is the earliest time of the next attempt to evict.
 	notBefore time.Time
@@ -136,30 +142,34 @@
 	// names, such as that of the base model.
 	Aliases func(ctx context.Context) ([]string, error)
 	// Busy returns the aliases under which calls run or wait at the engine. It
-	// is called after the takeover, and its result lags by at most the lease
-	// margin. It is nil if the engine does not report busy aliases: aliases of
-	// earlier owners are then kept for Settle.
+	// is called after the takeover, and its result may be older than the call by
+	// at most the lease margin. While it fails, no alias of an earlier owner is
+	// evicted. If it is nil, these aliases are kept for PreviousCallTime.
 	Busy func(ctx context.Context) (map[string]bool, error)
 	// CommitRetired commits the list of retired aliases, which later owners must not
-	// use. It is nil if the engine refuses late orders.
+	// use. The list replaces the one committed before. It is nil if the engine
+	// refuses late orders.
 	CommitRetired func(ctx context.Context, aliases []string) error
-	// ReadRetired returns the list that the last owner committed. It is called only
-	// if GiveUp is set.
+	// ReadRetired returns the list that was committed last. It is called only if
+	// CommitRetired is set, and before it.
 	ReadRetired func(ctx context.Context) ([]string, error)
 	// AcquirePermission waits for the weight store's permission to load. The returned
-	// function must be called when the load has ended.
+	// function is called when the load has ended, and reports whether it failed
+	// for another reason than a lack of slots.
 	AcquirePermission func(ctx context.Context, d *snipeweight.Demand) (func(failed bool), error)
 	// Value returns the value of keeping an adapter; the adapter of lowest value
 	// is evicted first. If it is nil, the value is the score of recent uses.
 	Value func(a snipecall.Adapter) float64
-	// Timeout bounds each order and, except after a refused load, each audit.
+	// Timeout bounds each load order, each attempt to evict an alias and, except
+	// after a refused load, each audit.
 	Timeout time.Duration
-	// PreviousCallTime is how long calls of an earlier owner may last after the takeover.
+	// PreviousCallTime is how long calls of an earlier owner may last after the
+	// first audit. It is used only if Busy is nil.
 	PreviousCallTime time.Duration
 	// Log receives the events.
 	Log *snipelog.Logger
 
-	retiring sync.Mutex // serializes GiveUp
+	retiring sync.Mutex // serializes CommitRetired
 	auditing sync.Mutex // serializes audits
 
 	lock         sync.Mutex // guards the fields below; never held during an order
@@ -191,8 +201,9 @@
 }
 
 // Acquire waits until the adapter is resident, loading it if necessary, and
-// counts a use of it. The error is a *LateError, wraps ErrLoad, ErrEngine or
-// ErrClosed, or is that of ctx.
+// counts a use of it. A load that the engine refused because aliases unknown to
+// this owner filled its slots is tried again. The error is a *LateError, wraps
+// ErrLoad, ErrEngine or ErrClosed, or is that of ctx.
 func (s *Slots) Acquire(ctx context.Context, r Request) (*Use, error) {
 	start := time.Now()
 	if err := s.Open(ctx); err != nil {
@@ -309,7 +320,8 @@
 }
 
 // Forget removes the entry of a resident alias that the engine has reported
-// missing, and starts an audit in the background to find other missing aliases.
+// missing, and starts an audit in the background to find other missing aliases,
+// unless the ownership has ended.
 func (s *Slots) Forget(alias string) {
 	s.lock.Lock()
 	if e, ok := s.slots[alias]; ok && e.state == resident {
@@ -340,7 +352,7 @@
 	s.wake()
 }
 
-// Resident returns the adapters that are resident.
+// Resident returns the adapters that calls can use without a load, in no order.
 func (s *Slots) Resident() []snipecall.Adapter {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -354,6 +366,7 @@
 }
 
 // Uses calls f for each resident adapter with the number of its uses in flight.
+// f must not call a method of s.
 func (s *Slots) Uses(f func(a snipecall.Adapter, inFlight int)) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -380,7 +393,7 @@
 	}
 }
 
-// Release ends the use; an adapter without uses may be evicted.
+// Release ends the use. Once an adapter has no use in flight, it may be evicted.
 func (u *Use) Release() {
 	u.slots.lock.Lock()
 	defer u.slots.lock.Unlock()
--- a/snipeslot/snipeslot_test.go
+++ b/snipeslot/snipeslot_test.go
@@ -9,6 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
+// TestAcquireNeverEvictsInFlight guards against the eviction of an adapter with a
+// use in flight for a load that waits for its slot.
 func TestAcquireNeverEvictsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngine(1, true)
@@ -31,6 +33,8 @@
 	})
 }
 
+// TestAcquireOneLoadServesAll guards against several loads of one adapter that is
+// acquired several times at once.
 func TestAcquireOneLoadServesAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngine(2, true)
@@ -49,6 +53,8 @@
 	})
 }
 
+// TestParseAlias guards against an alias that is read back as another one, and
+// against names that are not aliases but are accepted as such.
 func TestParseAlias(t *testing.T) {
 	whole := Alias{Adapter: adapter("a"), Fence: 7, Number: 9, Path: HashPath("p")}
 	got, err := ParseAlias(whole.String())
--- a/snipeslot/takeover_test.go
+++ b/snipeslot/takeover_test.go
@@ -175,8 +175,10 @@
 	}
 }
 
-// TestTakeover checks that a new owner neither uses an alias that a late order
-// can unload nor loses slots to the aliases of the old owner.
+// TestTakeover checks that a new owner serves calls in each state that an old
+// owner may have left, without loading an alias twice, evicting one during a call
+// or serving another path, and that the engine carries out the expected number of
+// load orders.
 func TestTakeover(t *testing.T) {
 	for name, c := range takeovers {
 		for kind, checks := range map[string]bool{"engine refuses old numbers": true, "engine ignores numbers": false} {
--- a/snipeslot/wait_test.go
+++ b/snipeslot/wait_test.go
@@ -14,13 +14,13 @@
 )
 
 // slotsAwaitingPermission returns Slots whose loads wait for the result that
-// the test sends on the channel, and the number of calls of Budget.
+// the test sends on the channel, and the number of calls of AcquirePermission.
 func slotsAwaitingPermission(f *fakeEngine) (*Slots, chan error, *int) {
 	s := newFakeOwners(f).takeOver()
 	permission := make(chan error)
-	budgetCalls := 0
+	permissionCalls := 0
 	s.AcquirePermission = func(ctx context.Context, d *snipeweight.Demand) (func(bool), error) {
-		budgetCalls++
+		permissionCalls++
 		d.Expect(time.Now().Add(10 * time.Second))
 		select {
 		case err := <-permission:
@@ -29,11 +29,11 @@
 			return nil, ctx.Err()
 		}
 	}
-	return s, permission, &budgetCalls
+	return s, permission, &permissionCalls
 }
 
-// TestResidentServesWhileAnotherWaits checks that a slot is freed only after
-// the weight store has granted permission for the load that needs it.
+// TestResidentServesWhileAnotherWaits checks that a resident adapter serves calls
+// until the weight store has granted permission for the load that needs its slot.
 func TestResidentServesWhileAnotherWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngine(1, true)
@@ -50,12 +50,12 @@
 	})
 }
 
-// TestExpectedAfterDeadlineFailsAtOnce checks that a call whose deadline is before the expected
-// end of the load fails at once with the expected time, and that the queued
-// load is canceled when its last waiter has left.
+// TestExpectedAfterDeadlineFailsAtOnce checks that a call whose deadline is
+// before the expected end of the load fails at once with the expected time, and
+// that the queued load is canceled when its last waiter has left.
 func TestExpectedAfterDeadlineFailsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _, budgetCalls := slotsAwaitingPermission(newFakeEngine(1, true))
+		s, _, permissionCalls := slotsAwaitingPermission(newFakeEngine(1, true))
 		defer s.Close()
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
@@ -66,7 +66,7 @@
 		must.Eq(t, 10*time.Second, late.After)
 		must.Eq(t, 0, time.Since(start))
 		synctest.Wait()
-		must.Eq(t, 1, *budgetCalls)
+		must.Eq(t, 1, *permissionCalls)
 		must.Eq(t, 0, len(s.serving))
 	})
 }
@@ -85,8 +85,8 @@
 	})
 }
 
-// TestLowestValueIsEvicted checks that the adapter of lowest value is
-// evicted, not the least recently used one.
+// TestLowestValueIsEvicted checks that the adapter with the lowest score of uses is
+// evicted, although another adapter has not been used for longer.
 func TestLowestValueIsEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeEngine(2, true)
