--- a/snipeweight/demand.go
+++ b/snipeweight/demand.go
@@ -10,8 +10,9 @@
 // classWeights is the cost of a second of waiting of a call in each class.
 var classWeights = [snipecall.Classes]float64{16, 4, 1}
 
-// Demand counts the calls that wait for one load, on the owner of the engine.
-// It is safe for concurrent use. Exported fields are set before the first call.
+// Demand counts the calls that wait for one load, on the owner of the engine, and
+// holds the expected end of the load. It is safe for concurrent use. Exported
+// fields are set before the first call.
 type Demand struct {
 	// Engine is the engine that loads, Path the path of the weights and Team the
 	// team that owns the adapter.
@@ -21,14 +22,14 @@
 
 	lock    sync.Mutex // guards the fields below
 	waiting [snipecall.Classes]int
-	ready   time.Time // when the load is expected to end; zero when not known
-	changed chan struct{}
+	ready   time.Time     // when the load is expected to end; zero when not known
+	changed chan struct{} // closed by the next call of Expect; nil if not yet requested
 }
 
 // Join adds a waiting call.
 func (d *Demand) Join(c snipecall.Class) { d.add(c, 1) }
 
-// Leave removes a waiting call that Join added.
+// Leave removes a waiting call of the class that Join added.
 func (d *Demand) Leave(c snipecall.Class) { d.add(c, -1) }
 
 func (d *Demand) add(c snipecall.Class, n int) {
--- a/snipeweight/queue.go
+++ b/snipeweight/queue.go
@@ -8,19 +8,22 @@
 )
 
 const (
-	// agingTime is the wait after which the weight of a request has doubled, so
+	// agingTime is the wait after which the cost of a request has doubled, so
 	// that requests of low weight are not passed over forever.
 	agingTime = 10 * time.Second
 	// loadDecayTime is the time in which a team's load count falls to 1/e.
 	loadDecayTime = 30 * time.Second
-	// minTeamLoads is the load count below which a team is removed.
+	// minTeamLoads is the load count below which a team no longer counts when the
+	// even share is computed.
 	minTeamLoads = 0.05
 	// fairExcess is the multiple of its even share of the loads that a team may
-	// have before the cost of its requests is reduced. Above it, the cost falls
-	// with that multiple to the power of fairExponent.
+	// have before the cost of its requests is reduced. Above it, the cost is
+	// multiplied by fairExcess, divided by the team's multiple, to the power of
+	// fairExponent.
 	fairExcess   = 1.5
 	fairExponent = 4
-	// askTimeout is how long a request stays queued without an open poll.
+	// askTimeout is how long a request stays queued without an open poll, which is
+	// a call of Queue.Ask that has not returned.
 	askTimeout = 3 * time.Second
 	// initialBackoff is the backoff after the first failed load of a path. It
 	// doubles with each further failure, up to maxBackoff.
@@ -50,10 +53,10 @@
 	Team string
 	// Weight is the cost of a second of waiting.
 	Weight float64
-	// Hold is the time after which a permission expires if it is not renewed.
+	// Hold is the time after which the permission expires if it is not renewed.
 	Hold time.Duration
-	// Renew is set if the load runs under an earlier permission, which another
-	// holder may have granted.
+	// Renew is set if the load already runs under a permission, which the queue of
+	// another instance may have granted.
 	Renew bool
 }
 
@@ -62,13 +65,14 @@
 	// Granted reports that the load is permitted.
 	Granted bool
 	// Wait is the expected time until the load ends or, if Backoff is set, the
-	// time until the path may be requested again.
+	// time until the path may be requested again. It is zero if Granted is set.
 	Wait time.Duration
 	// Backoff reports that earlier loads of the path failed. The request is not
 	// queued.
 	Backoff bool
 }
 
+// queuedAsk is a request that waits for permission.
 type queuedAsk struct {
 	ask        Ask
 	since      time.Time
@@ -76,18 +80,20 @@
 	granted    chan struct{} // closed when permission is granted; nil if no poll is open
 }
 
+// failedPath holds the failures of a path since its last load that did not fail.
 type failedPath struct {
 	count     int
 	last      time.Time
 	notBefore time.Time
 }
 
-// Queue is the queue of loads from the weight store, on the instance that holds
-// it. Exported fields are set before the first call.
+// Queue is the queue of requests to load from the weight store. Each instance has
+// one, and uses it while other instances or itself regard it as the holder.
+// Exported fields are set before the first call. Queue is safe for concurrent use.
 type Queue struct {
 	// Limits returns how many loads may start per second and how many may run at
 	// once: the weight store's budget or, during a network partition, the share
-	// of this side.
+	// of this side. With a rate of 0, no load starts; a number below 1 counts as 1.
 	Limits func() (perSecond float64, concurrent int)
 
 	lock       sync.Mutex // guards the fields below
@@ -105,8 +111,10 @@
 
 // Ask is one poll of a request: it queues the request, if necessary, and waits
 // for permission until ctx ends. If permission is not granted by then, the
-// answer contains the expected wait. A renewal is granted at once, and a path
-// in backoff is refused at once.
+// answer contains the expected wait; it is empty if the request was removed from
+// the queue in the meantime or a newer poll of it is open. A renewal is granted
+// at once, whether or not this queue granted the permission. A request for a path
+// in backoff is refused at once and removed from the queue.
 func (q *Queue) Ask(ctx context.Context, a Ask) Answer {
 	q.lock.Lock()
 	now := time.Now()
@@ -147,7 +155,8 @@
 }
 
 // endPoll returns the answer to a poll whose context has ended. Permission may
-// have been granted in the meantime.
+// have been granted in the meantime. The answer is empty if the request is no
+// longer queued or a newer poll of it is open.
 func (q *Queue) endPoll(id ID, granted <-chan struct{}) Answer {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -174,7 +183,8 @@
 	}
 }
 
-// Leave removes a request from the queue.
+// Leave removes a request from the queue. It does not end a permission, and the
+// open poll of the request lasts until its context ends.
 func (q *Queue) Leave(id ID) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -182,7 +192,8 @@
 }
 
 // Done ends a permission. A failed load starts or extends the backoff of its
-// path, a successful one clears it.
+// path; otherwise the failures of the path are forgotten. If this queue granted
+// the permission and the load did not fail, the mean load time is updated.
 func (q *Queue) Done(id ID, path string, failed bool) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -206,6 +217,9 @@
 	delete(q.started, id)
 }
 
+// recordFailure counts a failure of a path and sets its backoff. It deletes the
+// paths whose last failure is older than failureTTL and, at maxFailedPaths, one
+// arbitrary path. q.lock is held.
 func (q *Queue) recordFailure(path string, now time.Time) {
 	for p, f := range q.failures {
 		if len(q.failures) < maxFailedPaths && now.Sub(f.last) < failureTTL {
@@ -219,7 +233,9 @@
 }
 
 // schedule ends expired permissions, grants as many new ones as the limits
-// allow and sets the timer for its next run. q.lock is held.
+// allow and sets the timer for its next run. It sets no timer if the limits allow
+// another load but no request has an open poll: the next poll runs schedule.
+// q.lock is held.
 func (q *Queue) schedule(now time.Time) {
 	perSecond, concurrent := q.Limits()
 	for id, end := range q.running {
@@ -243,8 +259,10 @@
 }
 
 // resetTimer sets the timer to run schedule once the rate allows the next load.
-// If the rate allows it now, the timer runs after askTimeout, when a permission
-// may have expired. Without waiting requests, no timer is set. q.lock is held.
+// If only the limit on concurrent loads delays the next load, or no load may start
+// because the rate is 0, the timer fires after askTimeout, by which time a
+// permission that was not renewed may have expired. Without waiting requests, the
+// timer is not set. q.lock is held.
 func (q *Queue) resetTimer(now time.Time) {
 	if len(q.waiting) == 0 {
 		return
@@ -298,8 +316,9 @@
 }
 
 // cost returns the cost of a second of waiting. It grows with the age of the
-// request, and is reduced if the team's part of the recent loads exceeds
-// fairExcess times its even share. q.lock is held.
+// request, and is reduced if the team's share of the recent loads exceeds
+// fairExcess times its even share, which is one divided by the number of teams.
+// q.lock is held.
 func (q *Queue) cost(w *queuedAsk, now time.Time) float64 {
 	aged := w.ask.Weight * (1 + float64(now.Sub(w.since))/float64(agingTime))
 	excess := q.teamLoads[w.ask.Team] * float64(len(q.teamLoads)) / max(q.totalLoads, 1)
@@ -327,8 +346,10 @@
 }
 
 // expectedWait returns the expected time until the request's load ends: one
-// interval for each request ahead of it and for itself, and the load itself.
-// The interval follows from the limits and the mean load time. q.lock is held.
+// interval for each request ahead of it and for itself, and the mean load time
+// for the load. The interval between two starts is set by the rate or by the
+// concurrent loads, whichever is slower. While the rate is 0, the expected wait
+// is askTimeout. q.lock is held.
 func (q *Queue) expectedWait(w *queuedAsk) time.Duration {
 	perSecond, concurrent := q.Limits()
 	now := time.Now()
--- a/snipeweight/queue_test.go
+++ b/snipeweight/queue_test.go
@@ -19,14 +19,15 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// testLoadTime is the time that a load of the tests takes.
+// testLoadTime is how long a load takes in the tests.
 const testLoadTime = 600 * time.Millisecond
 
 func newQueue(perSecond float64, concurrent int) *Queue {
 	return &Queue{Limits: func() (float64, int) { return perSecond, concurrent }}
 }
 
-// store records the order of loads and the most that ran at once.
+// store records the paths of the loads in the order of their starts, and the highest
+// number of loads that ran at once.
 type store struct {
 	lock       sync.Mutex
 	running    int
@@ -60,7 +61,7 @@
 }
 
 // TestBudgetAcrossInstances checks that the loads of many instances together
-// keep within the rate and the number of loads at once.
+// keep within the rate and the number of concurrent loads.
 func TestBudgetAcrossInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(4.5, 3)
@@ -141,7 +142,8 @@
 }
 
 // TestFailedLoadsBackOff checks that requests for a path whose load failed are
-// refused at once while other paths are loaded, and that the backoff doubles.
+// refused with the time of the backoff while other paths are loaded, and that the
+// backoff doubles with the second failure.
 func TestFailedLoadsBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPermits("i1", Local("i0", newQueue(1000, 1)))
@@ -160,8 +162,8 @@
 	})
 }
 
-// TestHolderStopsAnswering checks that a requester uses the next holder when the current
-// one stops answering in the middle of a wait.
+// TestHolderStopsAnswering checks that a requester uses the next holder when the
+// polls of the current one begin to fail in the middle of a wait.
 func TestHolderStopsAnswering(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stopped atomic.Bool
@@ -226,6 +228,9 @@
 	})
 }
 
+// TestRemote checks that the calls of a Holder for another instance reach its Queue:
+// permission, a repeated poll, withdrawal, the end of a failed load, and a refused
+// argument.
 func TestRemote(t *testing.T) {
 	q := newQueue(1000, 1)
 	server := httptest.NewServer(snipeproto.NewWeightServer(&Server{Queue: q}))
@@ -248,8 +253,9 @@
 	must.Error(t, err)
 }
 
-// TestLostGrant checks that a permission whose answer is lost, or whose end is
-// not reported, does not stop all other loads for the time of the longest load.
+// TestLostGrant checks that a permission whose answer is lost, or whose end is not
+// reported, delays other loads by less than ten seconds instead of the time of the
+// longest load.
 func TestLostGrant(t *testing.T) {
 	tests := map[string]func(h *Holder){
 		"reply lost": func(h *Holder) {
--- a/snipeweight/remote.go
+++ b/snipeweight/remote.go
@@ -18,7 +18,8 @@
 	maxHold = time.Minute
 )
 
-// Remote returns the Holder for the queue of another instance.
+// Remote returns the Holder for the queue of another instance, with the given
+// name, at its address.
 func Remote(name string, address netip.AddrPort, client snipeproto.HTTPClient) Holder {
 	service := snipeproto.NewWeightProtobufClient("http://"+address.String(), client)
 	return Holder{
@@ -46,9 +47,10 @@
 	return errors.Wrap(err, operation)
 }
 
-// askRemote sends the length of the poll to the holder, which ends the poll,
-// and waits answerSlack longer for the answer. Ending the call with ctx instead
-// could discard an answer that grants permission.
+// askRemote sends the length of the poll, the time left until the deadline of ctx,
+// to the holder, which ends the poll, and waits answerSlack longer for the answer.
+// The end of ctx does not end the call, because an answer that grants permission
+// could then be lost.
 func askRemote(ctx context.Context, service snipeproto.Weight, a Ask) (Answer, error) {
 	length := poll
 	if end, ok := ctx.Deadline(); ok {
@@ -75,7 +77,8 @@
 	Queue *Queue
 }
 
-// Ask implements snipeproto.Weight.
+// Ask implements snipeproto.Weight: it makes one poll at the queue. It fails if the
+// requester has no name, or a duration or the weight is out of range.
 func (s *Server) Ask(ctx context.Context, r *snipeproto.WeightAskRequest) (*snipeproto.WeightAskResponse, error) {
 	length := time.Duration(r.GetPollMilliseconds()) * time.Millisecond
 	hold := time.Duration(r.GetHoldMilliseconds()) * time.Millisecond
@@ -101,13 +104,13 @@
 	}, nil
 }
 
-// Leave implements snipeproto.Weight.
+// Leave implements snipeproto.Weight: it removes a request from the queue.
 func (s *Server) Leave(_ context.Context, r *snipeproto.WeightLeaveRequest) (*snipeproto.WeightLeaveResponse, error) {
 	s.Queue.Leave(ID{Asker: r.GetAsker(), Number: r.GetNumber()})
 	return &snipeproto.WeightLeaveResponse{}, nil
 }
 
-// Done implements snipeproto.Weight.
+// Done implements snipeproto.Weight: it ends a permission.
 func (s *Server) Done(_ context.Context, r *snipeproto.WeightDoneRequest) (*snipeproto.WeightDoneResponse, error) {
 	s.Queue.Done(ID{Asker: r.GetAsker(), Number: r.GetNumber()}, r.GetPath(), r.GetFailed())
 	return &snipeproto.WeightDoneResponse{}, nil
--- a/snipeweight/snipeweight.go
+++ b/snipeweight/snipeweight.go
@@ -2,12 +2,13 @@
 // store's budget: a rate at which loads may start and a number of loads that
 // may run at once.
 //
-// One instance holds the queue of loads (Queue). Each instance finds the holder
-// by rendezvous hashing over the live instances, without consensus. Before each
-// load, the engine's owner requests permission from the holder (Permits), with
-// the summed cost of the calls that wait for the load. It repeats the request
-// every second with the current cost; the queue removes a request that is not
-// repeated. The queue is soft state:
+// One instance, the holder, holds the queue of loads (Queue). Each instance finds
+// the holder by rendezvous hashing over the live instances, without consensus.
+// Before each load, the engine's owner requests permission from the holder
+// (Permits), with its weight: the summed cost of the calls that wait for the load.
+// The request consists of polls. A poll waits at the queue for up to a second, and
+// states the current weight; the queue removes a request whose polls cease. The
+// queue is soft state:
 //
 //   - Two holders at the same time can exceed the budget and slow the weight
 //     store down, but this is safe: each keeps within the limits it computes.
@@ -16,9 +17,10 @@
 //   - When the holder does not answer, the requester uses the next instance of
 //     the ranking, where its request is queued as a new one.
 //   - While a load runs, its permission is renewed every second at the current
-//     holder. A permission whose answer or end was lost expires after three
-//     seconds: if it lasted for the longest load, the loss of the connection to
-//     one instance would stop the loads of all instances.
+//     holder. A permission whose answer or end was lost therefore expires after
+//     three seconds. If a permission instead lasted for the longest load without
+//     renewal, the loss of the connection to one instance would stop the loads of
+//     all instances for that time.
 //   - A path whose load failed is not loaded again before a backoff, which
 //     doubles with each failure. Requests for the path are answered at once and
 //     do not delay others.
@@ -65,12 +67,14 @@
 	return "loads of the adapter failed; next try in " + e.After.Round(time.Millisecond).String()
 }
 
-// Holder gives access to the queue of an instance that may hold it.
+// Holder is the client of the queue of one instance. The queue of any live
+// instance may be asked; the first instance in rank should hold the queue.
 type Holder struct {
 	// Name is the instance's name.
 	Name string
 	// Ask, Leave and Done call the methods of the instance's Queue, over the
-	// network for another instance.
+	// network for another instance. An error means that the instance did not
+	// answer or refused the arguments.
 	Ask   func(ctx context.Context, a Ask) (Answer, error)
 	Leave func(ctx context.Context, id ID) error
 	Done  func(ctx context.Context, id ID, path string, failed bool) error
@@ -95,19 +99,21 @@
 	// Self identifies the instance as a requester. It is unique to each start of
 	// the process.
 	Self string
-	// Holders returns the live instances in the order of the ranking: the first
-	// one should hold the queue.
+	// Holders returns the live instances in the order of their rank as the holder:
+	// the first one should hold the queue.
 	Holders func() []Holder
 
 	number    atomic.Uint64
-	lock      sync.Mutex // guards skipUntil
-	skipUntil map[string]time.Time
+	lock      sync.Mutex           // guards skipUntil
+	skipUntil map[string]time.Time // by name, for holders that did not answer
 }
 
 // Acquire waits for permission for the load that d waits for, and passes the
-// expected end of the load to d.Expect after each poll. The returned function
-// reports the end of the load and must be called once. The error is a
-// *BackoffError or that of ctx.
+// expected end of the load to d.Expect after each poll that was answered without
+// permission. A holder that does not answer is skipped for holderSkipTime. The
+// returned function ends the renewal of the permission, reports the end of the
+// load in the background, and must be called once. The error is a *BackoffError
+// or that of ctx.
 func (p *Permits) Acquire(ctx context.Context, d *Demand) (func(failed bool), error) {
 	id := ID{Asker: p.Self, Number: p.number.Add(1)}
 	length := firstPoll
@@ -142,7 +148,7 @@
 	}
 }
 
-// ask makes one poll at a holder.
+// ask makes one poll of the given length at a holder.
 func (p *Permits) ask(ctx context.Context, h Holder, a Ask, length time.Duration) (Answer, error) {
 	bounded, cancel := context.WithTimeout(ctx, length+answerSlack)
 	defer cancel()
@@ -155,7 +161,7 @@
 	return answer, nil
 }
 
-// holder returns the first holder that is not skipped.
+// holder returns the first holder in rank that is not skipped, or false if all are.
 func (p *Permits) holder() (Holder, bool) {
 	all := p.Holders()
 	p.lock.Lock()
@@ -169,6 +175,7 @@
 	return Holder{}, false
 }
 
+// skip skips a holder for holderSkipTime.
 func (p *Permits) skip(name string) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -193,8 +200,9 @@
 	}()
 }
 
-// startRenewal renews a permission in the background until the returned
-// function is called, which reports the end of the load to the holder.
+// startRenewal renews a permission in the background, at the first holder that is
+// not skipped, until the returned function is called. This function reports the
+// end of the load, in the background, to the holder of the last renewal.
 func (p *Permits) startRenewal(h Holder, a Ask) func(failed bool) {
 	a.Renew = true
 	ctx, cancel := context.WithCancel(context.Background())
@@ -222,6 +230,7 @@
 	}
 }
 
+// reportDone reports the end of a load to a holder, in the background.
 func (p *Permits) reportDone(h Holder, id ID, path string, failed bool) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), answerSlack)
