--- a/snipedispatch/engine.go
+++ b/snipedispatch/engine.go
@@ -14,11 +14,13 @@
 	"snipepitch.example/snipepitch/snipeupstream"
 )
 
-// watchInterval is the time between two checks of the ownerships.
+// watchInterval is the time between two checks of the ownerships, and bounds how
+// long Watch waits for a takeover.
 const watchInterval = 500 * time.Millisecond
 
-// earlierAliasLifetime is how long aliases of earlier owners are kept at an engine
-// that does not report which of them have calls.
+// earlierAliasLifetime is Slots.PreviousCallTime. It has no effect at present, since
+// Slots.Busy is always set: at an engine that does not report which aliases have
+// calls, aliases of earlier owners are not evicted.
 const earlierAliasLifetime = 10 * time.Minute
 
 // lostStateLifetime is how long the state of a lost ownership is kept. A lease that
@@ -26,7 +28,7 @@
 // takes over.
 const lostStateLifetime = time.Minute
 
-// errNotHeld is the reason why an order was not sent.
+// errNotHeld means that an order was not sent because the ownership is not held.
 var errNotHeld = errors.New("ownership does not stand")
 
 // engine is the state of one engine during one ownership.
@@ -40,8 +42,9 @@
 	settings snipetree.Engine
 }
 
-// Watch takes over engines as soon as they are owned, so that no caller waits for
-// the takeover, and closes the state of lost ownerships. It runs until ctx ends.
+// Watch takes over engines within watchInterval after they become owned, so that
+// callers need not wait for the takeover, and closes the state of an ownership once
+// it has been lost for lostStateLifetime. It runs until ctx ends.
 func (d *Dispatcher) Watch(ctx context.Context) error {
 	return snipetime.Every(ctx, watchInterval, d.watch)
 }
@@ -64,7 +67,7 @@
 	for name := range tree.Platform.Engines {
 		e, err := d.engine(name)
 		if err != nil {
-			continue // in general, another instance owns the engine
+			continue // not owned here, or not usable yet; tried again at the next check
 		}
 		// A failed takeover is tried again at the next check or call.
 		go func() {
@@ -78,8 +81,8 @@
 // applySettings applies the current settings to an engine and reports whether its
 // state can be kept. A change of the address, or of whether the engine checks
 // fencing numbers, requires a new state, which would not include the calls and loads
-// in progress. These end first, and until then new calls are refused with an error.
-// Dispatcher.lock is held.
+// in progress. The state is therefore replaced only once no call or load is in
+// progress, and until then the error refuses new calls. Dispatcher.lock is held.
 func (e *engine) applySettings(current snipetree.Engine) (bool, error) {
 	if e.settings.Address == current.Address && e.settings.ChecksFence == current.ChecksFence {
 		e.slots.Resize(current.Slots)
@@ -93,6 +96,8 @@
 	return false, snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, reason).After(engineRetry)
 }
 
+// newEngine returns the state of an engine for a new ownership. It sends nothing to
+// the engine.
 func (d *Dispatcher) newEngine(name string, fence uint64, settings snipetree.Engine) *engine {
 	client := &snipeupstream.Engine{
 		Name: name, Address: settings.Address, Pooled: d.Client, Fresh: d.Fresh,
@@ -118,7 +123,8 @@
 }
 
 // order returns a function that sends an order only while the ownership is held,
-// and converts the errors of snipeupstream to those of snipeslot.
+// and fails with errNotHeld otherwise. It converts the errors of snipeupstream to
+// those of snipeslot.
 func (d *Dispatcher) order(
 	name string, fence uint64, send func(ctx context.Context, alias, path string) error,
 ) func(ctx context.Context, alias, path string) error {
@@ -154,8 +160,9 @@
 	}
 }
 
-// enter counts a call until leave is called. Calls are counted before the ownership
-// is checked, so that Busy includes every call that has passed the check.
+// enter counts a call at an engine until leave is called. Calls are counted before
+// the ownership is checked, so that Busy includes every call that has passed the
+// check.
 func (d *Dispatcher) enter(name string) (leave func()) {
 	d.addCalls(name, 1)
 	return func() { d.addCalls(name, -1) }
@@ -172,7 +179,8 @@
 	}
 }
 
-// Busy reports whether a call or a load is in progress at an engine.
+// Busy reports whether a call or a load of this instance is in progress at an
+// engine. A call that waits for its adapter counts as in progress.
 func (d *Dispatcher) Busy(name string) bool {
 	d.lock.Lock()
 	defer d.lock.Unlock()
@@ -181,7 +189,7 @@
 }
 
 // Uses calls f for each adapter resident at an owned engine, with the number of its
-// calls in flight.
+// calls in flight. It does nothing if this instance has no state of the engine.
 func (d *Dispatcher) Uses(name string, f func(a snipecall.Adapter, inFlight int)) {
 	d.lock.Lock()
 	e, ok := d.engines[name]
--- a/snipedispatch/ownership_test.go
+++ b/snipedispatch/ownership_test.go
@@ -40,7 +40,8 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 }
 
-// declare replaces the settings of the engine.
+// declare puts settings in force that give the engine an address and a number of
+// slots.
 func (o *ownerFixture) declare(address netip.AddrPort, slots int) {
 	o.tree.Store(snipetree.NewTree(1, &snipetree.Platform{Engines: map[string]snipetree.Engine{
 		"e1": {Address: address, Base: "base-1", Slots: slots, Batch: 2, ChecksFence: true},
--- a/snipedispatch/snipedispatch.go
+++ b/snipedispatch/snipedispatch.go
@@ -41,23 +41,27 @@
 
 // Dispatcher executes calls. Exported fields are set before the first call.
 type Dispatcher struct {
-	// Tree returns the settings in force.
+	// Tree returns the settings in force. Only Watch accepts nil, which means that
+	// no settings are known yet.
 	Tree func() *snipetree.Tree
-	// Fence returns the fencing number of an engine, and whether this instance
-	// owns the engine.
+	// Fence returns the fencing number of this instance's ownership of an engine,
+	// and whether this instance owns the engine. Each ownership of an engine has a
+	// higher number than the ones before it.
 	Fence func(engine string) (uint64, bool)
 	// Holds reports whether the ownership with the fencing number is still held.
 	Holds func(engine string, fence uint64) bool
-	// Record returns the record of the retired aliases of an engine that ignores
-	// fencing numbers.
+	// Record returns the record of the retired aliases, which no later owner may
+	// use, of an engine that ignores fencing numbers.
 	Record func(engine string, fence uint64) *snipeslot.RetiredRecord
 	// Budget waits for the weight store's permission to load. The returned
-	// function ends the load.
+	// function is called when the load has ended, and reports whether it failed.
 	Budget func(ctx context.Context, d *snipeweight.Demand) (func(failed bool), error)
-	// Client and Fresh send requests; see snipeupstream.Service.
+	// Client sends the calls that may be repeated, over reused connections. Fresh
+	// sends all other requests, each over a new connection.
 	Client, Fresh *http.Client
 	// Progress is the longest time between two chunks, and FirstChunk the longest
-	// time before the first one. LoadTimeout bounds a load.
+	// time before the first one. LoadTimeout is Slots.Timeout, which bounds loads,
+	// evictions and audits.
 	Progress, FirstChunk, LoadTimeout time.Duration
 	// Gate is called before each call at an upstream, with the alias that the call
 	// runs under (empty for services). The returned function is called with the
@@ -69,12 +73,14 @@
 
 	loads atomic.Uint64 // numbers the loads of all ownerships
 
-	lock    sync.Mutex // guards the fields below
-	engines map[string]*engine
-	calls   map[string]int // calls in flight by engine, counted before the ownership is checked
+	lock    sync.Mutex         // guards the fields below
+	engines map[string]*engine // the state of owned engines, and for a time of lost ones
+	calls   map[string]int     // calls in flight by engine, counted before the ownership is checked
 }
 
-// Run executes c at its upstream and passes the chunks of the answer to sink.
+// Run executes c at its upstream and passes the chunks of the answer to sink. A call
+// at an engine fails with ErrNotOwner if this instance does not own the engine, and
+// may wait until its adapter is loaded.
 func (d *Dispatcher) Run(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	if c.Service != "" {
 		return d.service(ctx, c, sink)
@@ -126,8 +132,9 @@
 	}
 	err = call()
 	if errors.Is(err, snipeupstream.ErrNotResident) {
-		// The engine refused the call without running it. The gate would treat
-		// the plain error as an answer that the caller's side has ended.
+		// The engine refused the call without running it. ErrNotResident is not a
+		// CallError, and the gate takes any other error to mean that the caller has
+		// abandoned a call that may still run.
 		done(snipeerror.New(snipeerror.ErrLoadFailed, snipeerror.NotRun, "not resident"))
 		return err
 	}
@@ -137,7 +144,8 @@
 
 // verifiedSink returns a sink that passes chunks on to sink. Before the last chunk
 // of a call whose ownership has ended, it checks that no successor has evicted the
-// alias.
+// alias. If the engine does not list the alias, or the list cannot be read, the
+// sink fails with ErrIncomplete instead.
 func (d *Dispatcher) verifiedSink(ctx context.Context, e *engine, alias string, sink snipecall.Sink) snipecall.Sink {
 	return func(k snipecall.Chunk) error {
 		if !k.Last || d.Holds(e.client.Name, e.fence) {
@@ -178,8 +186,10 @@
 	return snipeerror.New(snipeerror.ErrLoadFailed, snipeerror.NotRun, err.Error())
 }
 
-// engine returns the state of an owned engine in the current ownership. It creates
-// the state for a new ownership, and after a change of settings that requires it.
+// engine returns the state of an owned engine in the current ownership. For a new
+// ownership, and after a change of settings that requires it, it creates the state
+// and closes the previous one. It fails if the engine is not owned or not in the
+// settings, or if calls at its previous address have not ended.
 func (d *Dispatcher) engine(name string) (*engine, error) {
 	fence, ok := d.Fence(name)
 	if !ok {
@@ -208,7 +218,8 @@
 }
 
 // Resident returns the adapters resident at an owned engine and the number of calls
-// in flight there.
+// of this instance in flight there, including those that wait for their adapter. The
+// adapters are nil if this instance has no state of the engine.
 func (d *Dispatcher) Resident(name string) ([]snipecall.Adapter, int) {
 	d.lock.Lock()
 	e, ok := d.engines[name]
