--- a/snipehealth/gray_test.go
+++ b/snipehealth/gray_test.go
@@ -31,13 +31,13 @@
 // grayResult holds the results of a run.
 type grayResult struct {
 	slow     int           // calls sent to the gray engine while it was slow
-	p95, p99 time.Duration // duration of the calls started in that time
+	p95, p99 time.Duration // duration of the calls started while the gray engine was slow
 	out      time.Duration // from grayStart until the gray engine was out
 	restored time.Duration // from grayEnd until the gray engine was up
 }
 
-// gray runs the load. The tracker affects the choice of the engines only if tracked
-// is set.
+// gray simulates grayLength of calls at the engines. The tracker observes all calls, and
+// affects the choice of their engines only if tracked is set.
 func gray(t *testing.T, tracked bool) grayResult {
 	var r grayResult
 	synctest.Test(t, func(t *testing.T) {
@@ -91,7 +91,8 @@
 	return r
 }
 
-// follow steps the tracker and records when the state of the gray engine changes.
+// follow calls Step with probes that pass, and records when the gray engine is first out
+// and when it is up again.
 func (r *grayResult) follow(ctx context.Context, tracker *Tracker, start time.Time) {
 	for ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
@@ -107,9 +108,10 @@
 	}
 }
 
-// TestMeasureGray compares calls with and without the tracker. It guards against a
-// slow engine that is not taken out within 5 s, or does not get its full share again
-// after it has recovered.
+// TestMeasureGray compares calls with and without the tracker. With it, the gray engine
+// must be out within 5 s, get less than a quarter of the calls that it gets without it,
+// and get its full share again after it has recovered. The 95th percentile of the
+// durations must be less than a quarter of that without the tracker.
 func TestMeasureGray(t *testing.T) {
 	without, with := gray(t, false), gray(t, true)
 	t.Log("Table: one of 12 engines takes 15 times as long for each chunk, for 60 s")
@@ -124,7 +126,7 @@
 	must.Between(t, 0, with.restored, maxProbeDelay+rampTime+time.Second)
 }
 
-// BenchmarkMark measures the decision for one call among 150 engines of a base model.
+// BenchmarkMark measures MarkUnusable for one call among 150 engines, all up.
 func BenchmarkMark(b *testing.B) {
 	tracker := newTracker()
 	all := candidates(150)
--- a/snipehealth/mark.go
+++ b/snipehealth/mark.go
@@ -6,8 +6,11 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// MarkUnusable marks the candidates that must not get the call as unusable. key is the hash
-// of the call, and decides which calls go to an upstream in the state Ramp.
+// MarkUnusable sets Usable to false for the candidates that must not get the call: those
+// that are out or in a backoff, and those in the state Ramp whose share does not include
+// the call. key is the hash of the call, and decides which calls the share includes. If
+// less than two thirds of the candidates would remain usable, those that are out or in the
+// state Ramp as slow or failing stay usable.
 func (t *Tracker) MarkUnusable(key uint64, candidates []sniperoute.Candidate) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -44,8 +47,8 @@
 	return len(t.restricted) > 0
 }
 
-// accepts reports whether the call with the given key may go to a candidate, by
-// the candidate's share. The lock is held.
+// accepts reports whether the call with the given key belongs to the candidate's share
+// of the calls. The lock is held.
 func (t *Tracker) accepts(key uint64, c *sniperoute.Candidate, now time.Time) bool {
 	u := t.restricted[c.Name]
 	if u == nil {
@@ -67,7 +70,7 @@
 
 // LeastLoaded returns the index of the less loaded of the two usable candidates that rank
 // first for the key, or -1 if none is usable. The load counts only calls of this
-// instance.
+// instance, and each call counts by the recent gap of its upstream.
 func (t *Tracker) LeastLoaded(key uint64, candidates []sniperoute.Candidate) int {
 	first := sniperoute.Pick(key, candidates)
 	if first < 0 {
--- a/snipehealth/snipehealth.go
+++ b/snipehealth/snipehealth.go
@@ -6,16 +6,22 @@
 // separately. The owner of an engine announces the state that it has detected,
 // because in a deployment of the intended size another instance sends too few
 // calls to one engine to detect anything. A Tracker combines the states that its
-// instance has detected with those announced by others, and Mark applies them to
-// the choice of an upstream.
+// instance has detected with those announced by others, and MarkUnusable applies
+// them to the choice of an upstream.
+//
+// The speed of an upstream is measured by its gap, the average time between two
+// chunks of an answer. The gaps of upstreams of one group can be compared: engines
+// of one base model, or upstreams of one service.
 //
 // Invariants:
 //
 //   - An upstream that is unreachable or leaving gets no new calls.
 //   - Upstreams that are only slow or failing are excluded only while two thirds
 //     of the candidates remain usable: excluding more would overload the rest.
-//   - An upstream that is out must pass a probe first. Then its share of the calls
-//     grows over rampTime. If it fails in that time, it stays out twice as long.
+//   - An upstream that this instance has detected as out gets calls again only after
+//     it has passed a probe. Then its share of the calls grows over rampTime. If it
+//     fails in that time, the time before its next probe doubles. A state announced
+//     by another instance ends when it expires.
 package snipehealth
 
 import (
@@ -49,15 +55,17 @@
 
 // The reasons.
 const (
+	// None: the upstream has not been out, or has recovered.
 	None Reason = iota
-	// Unreachable: the upstream accepts no connections.
+	// Unreachable: a call did not reach the upstream, or a probe failed.
 	Unreachable
-	// Leaving: the upstream has signaled that it is leaving.
+	// Leaving: the upstream has signaled that it is leaving. A Tracker never detects
+	// this by itself, but accepts it in an announcement.
 	Leaving
 	// Failing: many answers of the upstream fail or are incomplete.
 	Failing
-	// Slow: the upstream sends chunks much more slowly than before, or than the
-	// other upstreams of its group.
+	// Slow: the upstream sends chunks much more slowly than before or than the
+	// other upstreams of its group, or with a gap above slowGap.
 	Slow
 	reasons
 )
@@ -90,14 +98,14 @@
 	minRampCalls = 2
 	// failingRate is the share of failures above which an upstream is failing.
 	failingRate = 0.5
-	// slowFactor is how many times the reference the time between chunks must
-	// exceed to be slow, and slowGap the time that is slow in any case.
+	// slowFactor is how many times the reference the gap must exceed to be slow, and
+	// slowGap the gap above which an upstream is slow whatever the reference is.
 	slowFactor = 4
 	slowGap    = time.Second
-	// fastGap is a time between chunks that is never slow.
+	// fastGap is the gap up to which an upstream is never slow.
 	fastGap = 20 * time.Millisecond
-	// keepNumerator and keepDenominator are the share of the candidates that must
-	// remain usable.
+	// keepNumerator and keepDenominator are the share of the candidates below which
+	// slow and failing ones are not excluded.
 	keepNumerator, keepDenominator = 2, 3
 )
 
@@ -105,16 +113,17 @@
 // received it from others. The exported fields must be set before the first call.
 // Tracker is safe for concurrent use.
 type Tracker struct {
-	// Announce sends the state of an upstream to all instances; nil means that
-	// states are not announced.
+	// Announce is called with each change of a state that follows from a call or a
+	// probe of this instance, to send it to all instances; nil means that states are
+	// not announced. It is not called when a ramp ends or an announced state expires.
 	Announce func(upstream string, s State, r Reason)
-	// Log records the changes of states.
+	// Log records the same changes.
 	Log *snipelog.Logger
 
 	lock      sync.Mutex // guards the fields below; not held during Announce
 	upstreams map[string]*upstream
 	// restricted holds the upstreams that do not get all calls. While it is empty,
-	// Mark returns without a look-up for each candidate.
+	// MarkUnusable returns without a look-up for each candidate.
 	restricted map[string]*upstream
 }
 
@@ -146,11 +155,12 @@
 	// Reached reports whether the upstream accepted the call, Failed whether its
 	// answer failed or was incomplete.
 	Reached, Failed bool
-	// Backoff is how long the upstream must get no calls from this instance.
-	// If it is positive, Reached, Failed and Gap are ignored.
+	// Backoff is how long the upstream must get no calls from this instance. It does
+	// not shorten an earlier backoff. If it is positive, Reached, Failed and Gap are
+	// ignored.
 	Backoff time.Duration
-	// Gap is the average time between two chunks, or the response time if the
-	// answer is a single chunk; zero if unknown.
+	// Gap is the average time between two chunks, or the response time of a plain
+	// service that answers with a single chunk; zero if unknown.
 	Gap time.Duration
 	// Group names the upstreams with which this one can be compared.
 	Group string
@@ -164,16 +174,16 @@
 	u := t.upstream(name, now)
 	oldState, oldReason := u.state, u.reason
 	u.group = o.Group
-	u.observe(o, t.peers(name, o.Group), now)
+	u.observe(o, t.groupGap(name, o.Group), now)
 	newState, newReason := u.state, u.reason
 	t.updateRestricted(name, u, now)
 	t.lock.Unlock()
 	t.report(name, oldState, newState, oldReason, newReason)
 }
 
-// observe updates the upstream after one call. peers is the mean gap, in seconds,
-// of other upstreams of its group, or 0 if unknown.
-func (u *upstream) observe(o Observation, peers float64, now time.Time) {
+// observe updates the upstream after one call. groupGap is the mean gap, in seconds,
+// of the other upstreams of its group, or 0 if unknown.
+func (u *upstream) observe(o Observation, groupGap float64, now time.Time) {
 	u.calls++
 	switch {
 	case o.Backoff > 0:
@@ -201,7 +211,7 @@
 	case u.state == Out || u.calls < required:
 	case u.failures > failingRate:
 		u.takeOut(Failing, now)
-	case u.slow(peers):
+	case u.slow(groupGap):
 		u.takeOut(Slow, now)
 	}
 }
@@ -218,18 +228,20 @@
 }
 
 // slow reports whether the recent gap exceeds slowGap, or slowFactor times the
-// reference, which is the lower of the baseline and peers, or the baseline if peers
-// is 0. A gap up to fastGap is never slow.
-func (u *upstream) slow(peers float64) bool {
+// reference, which is the lower of the baseline and groupGap, or the baseline if
+// groupGap is 0. A gap up to fastGap is never slow.
+func (u *upstream) slow(groupGap float64) bool {
 	reference := u.baseline
-	if peers > 0 {
-		reference = min(reference, peers)
+	if groupGap > 0 {
+		reference = min(reference, groupGap)
 	}
 	return u.gap > slowGap.Seconds() || u.gap > max(slowFactor*reference, fastGap.Seconds())
 }
 
 // takeOut sets the state Out, and the time of the next probe. The probe delay
-// doubles if the upstream fails in the state Ramp.
+// doubles if the upstream fails in the state Ramp, and otherwise starts at
+// minProbeDelay. If the upstream is out already, takeOut only replaces the reason,
+// and only by Unreachable or Leaving.
 func (u *upstream) takeOut(r Reason, now time.Time) {
 	switch u.state {
 	case Out:
@@ -258,8 +270,8 @@
 	}
 }
 
-// expire ends an announced state that has expired, and a ramp that has lasted for
-// rampTime.
+// expire sets the state Up when an announced state has expired or the state Ramp has
+// lasted for rampTime.
 func (u *upstream) expire(now time.Time) {
 	if !u.announcedUntil.IsZero() && now.After(u.announcedUntil) {
 		u.announcedUntil = time.Time{}
@@ -285,9 +297,10 @@
 	return 1
 }
 
-// RecordAnnouncement records a state that another instance has announced. It expires after ttl.
-// A state other than Up that this instance has detected itself takes precedence,
-// and an unknown state or reason is ignored.
+// RecordAnnouncement records a state that another instance has announced. The state
+// replaces an earlier announced one, and expires after ttl. A state other than Up that
+// this instance has detected itself takes precedence, and an unknown state or reason is
+// ignored.
 func (t *Tracker) RecordAnnouncement(name string, s State, r Reason, ttl time.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -316,8 +329,8 @@
 	t.restricted[name] = u
 }
 
-// DetectedOut returns the upstreams that are out as detected by this instance, with the
-// reasons. It omits states announced by others.
+// DetectedOut returns the upstreams that are out as detected by this instance, with
+// the reasons. It omits states announced by others.
 func (t *Tracker) DetectedOut() map[string]Reason {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -371,14 +384,14 @@
 	return u
 }
 
-// minPeers is the number of other upstreams below which their mean gap is not used
-// as a reference.
-const minPeers = 3
+// minGroupSize is how many other upstreams of the group are needed to compare an
+// upstream with their mean gap.
+const minGroupSize = 3
 
-// peers returns the mean gap, in seconds, of the other upstreams of a group that
+// groupGap returns the mean gap, in seconds, of the other upstreams of a group that
 // are up and have at least minCalls observed calls, or 0 if there are fewer than
-// minPeers of them. The lock is held.
-func (t *Tracker) peers(name, group string) float64 {
+// minGroupSize of them. The lock is held.
+func (t *Tracker) groupGap(name, group string) float64 {
 	n, sum := 0, 0.0
 	for other, u := range t.upstreams {
 		if other != name && u.group == group && u.state == Up && u.gap > 0 && u.calls >= minCalls {
@@ -386,7 +399,7 @@
 			sum += u.gap
 		}
 	}
-	if n < minPeers {
+	if n < minGroupSize {
 		return 0
 	}
 	return sum / float64(n)
--- a/snipehealth/snipehealth_test.go
+++ b/snipehealth/snipehealth_test.go
@@ -28,7 +28,8 @@
 	return all
 }
 
-// usable returns the names of the n candidates that Mark leaves usable for a call.
+// usable returns the names of those of n candidates that MarkUnusable leaves usable for a
+// call.
 func usable(tracker *Tracker, key uint64, n int) []string {
 	all := candidates(n)
 	tracker.MarkUnusable(key, all)
@@ -102,8 +103,8 @@
 	})
 }
 
-// TestMinimumUsable guards against the exclusion of so many slow upstreams that fewer than
-// two thirds of the candidates remain and are overloaded. Unreachable upstreams must
+// TestMinimumUsable guards against the exclusion of so many slow upstreams that fewer
+// than two thirds of the candidates remain and are overloaded. Unreachable upstreams must
 // all be excluded.
 func TestMinimumUsable(t *testing.T) {
 	tests := map[string]struct {
@@ -127,8 +128,8 @@
 }
 
 // TestReturn guards against an upstream that gets calls again without a probe, or at
-// once with its full share. If it fails in the state Ramp, it must stay out twice as
-// long as before.
+// once with its full share, and against a probe delay that starts again at its minimum
+// when the upstream fails in the state Ramp.
 func TestReturn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker()
@@ -177,8 +178,8 @@
 	return float64(n) / 1000
 }
 
-// TestRecordAnnouncement guards against an announced state that has no effect or does not expire,
-// and against one that replaces a state detected by this instance.
+// TestRecordAnnouncement guards against an announced state that has no effect or does
+// not expire, and against one that replaces a state detected by this instance.
 func TestRecordAnnouncement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker()
@@ -192,8 +193,8 @@
 	})
 }
 
-// TestWatch guards against failures of a call that wrongly count, or do not count,
-// as failures of its upstream.
+// TestWatch checks the Observation that follows from the failure of a call. It guards
+// against failures that wrongly count, or do not count, as failures of the upstream.
 func TestWatch(t *testing.T) {
 	tests := map[string]struct {
 		err  error
--- a/snipehealth/watch.go
+++ b/snipehealth/watch.go
@@ -11,22 +11,23 @@
 )
 
 const (
-	// maxBackoff and minBackoff bound the backoff that follows a refusal as
-	// overloaded; minBackoff also applies if the refusal states no time.
+	// maxBackoff and minBackoff bound the backoff that follows a refusal with
+	// ErrOverloaded; minBackoff also applies if the refusal states no time.
 	maxBackoff = 5 * time.Second
 	minBackoff = 250 * time.Millisecond
 	// ownerBackoff is the backoff of an upstream whose owner cannot be reached, is
 	// stopping or has lost the ownership.
 	ownerBackoff = 500 * time.Millisecond
 	// earlyAfter is the time between the first and the latest chunk of an answer
-	// after which the gap is observed before the call ends.
+	// from which on the gap is recorded before the call ends.
 	earlyAfter = time.Second
 	// probeTimeout bounds the duration of a probe.
 	probeTimeout = time.Second
 )
 
 // Watch returns a function that executes calls with run, and records the result and
-// the speed of each call.
+// the speed of each call when it ends. A call whose chunks arrive for longer than
+// earlyAfter is also recorded once before it ends.
 func (t *Tracker) Watch(
 	run func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error,
 ) func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
@@ -52,11 +53,12 @@
 	t.upstream(name, time.Now()).inFlight += n
 }
 
-// ObserveForward records the failure of a call that was forwarded to another instance. If the
-// failure is NotRun and indicates that the owner or the upstream is unavailable,
-// stopping or overloaded, this instance sends the upstream no calls for a backoff.
-// The backoff is not announced to other instances, because the fault may lie in the
-// connection between this instance and the owner.
+// ObserveForward records the failure of a call that was forwarded to another instance.
+// If the failure is NotRun and indicates that the owner or the upstream is unavailable,
+// stopping or overloaded, or that the other instance is not the owner, this instance
+// sends the upstream no calls for a backoff. Any other result is ignored. The backoff
+// is not announced to other instances, because the fault may lie in the connection
+// between this instance and the owner.
 func (t *Tracker) ObserveForward(c *snipecall.Call, err error) {
 	var f *snipeerror.CallError
 	if !errors.As(err, &f) || f.Outcome != snipeerror.NotRun {
@@ -157,9 +159,10 @@
 	reason Reason
 }
 
-// Step probes the upstreams that are out, as detected by this instance, whose next
-// probe is due and for which responsible reports true. An upstream that passes the
-// probe enters the state Ramp.
+// Step probes, one after another, the upstreams that are out, as detected by this
+// instance, whose next probe is due and for which responsible reports true. An upstream
+// that passes the probe enters the state Ramp. Step returns when all probes have ended,
+// each after probeTimeout at the latest.
 func (t *Tracker) Step(ctx context.Context, responsible func(name string) bool, probe func(ctx context.Context, name string) error) {
 	for _, d := range t.dueProbes() {
 		if !responsible(d.name) {
@@ -188,8 +191,9 @@
 	return all
 }
 
-// recordProbe records the result of a probe of an upstream that is out. A failed
-// probe doubles the probe delay.
+// recordProbe records the result of a probe. It does nothing if the upstream is no
+// longer out. A failed probe doubles the probe delay, up to maxProbeDelay, and sets the
+// reason to Unreachable; a passed one sets the state Ramp and keeps the reason.
 func (t *Tracker) recordProbe(name string, err error) {
 	t.lock.Lock()
 	now := time.Now()
