--- a/snipelimit/adaptive.go
+++ b/snipelimit/adaptive.go
@@ -16,7 +16,7 @@
 	// than slowFactor times the typical duration.
 	slowFactor = 3
 	// minDecreaseInterval is the shortest time between two decreases after
-	// refusals. Refusals within it have the same cause and count once.
+	// refusals. Refusals within it are taken to have the same cause and count once.
 	minDecreaseInterval = 200 * time.Millisecond
 	// batchHeadroom is the divisor of the batch that gives the number of calls, at
 	// least one, by which the limit may exceed the batch. These calls wait at the
@@ -54,7 +54,8 @@
 
 // adaptive is a limit on concurrent calls. It increases additively while it is
 // fully used, and decreases multiplicatively, strongly after refusals and
-// slightly after slow calls.
+// slightly after slow calls. Its batch is the number of calls that the upstream
+// executes at once.
 type adaptive struct {
 	batch           int
 	value, maxValue float64
@@ -71,8 +72,8 @@
 	return adaptive{batch: batch, value: float64(batch), maxValue: float64(batch + max(batch/batchHeadroom, 1))}
 }
 
-// resize resets the limit if the batch has changed. It keeps the typical
-// duration of a call.
+// resize sets the limit to the initial one of the new batch, and does nothing if the
+// batch has not changed. It keeps the typical duration of a call.
 func (a *adaptive) resize(batch int) {
 	if batch == a.batch {
 		return
@@ -86,7 +87,8 @@
 func (a *adaptive) maxCalls() int { return max(int(a.value), 1) }
 
 // observe adjusts the limit after a call that took the given time and ended while
-// running calls, itself included, were running.
+// running calls, itself included, were running. The limit increases after a served
+// call that was not slow, if as many calls were running as the limit permits.
 func (a *adaptive) observe(r loadResult, took time.Duration, running int) {
 	now := time.Now()
 	switch r {
--- a/snipelimit/noisy_test.go
+++ b/snipelimit/noisy_test.go
@@ -31,8 +31,9 @@
 // enter admits a call, as Queue.Enter does.
 type enter func(ctx context.Context, c *snipecall.Call) (func(error), error)
 
-// fifo returns an enter function that admits calls in the order of arrival, with
-// the same bounds as a Queue. It is the baseline for the fair queue.
+// fifo returns an enter function that admits calls in the order of arrival. At most
+// noisyBatch calls run, and as many wait as in a Queue with this limit. It is the
+// baseline for the fair queue.
 func fifo() enter {
 	slots := make(chan struct{}, noisyBatch)
 	var lock sync.Mutex
@@ -60,7 +61,8 @@
 }
 
 // noisyResult holds the numbers of served and refused calls by team, and the
-// waiting times, in increasing order, of the light teams' served calls.
+// waiting times, in increasing order, of the light teams' served calls. A call whose
+// deadline passes while it waits counts as refused.
 type noisyResult struct {
 	served, refused map[string]int
 	waits           []time.Duration
--- a/snipelimit/queue.go
+++ b/snipelimit/queue.go
@@ -22,14 +22,14 @@
 	meanWeight = 0.1
 )
 
-// Queue admits calls to one upstream: some run, others wait. It is safe for
-// concurrent use.
+// Queue admits calls to one upstream: as many run as an adaptive limit permits, and
+// the others wait or are refused. It is safe for concurrent use.
 type Queue struct {
 	lock    sync.Mutex // guards the fields below
 	limit   adaptive
 	running int
 	waiting int
-	grants  int
+	grants  int           // calls admitted so far
 	mean    time.Duration // moving average of the duration of a call
 	teams   map[string]*teamQueue
 	classes [snipecall.Classes]int // waiting calls by class
@@ -42,10 +42,10 @@
 	waiting   [snipecall.Classes][]*waiter
 }
 
-// waiter is a call that waits for a send slot.
+// waiter is a call that waits to be admitted.
 type waiter struct {
 	call     *snipecall.Call
-	decision chan error // receives nil when the call is admitted, or its refusal
+	decision chan error // receives nil when the call is admitted, or the refusal of the call
 }
 
 // NewQueue returns the queue of an upstream that executes batch calls at once;
@@ -54,7 +54,9 @@
 	return &Queue{limit: newAdaptive(batch), teams: map[string]*teamQueue{}}
 }
 
-// Resize sets the number of calls that the upstream executes at once.
+// Resize sets the number of calls that the upstream executes at once. If the number
+// has changed, the limit starts again from it, and waiting calls that it permits are
+// admitted.
 func (q *Queue) Resize(batch int) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -73,7 +75,7 @@
 		q.lock.Unlock()
 		return q.doneFunc(c), nil
 	}
-	if err := q.checkCapacity(c); err != nil {
+	if err := q.ensureCapacity(c); err != nil {
 		q.lock.Unlock()
 		return nil, err
 	}
@@ -91,11 +93,12 @@
 	}
 }
 
-// checkCapacity returns nil if the call may wait, and its refusal otherwise. If
-// the queue is full, checkCapacity refuses the call or makes a free slot: it
-// evicts the newest call of the least urgent class of the team with the most
-// waiting calls. The lock is held.
-func (q *Queue) checkCapacity(c *snipecall.Call) error {
+// ensureCapacity returns nil if the call may wait, and the refusal of the call
+// otherwise. It refuses a call whose expected wait exceeds the time until its
+// deadline. If the queue is full, it evicts the newest call of the least urgent class
+// of the team with the most waiting calls, or refuses the new call if no other team
+// has more waiting calls than that of the new call. The lock is held.
+func (q *Queue) ensureCapacity(c *snipecall.Call) error {
 	wait := q.expectedWait(c)
 	if left := time.Until(c.Deadline); wait > left {
 		return limited(c, "the queue is longer than the deadline", wait-left)
@@ -119,8 +122,8 @@
 
 // expectedWait estimates how long a new call would wait. The calls ahead of it
 // are all waiting calls of more urgent classes, those of its own team and class,
-// and of each other team at most one more than those, because teams of one class
-// alternate. The lock is held.
+// and of each other team at most one more than those of its own team, because the
+// teams alternate within a class. The lock is held.
 func (q *Queue) expectedWait(c *snipecall.Call) time.Duration {
 	ahead := 1
 	for class := range c.Class {
@@ -276,7 +279,8 @@
 	return name, best
 }
 
-// doneFunc returns the function that ends an admitted call, given its error.
+// doneFunc returns the function that ends an admitted call, given its error. The
+// duration of the call counts from now on.
 func (q *Queue) doneFunc(c *snipecall.Call) func(error) {
 	start := time.Now()
 	return func(err error) {
@@ -293,8 +297,9 @@
 	}
 }
 
-// abandon removes a waiting call whose context has ended. If the call was
-// admitted or refused at the same time, it returns that decision.
+// abandon removes a waiting call whose context has ended, and returns ErrDeadline or
+// ErrCanceled. If the call was admitted or refused at the same time, abandon returns
+// that decision instead.
 func (q *Queue) abandon(ctx context.Context, w *waiter) (func(error), error) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -323,7 +328,8 @@
 	return nil, snipeerror.New(kind, snipeerror.NotRun, "while waiting for upstream "+w.call.Upstream)
 }
 
-// Load returns the number of running calls, of waiting calls, and the limit.
+// Load returns the number of running calls, the number of waiting calls, and how many
+// calls may run at once.
 func (q *Queue) Load() (running, waiting, limit int) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
--- a/snipelimit/queue_test.go
+++ b/snipelimit/queue_test.go
@@ -126,7 +126,7 @@
 }
 
 // TestRefusesDeadline guards against a call that joins a queue with free capacity
-// although its deadline is earlier than its expected wait.
+// although its deadline is before the end of its expected wait.
 func TestRefusesDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := NewQueue(1)
--- a/snipelimit/snipelimit.go
+++ b/snipelimit/snipelimit.go
@@ -19,8 +19,8 @@
 //     only the capacity that the other teams leave unused.
 //   - A full queue refuses the new call, or evicts the newest call of the team
 //     with the most waiting calls.
-//   - A refusal because of a team's own excess is ErrLimited, never
-//     ErrOverloaded: it must not make instances avoid the upstream.
+//   - A refusal by this package is ErrLimited, never ErrOverloaded: it must not make
+//     instances avoid the upstream.
 package snipelimit
 
 import (
--- a/snipelimit/teams.go
+++ b/snipelimit/teams.go
@@ -12,12 +12,13 @@
 const (
 	// demandTime is the time constant, in seconds, with which the demand decays.
 	demandTime = 5.0
-	// idleDemand is the demand, in calls per second, below which a team is idle.
+	// idleDemand is the demand, in calls per second, below which a team is idle if it
+	// also has no running call and no other instance announces a demand.
 	idleDemand = 1e-3
 	// announceShare is the fraction of an even share of the limit from which on
 	// a demand is announced. Other instances count a demand that is not announced
 	// as zero, so all instances together exceed the limit by at most this
-	// fraction.
+	// fraction. Smaller: the excess is smaller, but more announcements are sent.
 	announceShare = 0.1
 	// announceBytes is the cost of one announcement for each instance, in bytes,
 	// and announceBudget what all announcements may cost it, in bytes per second.
@@ -25,7 +26,8 @@
 	// announceIntervals is the number of announcement intervals after which an
 	// announcement expires.
 	announceIntervals = 3
-	// burstTime is the time for which the unused share of a rate accumulates.
+	// burstTime is the time for which the calls that a rate permits accumulate while
+	// they are not used.
 	burstTime = time.Second
 	// concurrentRetry is the retry delay of a call refused by a limit on
 	// concurrent calls.
@@ -35,9 +37,10 @@
 // Teams enforces this instance's share of the limits of teams. The exported
 // fields must be set before the first call. Teams is safe for concurrent use.
 type Teams struct {
-	// Limit returns the limit of a team; the zero Limit means no limit.
+	// Limit returns the limit of a team in the whole deployment; the zero Limit means
+	// no limit.
 	Limit func(team string) snipetree.Limit
-	// Instances returns the number of live instances.
+	// Instances returns the number of live instances; less than 1 counts as 1.
 	Instances func() int
 	// Announce sends this instance's demand of a team, in calls per second, to all
 	// other instances. The announcement expires after ttl. Announce may be nil if
@@ -79,8 +82,9 @@
 }
 
 // Admit counts a call against its team's limits, and fails with ErrLimited if it
-// exceeds this instance's share of one. If the call is admitted, the caller must
-// call release once when the call ends.
+// exceeds this instance's share of one, without waiting. A share permits at least one
+// call at once, and a burst of at least one call. If the call is admitted, the caller
+// must call release once when the call ends.
 func (t *Teams) Admit(c *snipecall.Call) (release func(), err error) {
 	limit := t.Limit(c.Team)
 	if limit.Concurrent == 0 && limit.PerSecond == 0 && len(limit.Classes) == 0 {
@@ -167,8 +171,8 @@
 	return sum
 }
 
-// check returns nil if a call may start, and its refusal otherwise. It adds the
-// tokens for the time since the last check.
+// check returns nil if a call may start, and the refusal of the call otherwise. It adds
+// the tokens for the time since the last check, but does not take one.
 func (b *bucket) check(c *snipecall.Call, limit snipetree.ClassLimit, share float64, now time.Time) error {
 	if limit.Concurrent > 0 && b.running >= max(int(share*float64(limit.Concurrent)+0.5), 1) {
 		return limited(c, "too many calls at once", concurrentRetry)
@@ -200,7 +204,7 @@
 }
 
 // RecordDemand records the demand, in calls per second, that another instance has
-// announced. The record expires after ttl.
+// announced. It replaces the earlier demand of the instance and expires after ttl.
 func (t *Teams) RecordDemand(team, instance string, demand float64, ttl time.Duration) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -213,9 +217,10 @@
 	demand float64
 }
 
-// Step announces demands that have changed, and deletes the accounts of idle
-// teams. The more instances and limited teams there are, the longer is the
-// interval between two announcements of one team, at least a second.
+// Step announces demands that have changed or whose last announcement is two
+// intervals old, and deletes the accounts of idle teams. The more instances and
+// limited teams there are, the longer is the interval between two announcements of
+// one team, at least a second.
 func (t *Teams) Step() {
 	all, ttl := t.dueAnnouncements(time.Now())
 	for _, d := range all {
@@ -238,7 +243,7 @@
 		// The moving average of a new account starts at zero. An announcement of
 		// it would be too low, and would stay in force for a whole interval.
 		averaged := now.Sub(a.created) >= min(interval, demandTime*time.Second)
-		if averaged && now.Sub(a.announcedAt) >= interval && a.changed(t.Limit(name), n, now.Sub(a.announcedAt) >= 2*interval) {
+		if averaged && now.Sub(a.announcedAt) >= interval && a.mustAnnounce(t.Limit(name), n, now.Sub(a.announcedAt) >= 2*interval) {
 			a.announced, a.announcedAt = a.demand, now
 			all = append(all, dueAnnouncement{name, a.demand})
 		}
@@ -249,11 +254,11 @@
 	return all, announceIntervals * interval
 }
 
-// changed reports whether the demand is to be announced: when it has fallen below
-// the announcement threshold since the last announcement, or when it is above the
-// threshold and differs by more than 20% from the announced demand. Above the
-// threshold, old forces a new announcement.
-func (a *account) changed(l snipetree.Limit, instances int, old bool) bool {
+// mustAnnounce reports whether the demand is to be announced: when it has fallen below
+// the announcement threshold since the last announcement, or when it is not below the
+// threshold and either differs by more than 20% from the announced demand or old is
+// set, which means that the last announcement would expire soon.
+func (a *account) mustAnnounce(l snipetree.Limit, instances int, old bool) bool {
 	threshold := announceShare * max(l.PerSecond, float64(l.Concurrent)) / float64(instances)
 	if a.demand < threshold {
 		return a.announced >= threshold
--- a/snipelimit/teams_test.go
+++ b/snipelimit/teams_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestAdmit guards against calls admitted above a limit, refusals below one, and
-// refusals without a retry delay.
+// refusals without a retry delay. One instance enforces the whole limit.
 func TestAdmit(t *testing.T) {
 	bulk := map[snipecall.Class]snipetree.ClassLimit{snipecall.Bulk: {Concurrent: 1}}
 	tests := map[string]struct {
@@ -72,8 +72,8 @@
 	})
 }
 
-// deployment is a set of instances that enforce one limit. They receive each
-// other's announcements after a second.
+// deployment is a set of instances that enforce one limit. Each instance receives the
+// announcements of the others a second after they were sent.
 type deployment struct {
 	instances []*Teams
 	pending   []float64 // fractional calls not yet sent, by instance
