--- a/sniperetry/bench_test.go
+++ b/sniperetry/bench_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// BenchmarkRepeatable measures the decision whether a call may be retried.
+// BenchmarkRepeatable measures the decision whether a retry of a call is useful and safe.
 func BenchmarkRepeatable(b *testing.B) {
 	c := &snipecall.Call{ID: "call", Idempotent: true}
 	var err error = snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, "test")
--- a/sniperetry/budget.go
+++ b/sniperetry/budget.go
@@ -11,9 +11,9 @@
 // no bound. Budget is safe for concurrent use.
 //
 // Answered calls add to the budget and retries consume it. Failed calls add
-// nothing, so the budget is exhausted after Burst retries in an outage.
+// nothing, so a full budget is exhausted after Burst retries in an outage.
 // RefillPerSecond still permits a few retries, so that a team whose calls all fail
-// at their first upstream can get answers from others.
+// at their first upstream can get answers from others. The budget is full at first.
 type Budget struct {
 	// Share is the number of retries that one answered call earns.
 	Share float64
@@ -21,7 +21,7 @@
 	// TeamBurst the highest number for one team.
 	Burst, TeamBurst float64
 	// RefillPerSecond is the number of retries per second that are earned without
-	// an answered call.
+	// an answered call, in total and by each team.
 	RefillPerSecond float64
 
 	lock  sync.Mutex // guards the fields below
@@ -30,8 +30,8 @@
 	teams map[string]bucket
 }
 
-// DefaultBudget returns the budget of one instance, which permits one retry for
-// every five answered calls.
+// DefaultBudget returns the budget of one instance, which earns one retry for every
+// five answered calls and one per second.
 func DefaultBudget() *Budget {
 	return &Budget{Share: 0.2, Burst: 100, TeamBurst: 20, RefillPerSecond: 1}
 }
@@ -51,7 +51,8 @@
 	return bucket{spent: max(b.spent-earned, 0), updated: now}
 }
 
-// Earn adds the Share of an answered call of a team.
+// Earn adds the Share of an answered call of a team to the total budget and to that
+// of the team, up to their bursts.
 func (b *Budget) Earn(team string) {
 	if b == nil {
 		return
--- a/sniperetry/outage_test.go
+++ b/sniperetry/outage_test.go
@@ -149,7 +149,8 @@
 // budget, at engines that refuse calls beyond a limit (as the limit of each upstream
 // does) and at engines that accept every call. It guards against a retry storm:
 // without the budget each call makes up to four attempts, also after the recovery
-// of the engines.
+// of the engines. The budget must halve the attempts during the outage, and lower the
+// highest number of attempts in a second after it to less than three quarters.
 func TestMeasureOutage(t *testing.T) {
 	tests := map[string]struct {
 		admitted int
--- a/sniperetry/sniperetry.go
+++ b/sniperetry/sniperetry.go
@@ -43,7 +43,7 @@
 // the first call.
 type Retrier struct {
 	// Choose returns the upstream for the next attempt, given the upstreams at
-	// which earlier attempts failed.
+	// which earlier attempts failed, or an error if there is no other.
 	Choose func(c *snipecall.Call, failed []string) (string, error)
 	// Execute executes one attempt of a call at its upstream. It may redirect the
 	// attempt to another upstream by setting c.Upstream.
@@ -55,8 +55,10 @@
 }
 
 // Serve executes c, and retries it until an attempt succeeds or no retry is
-// allowed. There is no retry after a chunk was passed to sink. The errors of Serve
-// are of type *snipeerror.CallError.
+// allowed. There is no retry after a chunk was passed to sink. A call that is answered
+// earns its share of the Budget. If no upstream can be chosen for a retry, Serve fails
+// with the failure of the last attempt. The errors of Serve are of type
+// *snipeerror.CallError.
 func (a *Retrier) Serve(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	chunkSent := false
 	trackingSink := func(k snipecall.Chunk) error {
@@ -103,8 +105,8 @@
 }
 
 // inheritOutcome returns err, the failure of an attempt. If previous, the failure
-// of the attempt before it, is not NotRun, the result is a copy of err with the
-// outcome MayHaveRun.
+// of the attempt before it, exists and is not NotRun, the result is a copy of err
+// with the outcome MayHaveRun.
 func inheritOutcome(previous, err error) error {
 	if previous == nil || snipeerror.From(previous).Outcome == snipeerror.NotRun {
 		return err
@@ -130,7 +132,9 @@
 	snipeerror.ErrIncomplete, snipeerror.ErrMismatch, snipeerror.ErrNotOwner, snipeerror.ErrStopping,
 }
 
-// retryable reports whether a call may be retried after err.
+// retryable reports whether a retry of a call after err can succeed and is safe: the
+// kind of the failure is in retryableKinds, and the failure is NotRun or the call is
+// idempotent.
 func retryable(c *snipecall.Call, err error) bool {
 	f := snipeerror.From(err)
 	for _, k := range retryableKinds {
--- a/sniperetry/window.go
+++ b/sniperetry/window.go
@@ -15,14 +15,14 @@
 	// Share is the number of retries that one request permits.
 	Share float64
 	// Slack returns the number of retries that are permitted without a request. In the
-	// first span, the slack in force grows from a quarter of that to the whole, because
-	// the retries of a process that ran here before are unknown.
+	// first span, the slack in force grows from initialSlack of this number to all of it,
+	// because the retries of a process that ran here before are unknown.
 	Slack func() float64
 	// Span is the length of the window.
 	Span time.Duration
 
 	lock    sync.Mutex // guards the fields below
-	started time.Time  // the first use
+	started time.Time  // the first call of a method; zero before
 	// slots is a ring of intervals of the span. current is the number of the latest
 	// interval, counted from started; its index is current modulo windowSlots.
 	slots   [windowSlots]windowSlot
@@ -35,7 +35,7 @@
 // more retries than the bound.
 const windowSlots = 21
 
-// initialSlack is the fraction of the slack that is in force when a process starts.
+// initialSlack is the fraction of the slack that is in force when a Window is first used.
 const initialSlack = 0.25
 
 // windowSlot counts the requests and retries in one interval of the span.
@@ -49,8 +49,8 @@
 	w.slots[w.current%windowSlots].requests++
 }
 
-// Spend counts a retry. It reports false, and counts nothing, if the retry would exceed
-// the bound.
+// Spend counts a retry and reports true. If the retry would exceed the bound, it counts
+// nothing and reports false.
 func (w *Window) Spend() bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -72,8 +72,9 @@
 	return true
 }
 
-// Refund takes back one retry of the current interval, if there is one. It is called for a
-// retry that reached no upstream.
+// Refund takes back one retry of the current interval. It does nothing if the current
+// interval has none, so a retry that was spent in an earlier interval stays counted. It is
+// called for a retry that reached no upstream.
 func (w *Window) Refund() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
--- a/sniperetry/window_test.go
+++ b/sniperetry/window_test.go
@@ -46,8 +46,8 @@
 }
 
 // TestWindowNeverExceeds guards against retries beyond the bound with random traffic and failures:
-// the retries in any ten seconds do not exceed the slack plus the share of the requests in the same
-// ten seconds or in the ten seconds that end half a span earlier.
+// the retries in a span that ends with a retry do not exceed the slack plus the share of the requests
+// in the same span, or in the span that ends half its length earlier if it has more requests.
 func TestWindowNeverExceeds(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
