--- a/snipeentry/begin.go
+++ b/snipeentry/begin.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// maxStartupWait is how long after the start callers are held until routes and upstreams are known.
-// It covers the discovery of other instances and one read of the store.
+// maxStartupWait is how long after the start of the instance requests are held while routes and
+// upstreams are unknown. It covers the discovery of other instances and one read of the store.
 const maxStartupWait = maxDiscoveryWait + 300*time.Millisecond
 
 // startupGate holds the requests that arrive before this instance knows routes and upstreams.
 type startupGate struct {
 	once     sync.Once
 	opened   chan struct{} // closed when routes and upstreams are known
-	deadline time.Time
+	deadline time.Time     // after it, no request is held
 }
 
 func newStartupGate() *startupGate {
 	return &startupGate{opened: make(chan struct{}), deadline: time.Now().Add(maxStartupWait)}
 }
 
-// release lets all held requests proceed. It is called once routes and upstreams are known.
+// release lets all requests proceed, held and later ones. It is called when routes and upstreams
+// are known, and may be called repeatedly: only the first call has an effect.
 func (g *startupGate) release() { g.once.Do(func() { close(g.opened) }) }
 
-// wait waits until routes and upstreams are known, until the deadline passes, or until ctx ends.
+// wait blocks until routes and upstreams are known, until the deadline passes, or until ctx ends.
+// It returns at once after the deadline, also if routes and upstreams are still unknown.
 func (g *startupGate) wait(ctx context.Context) {
 	left := time.Until(g.deadline)
 	if left <= 0 {
--- a/snipeentry/budget.go
+++ b/snipeentry/budget.go
@@ -8,29 +8,30 @@
 )
 
 const (
-	// usedShare is the share of the allowed retries that is used. The remainder covers what
-	// instances cannot know: how many instances there are while some start or end, and the retries
-	// that ended instances have sent. If all instances are killed at once, the slack may be spent
-	// twice.
+	// usedShare is a safety factor: the fraction of the allowed retries that the instances use. The
+	// remainder covers errors in the number of instances while some start or end, and retries that
+	// ended instances sent within the window. It does not cover a kill of all instances at once:
+	// their successors may then spend the slack a second time.
 	usedShare = 0.85
-	// minSharingInstances is the least number of instances among which the slack is divided. An
-	// instance that has just started may know no others yet.
+	// minSharingInstances is the least number of instances among which a limit on all instances
+	// together is divided. An instance that has just started may know no others yet.
 	minSharingInstances = 6
 )
 
-// retryBudgets holds a separate retry budget for each service. All instances together must stay
-// within a share of the requests and a slack; each instance uses its share of the slack.
+// retryBudgets holds a separate retry budget for each service: a sliding window that limits the
+// retries. In each window, all instances together may send a number of retries for each request,
+// plus a slack. An instance counts its own requests and uses an equal part of the slack.
 type retryBudgets struct {
-	share     float64
-	slack     float64
-	span      time.Duration
-	instances func() int
+	share     float64       // retries for each request
+	slack     float64       // retries of all instances together beyond share
+	span      time.Duration // the length of the window
+	instances func() int    // returns the number of live instances
 
 	lock sync.Mutex // guards all
 	all  map[string]*sniperetry.Window
 }
 
-// budget returns a service's budget.
+// budget returns a service's budget, and creates it on the first call for the service.
 func (b *retryBudgets) budget(service string) *sniperetry.Window {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -45,7 +46,8 @@
 	return made
 }
 
-// slackShare returns this instance's share of the slack.
+// slackShare returns the number of retries within one window that this instance may send as its
+// part of the slack.
 func (b *retryBudgets) slackShare() float64 {
 	return usedShare * b.slack / float64(max(b.instances(), minSharingInstances))
 }
--- a/snipeentry/entries.go
+++ b/snipeentry/entries.go
@@ -13,7 +13,8 @@
 	keys map[string]bool
 }
 
-// Add records an invalid entry and reports whether it is new.
+// Add records an invalid entry and reports whether it was not recorded before. It records nothing
+// and returns false if maxInvalidEntries entries are recorded.
 func (e *invalidEntries) Add(key string) bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -27,7 +28,8 @@
 	return true
 }
 
-// Remove records that an entry is valid and reports whether it was invalid.
+// Remove drops an entry that is valid again or removed, and reports whether it was recorded as
+// invalid.
 func (e *invalidEntries) Remove(key string) bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -36,7 +38,7 @@
 	return was
 }
 
-// Len returns the number of invalid entries.
+// Len returns the number of entries that are recorded as invalid, at most maxInvalidEntries.
 func (e *invalidEntries) Len() int {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/snipeentry/extension.go
+++ b/snipeentry/extension.go
@@ -11,16 +11,18 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// ownershipServer answers other instances that own engines and cannot reach the store.
+// ownershipServer serves the requests of other instances that own engines and cannot reach the
+// store: for lease extensions, and for writes of ownership rows.
 type ownershipServer struct {
 	holder *snipeowner.Holder
 	relay  *relay
 }
 
-// maxExtendedEngines bounds the engines of one request. An instance owns fewer engines.
+// maxExtendedEngines bounds the engines of one request for a lease extension. An instance owns
+// fewer engines.
 const maxExtendedEngines = 100
 
-// Promise implements snipeproto.Ownership.
+// Promise implements snipeproto.Ownership: it grants or refuses a lease extension.
 func (s *ownershipServer) Promise(_ context.Context, r *snipeproto.OwnershipPromiseRequest) (*snipeproto.OwnershipPromiseResponse, error) {
 	if len(r.GetEngines()) > maxExtendedEngines {
 		return nil, twirp.InvalidArgumentError("engines", "are too many")
@@ -40,9 +42,9 @@
 	return &snipeproto.OwnershipPromiseResponse{Granted: s.holder.GrantExtension(q)}, nil
 }
 
-// requestExtension asks another instance to grant a lease extension: not to take over this
-// instance's engines for the time of a lease. It returns snipeowner.ErrNoPromise if the instance
-// refuses.
+// requestExtension asks one other instance to grant a lease extension: not to take over this
+// instance's engines for the duration of a lease. It returns nil if the other instance grants the
+// extension, snipeowner.ErrExtensionRefused if it refuses, and another error if it does not answer.
 func (i *Instance) requestExtension(ctx context.Context, peer netip.AddrPort, q snipeowner.ExtensionRequest) error {
 	r := &snipeproto.OwnershipPromiseRequest{
 		Owner: q.Owner.String(), UnansweredMilliseconds: q.Unanswered.Milliseconds(),
--- a/snipeentry/feed.go
+++ b/snipeentry/feed.go
@@ -17,57 +17,63 @@
 )
 
 const (
-	// catalogWait is how long one read waits for a change of the operators' declarations. A broken
-	// connection hides changes for at most this time plus the store's timeout. While nothing
-	// changes, a copy that other instances follow gets as old as this.
+	// catalogWait is how long one read waits for a change of the operators' declarations. Shorter:
+	// more reads while nothing changes. Longer: a broken connection hides changes for longer, up to
+	// this time plus the store's timeout, and while nothing changes, the rows that this instance
+	// passes on to other instances get older, up to this time.
 	catalogWait = time.Second
 	// catalogInterval is the least time between two reads, so that a burst of changes costs at most
 	// ten reads a second.
 	catalogInterval = 100 * time.Millisecond
-	// directoryWait and directoryInterval are the same for the registry. Its entries change all the
-	// time, so a read seldom waits. A leaving upstream still accepts new work for two seconds,
-	// which bounds the interval.
+	// directoryWait and directoryInterval are the wait and the interval for the registry. Its
+	// entries change all the time, so a read seldom waits. A leaving upstream still accepts new
+	// work for two seconds, which bounds the interval.
 	directoryWait     = 200 * time.Millisecond
 	directoryInterval = 1100 * time.Millisecond
-	// ownershipInterval is the same for the ownership rows, which change with each renewal. The
-	// loss of an owner is detected only after its lease of more than two seconds.
+	// ownershipInterval is the interval for the ownership rows, which change with each renewal. It
+	// may be long because the loss of an owner is detected only after the owner's lease of more
+	// than two seconds.
 	ownershipInterval = 1500 * time.Millisecond
-	// maxOwnershipAge is the greatest age at which the ownership rows may be used to decide which
-	// instances are live. It allows for two reads.
+	// maxOwnershipAge is the greatest age, counted from the read of the store, at which the
+	// ownership rows may be used to decide which instances are live. It allows for two reads.
 	maxOwnershipAge = 4 * time.Second
 )
 
 const (
-	// maxDiscoveryWait is how long a starting instance waits at most to discover the others, whose
-	// copies it follows, before it reads the store's tables itself. If the store does not answer,
-	// all starting instances are without routes for this time.
+	// maxDiscoveryWait is how long a starting instance waits at most to discover other instances,
+	// from which it reads the tables, before it reads the catalog and the registry from the store.
+	// If the store does not answer, all starting instances are without routes for this time.
 	maxDiscoveryWait = 400 * time.Millisecond
 	// discoveryInterval is the time between two checks for other instances.
 	discoveryInterval = 10 * time.Millisecond
 	// startupWindow is how long after its start an instance that knows no others reads the
-	// ownership rows more often. All instances may have started at once and not have written their
-	// rows yet.
+	// ownership rows more often. All instances may have started at once, and the others may not
+	// have written their rows yet.
 	startupWindow = 3 * time.Second
 )
 
-// positionField is the log field of the store's position, upstreamField that of an upstream.
+// positionField is the log field for the position of a read: the number of the store's last change
+// that the read covers. upstreamField is the log field for an upstream.
 const (
 	positionField = "Position"
 	upstreamField = "Upstream"
 )
 
-// tables are the tables of the store that an instance follows.
+// tables holds a follower for each table of the store that the instance uses. A follower keeps a
+// copy of its table in memory (a snipemirror.Mirror) up to date, by reads of the store or of
+// another instance's copy.
 type tables struct {
-	catalog   *snipemirror.Follower
-	directory *snipemirror.Follower
-	ownership *snipemirror.Follower
+	catalog   *snipemirror.Follower // the operators' declarations
+	directory *snipemirror.Follower // the registry of upstreams
+	ownership *snipemirror.Follower // the rows of live instances and of the engines that they own
 }
 
 func (t *tables) all() []*snipemirror.Follower {
 	return []*snipemirror.Follower{t.catalog, t.directory, t.ownership}
 }
 
-// mirrors returns the copies that are served to other instances, by table name.
+// mirrors returns this instance's copies of the tables, which other instances may read, by table
+// name.
 func (i *Instance) mirrors() map[string]*snipemirror.Mirror {
 	return map[string]*snipemirror.Mirror{
 		i.Platform.DeclaredTable: i.tables.catalog.Mirror,
@@ -76,8 +82,9 @@
 	}
 }
 
-// follower returns the follower of a table. interval is the least time between two reads of the
-// store, wait how long one read waits for a change.
+// follower returns a new follower of a table. interval is the least time between two reads of the
+// store, wait is how long one read waits for a change, and ages are the ages at which the copy is
+// too old to be refreshed from another instance.
 func (i *Instance) follower(table string, interval, wait time.Duration, ages maxCopyAges) *snipemirror.Follower {
 	return &snipemirror.Follower{
 		ReadsStoreSeldom: i.onStandby,
@@ -89,13 +96,13 @@
 	}
 }
 
-// noPeersKnown reports whether no other instance is known.
+// noPeersKnown reports whether no other live instance is known.
 func (i *Instance) noPeersKnown() bool { return i.instances() <= 1 }
 
-// waitForPeers waits until other instances are known, at most for maxDiscoveryWait. When hundreds
-// of instances start at once, each then reads from the store only the ownership rows, and all other
-// tables from other instances. It returns at once if the ownership rows cannot be read, since no
-// instance can be discovered without them.
+// waitForPeers blocks until other instances are known, at most for maxDiscoveryWait. When hundreds
+// of instances start at once, the wait lets most of them read only the ownership rows from the
+// store, and the other tables from other instances. waitForPeers returns at once if the ownership
+// rows cannot be read, since no instance can be discovered without them.
 func (i *Instance) waitForPeers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, maxDiscoveryWait)
 	defer cancel()
@@ -103,10 +110,11 @@
 	}
 }
 
-// onStandby reports whether this instance is on standby, and so leaves the tasks that are done for
-// all instances to others.
+// onStandby reports whether this instance is on standby: enough other instances own engines, so
+// this one owns none, renews its row rarely, and does no tasks for other instances.
 func (i *Instance) onStandby() bool { return i.holder.View().Live[i.Settings.Peers].Standby }
 
+// buildTables creates the followers of the tables.
 func (i *Instance) buildTables() {
 	t := &i.tables
 	t.catalog = i.follower(i.Platform.DeclaredTable, catalogInterval, catalogWait, tableCopyAges)
@@ -143,6 +151,7 @@
 	t.ownership.StoreRestored = func() { i.ownershipUnreadable.Store(false) }
 }
 
+// catalogFields returns the log fields that name the version of the catalog in force, or 0.
 func (i *Instance) catalogFields() snipelog.Fields {
 	var version int64
 	if c := i.catalog.Catalog(); c != nil {
@@ -151,7 +160,9 @@
 	return snipelog.Fields{"Catalog": version}
 }
 
-// applyCatalog puts the operators' declarations in force.
+// applyCatalog applies a change of the operators' declarations. It logs the declarations that are
+// invalid, records announced adapter versions and has the engines of this instance load them, and
+// puts a catalog in force if the change contains a newer one.
 func (i *Instance) applyCatalog(c snipecatalog.Change) {
 	for _, err := range c.Errors {
 		i.Log.Error(snipelog.CatalogWrong, err, i.catalogFields())
@@ -170,14 +181,16 @@
 	}
 }
 
-// openStartupGate releases the callers that wait for routes and upstreams, once both are known.
+// openStartupGate releases the requests that wait for routes and upstreams if both are known, and
+// otherwise does nothing.
 func (i *Instance) openStartupGate() {
 	if i.catalog.Catalog() != nil && i.directory.Snapshot().Len() > 0 {
 		i.startupGate.release()
 	}
 }
 
-// applyDirectory applies rows that were read from the registry.
+// applyDirectory applies rows that were read from the registry, also the adapters that they list,
+// and logs the first read.
 func (i *Instance) applyDirectory(rows []snipemirror.Row, position uint64) {
 	change, wrong := i.Platform.DecodeUpstreams(rows, position)
 	i.logEntries(change, wrong)
@@ -196,8 +209,9 @@
 	i.openStartupGate()
 }
 
-// forgetUnregistered drops the state of upstream starts that are not in the directory. Other
-// instances may report on an upstream after it was dropped here, which creates its state again.
+// forgetUnregistered drops the residency, balancer and signal state of each start of an upstream
+// that is not in the directory. Other instances may report on an upstream after its state was
+// dropped here, which creates the state again.
 func (i *Instance) forgetUnregistered() {
 	now := i.directory.Snapshot()
 	registered := func(id string) bool { return now.ByID(id) != nil }
@@ -206,8 +220,9 @@
 	i.signals.Retain(registered)
 }
 
-// logEntries logs which registry entries cannot be decoded, and which can be decoded again. Each
-// change is logged once, since an invalid entry may be rewritten every second.
+// logEntries logs which registry entries cannot be decoded, and which of them can be decoded again
+// or were removed. An invalid entry is logged once although it may be rewritten every second. If
+// maxInvalidEntries entries are invalid, further ones are not logged.
 func (i *Instance) logEntries(c snipedirectory.Change, wrong []error) {
 	for n, key := range c.Undecodable {
 		if i.invalidEntries.Add(key) {
@@ -225,8 +240,9 @@
 	}
 }
 
-// ownershipRows returns the ownership rows that have changed since a mark, as last read, and the
-// next mark.
+// ownershipRows returns the ownership rows that were added or changed in this instance's copy after
+// the cursor since (0: all rows), and the cursor for the next call. Removed rows are left out. It
+// fails if the copy is older than maxOwnershipAge or was never read.
 func (i *Instance) ownershipRows(_ context.Context, partition string, since uint64) ([]snipeplatform.Row, uint64, error) {
 	rows, mark, err := i.tables.ownership.Mirror.Rows(since)
 	if err != nil {
@@ -243,21 +259,25 @@
 	return all, mark, nil
 }
 
-// noteRenewal is called after each renewal with whether the store answered.
+// noteRenewal is called after each renewal of this instance's rows, with whether the store
+// answered. If not, it cancels pending reads of the store.
 func (i *Instance) noteRenewal(ok bool) {
 	if !ok {
 		i.interruptReads()
 	}
 }
 
-// interruptReads cancels pending reads of the store, because the store does not answer.
+// interruptReads cancels pending reads of the store. Callers use it when a write shows that the
+// store does not answer, since the reads would otherwise wait for their full time.
 func (i *Instance) interruptReads() {
 	for _, f := range i.tables.all() {
 		f.Interrupt()
 	}
 }
 
-// upstreamChanged is called for each upstream that appears, is leaving or is gone.
+// upstreamChanged logs that an upstream appeared, is leaving or is gone. It also closes the idle
+// connections to a gone upstream and drops the upstream's state in the residency, the balancer and
+// the controller; forgetUnregistered drops the state of its signals.
 func (i *Instance) upstreamChanged(u *snipedirectory.Upstream, e snipedirectory.Event) {
 	fields := snipelog.Fields{upstreamField: u.ID, "Service": u.Service, "Address": u.Address, positionField: u.Position}
 	switch e {
--- a/snipeentry/leaving_test.go
+++ b/snipeentry/leaving_test.go
@@ -17,9 +17,9 @@
 // the upstream is leaving.
 const drainBound = 2 * time.Second
 
-// TestLeavingAnnouncedByAnswer guards against instances that keep sending requests to an upstream whose
-// answers announce that it is leaving, because the registry does not show this while the store is
-// down.
+// TestLeavingAnnouncedByAnswer guards against instances that keep sending requests to an upstream
+// whose answers announce that it is leaving, because the registry does not show this while the
+// store is down.
 func TestLeavingAnnouncedByAnswer(t *testing.T) {
 	tests := map[string]struct {
 		leaving, target string
--- a/snipeentry/listen.go
+++ b/snipeentry/listen.go
@@ -23,20 +23,22 @@
 	// headerTimeout bounds the time to receive a request's header. Callers need well under three
 	// seconds.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long a connection may wait for its next request. Callers reuse a
-	// connection after up to four fifths of the idle timeout that operators declare, which is 15 s.
+	// idleTimeout is how long a connection may wait for its next request. It must exceed the time
+	// after which callers still reuse a connection: up to four fifths of the idle timeout that
+	// operators declare, which is 15 s.
 	idleTimeout = 2 * time.Minute
-	// maxHeaderBytes bounds a request's header. Operators declare 16 KiB.
+	// maxHeaderBytes bounds a request's header, above the limit of 16 KiB that operators declare.
 	maxHeaderBytes = 32 << 10
 )
 
-// connectionLog logs the errors of single connections that net/http reports.
+// connectionLog is a writer for the error log of an http.Server. It logs each line, the error of
+// one connection, together with the name of the listener.
 type connectionLog struct {
 	logger   *snipelog.Logger
 	listener string
 }
 
-// Write implements io.Writer.
+// Write implements io.Writer. It never fails.
 func (c *connectionLog) Write(line []byte) (int, error) {
 	c.logger.Log(snipelog.ConnectionFailed, snipelog.Fields{
 		"Listener": c.listener, "Error": strings.TrimSpace(string(line)),
@@ -44,8 +46,9 @@
 	return len(line), nil
 }
 
-// listen opens the listeners and adds their servers to g. It returns the servers whose requests a
-// planned stop waits for, in the order of their shutdown: the callers' server first.
+// listen opens the four listeners and adds their servers to g. It returns the servers whose
+// requests a planned stop waits for, in the order of their shutdown: the callers' server, then the
+// server for other instances.
 func (i *Instance) listen(ctx context.Context, g *run.Group) ([]*http.Server, error) {
 	ready := http.NewServeMux()
 	ready.HandleFunc("GET "+i.Platform.ReadyPath, i.serveReady)
@@ -93,6 +96,7 @@
 	return m
 }
 
+// open opens a listener with Listen, or a TCP listener if Listen is nil.
 func (i *Instance) open(ctx context.Context, address netip.AddrPort) (net.Listener, error) {
 	if i.Listen != nil {
 		return i.Listen(ctx, address)
@@ -101,8 +105,9 @@
 	return config.Listen(ctx, "tcp", address.String())
 }
 
-// serve adds a server to g. A server that a planned stop has shut down keeps running as a task
-// until the stop ends.
+// serve adds a server to g as a task. The end of any task ends the group, so the task of a server
+// that a planned stop has shut down blocks until the group ends. If the server fails, serve logs
+// the error and the group ends with it.
 func (i *Instance) serve(g *run.Group, s *http.Server, l net.Listener) {
 	done := make(chan struct{})
 	g.Add(func() error {
@@ -119,7 +124,8 @@
 	})
 }
 
-// serveReady answers the balancer's readiness checks.
+// serveReady answers the readiness checks of the load balancer in front of the instances: status
+// 200 if callers may be sent to this instance, 503 otherwise.
 func (i *Instance) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !i.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/snipeentry/loads.go
+++ b/snipeentry/loads.go
@@ -10,14 +10,16 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// The owners of engines know the engines' loads. With few instances, each instance learns the loads
-// from the answers to its own reports to the owners. With hundreds, each instance uses few engines
-// a second, and asking all owners would need a message between each pair of instances. Then the
-// first instance of each failure domain asks the owners, and the others ask that instance.
+// An engine's load is the weight of all requests in flight there. The instances report their parts
+// to the engine's owner, which adds them up. With few instances, each instance receives the loads
+// in the answers to its own reports to the owners. With hundreds, each instance uses few engines a
+// second, and asking all owners would need a message between each pair of instances. Then the first
+// instance of each failure domain in the order of readers gathers the loads: it asks the owners,
+// and the other instances of the domain ask that instance.
 
 const (
-	// minGatherInstances is the number of instances from which the first instance of each domain
-	// gathers the loads.
+	// minGatherInstances is the least number of live instances at which the first instance of each
+	// domain gathers the loads.
 	minGatherInstances = 32
 	// loadsInterval is the time between two polls of the loads of all engines. An engine receives
 	// one or two requests in this time.
@@ -29,8 +31,8 @@
 // gathersLoads reports whether the first instance of each domain gathers the loads.
 func (i *Instance) gathersLoads() bool { return i.instances() >= minGatherInstances }
 
-// updateLoads updates the loads of all engines, from their owners or from the instance that has
-// gathered them. It does nothing if loads are not gathered.
+// updateLoads requests the loads of all engines, from their owners or from the instance that has
+// gathered them, and does not wait for the answers. It does nothing if loads are not gathered.
 func (i *Instance) updateLoads(ctx context.Context) {
 	if !i.gathersLoads() {
 		return
@@ -44,8 +46,8 @@
 	go i.requestLoads(ctx, readers[rank%len(readers)], rank)
 }
 
-// requestOwnerLoads requests the loads from all owners that have not answered within half an
-// interval.
+// requestOwnerLoads sends an empty report to each other owner that has not answered within the last
+// half of loadsInterval. The answers contain the loads; requestOwnerLoads does not wait for them.
 func (i *Instance) requestOwnerLoads(ctx context.Context) {
 	since := time.Now().Add(-loadsInterval / 2)
 	for _, owner := range i.holder.View().OtherOwners {
@@ -55,8 +57,9 @@
 	}
 }
 
-// requestLoads requests the loads that another instance has gathered. If that instance does not
-// answer, the next in rank is asked for a while.
+// requestLoads requests the loads that another instance, of the given rank in its domain, has
+// gathered, and applies the answer, which also contains signals of upstreams. If that instance does
+// not answer, the next in rank is asked from then on, until loadsRetryPause after the last failure.
 func (i *Instance) requestLoads(ctx context.Context, to netip.AddrPort, rank int) {
 	ctx, cancel := context.WithTimeout(ctx, loadsTimeout)
 	defer cancel()
@@ -83,7 +86,8 @@
 	i.signals.Merge(decodeSignals(answer.GetSignals()))
 }
 
-// Loads implements snipeproto.Adapter.
+// Loads implements snipeproto.Adapter. It returns the loads above zero and the signals of upstreams
+// that this instance knows, with their ages.
 func (s *peerServer) Loads(context.Context, *snipeproto.AdapterLoadsRequest) (*snipeproto.AdapterLoadsResponse, error) {
 	answer := &snipeproto.AdapterLoadsResponse{Signals: encodeSignals(s.signals.CurrentUpdates())}
 	for _, t := range s.balancer.LoadReports() {
@@ -94,12 +98,13 @@
 	return answer, nil
 }
 
-// loadsRetryPause is how long after a failure the next instances in rank are asked for loads,
-// before the first one is tried again.
+// loadsRetryPause is how long after the last failure an instance other than the first in rank is
+// asked for loads, before the first is asked again.
 const loadsRetryPause = 3 * time.Second
 
-// loadsReaderRank returns the rank of the domain's instance to ask for loads: the first, or the
-// next after each instance that did not answer.
+// loadsReaderRank returns the rank, from 0, of the instance to ask for loads: the number of
+// instances that failed one after the other, or 0 again if the last failure was loadsRetryPause
+// ago. The rank may exceed the number of the domain's instances.
 func (p *peers) loadsReaderRank() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -110,7 +115,8 @@
 }
 
 // noteLoadsAnswer records whether the instance with the given rank answered the request for loads.
-// It reports whether this answer shows that the domain's first instance was lost or is back.
+// It returns true for the first failure, and for the first answer of the domain's first instance
+// after failures, so that each loss and each return is logged once.
 func (p *peers) noteLoadsAnswer(rank int, ok bool) (changed bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/snipeentry/near_test.go
+++ b/snipeentry/near_test.go
@@ -15,9 +15,9 @@
 
 func peer(n int) netip.AddrPort { return netip.MustParseAddrPort(fmt.Sprintf("10.1.0.%d:70", n+1)) }
 
-// TestFollowedReader checks that, whichever readers have failed, no instance follows one that ranks below
-// itself, so that no two follow each other, and that the store is read in the end. An instance that
-// has lost the store asks all readers in turn.
+// TestFollowedReader checks that, whichever readers have failed, no instance follows one that ranks
+// below itself, so that no two follow each other, and that the store is read in the end. An
+// instance that has lost the store asks all readers in turn.
 func TestFollowedReader(t *testing.T) {
 	const count = 5
 	readers := make([]netip.AddrPort, count)
--- a/snipeentry/peers_test.go
+++ b/snipeentry/peers_test.go
@@ -67,8 +67,8 @@
 	must.Positive(t, i.balancer.Busy(u))
 }
 
-// TestStalestOwner covers many instances of which few use the two engines of one owner. Each instance
-// still receives the loads of every owner once a second.
+// TestStalestOwner covers many instances of which few use the two engines of one owner. Each
+// instance still receives the loads of every owner once a second.
 func TestStalestOwner(t *testing.T) {
 	address := func(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 80) }
 	owners := []netip.AddrPort{address(10), address(20)}
--- a/snipeentry/relay_test.go
+++ b/snipeentry/relay_test.go
@@ -190,8 +190,8 @@
 	must.False(t, server.relay.AcceptsWrites(), must.Sprint("the store stays lost until an own write is answered"))
 }
 
-// TestOrderDenied guards against requests that wait for an engine whose owner has no right to order it.
-// The engine is avoided for a while, so that adapters are loaded on another one at once.
+// TestOrderDenied guards against requests that wait for an engine whose owner has no right to order
+// it. The engine is avoided for a while, so that adapters are loaded on another one at once.
 func TestOrderDenied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &peers{}
--- a/snipeentry/settings.go
+++ b/snipeentry/settings.go
@@ -97,8 +97,8 @@
 // DefaultQuotaSpan is the default of QuotaSpan.
 const DefaultQuotaSpan = 10 * time.Second
 
-// DefaultMaxStaleness is the default of DrainTime and ApplyTime. The intervals at which the tables are
-// read are designed for it.
+// DefaultMaxStaleness is the default of DrainTime and ApplyTime. The intervals at which the tables
+// are read are designed for it.
 const DefaultMaxStaleness = 2 * time.Second
 
 // freshness returns the time within which changes in the store must be known.
