--- a/snipeentry/mirror.go
+++ b/snipeentry/mirror.go
@@ -17,38 +17,42 @@
 )
 
 const (
-	// maxWatchWait bounds the wait that another instance may request.
+	// maxWatchWait bounds how long a request of another instance may wait for a change.
 	maxWatchWait = 10 * time.Second
-	// minPackedRows is the number of rows from which a page is compressed. The rows of thousands of
-	// upstreams are similar, and dozens of instances request all of them when all start at once.
+	// minPackedRows is the least number of rows at which a page, the result of one read of a table,
+	// is compressed. The rows of thousands of upstreams are similar, and dozens of instances
+	// request all of them when all start at once.
 	minPackedRows = 200
-	// packedPageLife is how long one compressed page is served to all requesters. Later changes
-	// follow with the next page.
+	// packedPageLife is how long one compressed page of a whole table is served to all instances
+	// that request the whole table. An instance receives later changes when it reads on from the
+	// position of that page.
 	packedPageLife = 300 * time.Millisecond
-	// maxUnpackedBytes bounds the decompressed rows of a page in bytes.
+	// maxUnpackedBytes is the size in bytes at which the decompressed rows of a page are rejected.
 	maxUnpackedBytes = 64 << 20
 )
 
 // errUnpackedTooLarge reports that the rows of a page are larger than a table can be.
 var errUnpackedTooLarge = errors.New("packed rows are too large")
 
-// mirrorServer serves this instance's copies to others.
+// mirrorServer serves this instance's copies of the store's tables to other instances.
 type mirrorServer struct {
-	mirrors map[string]*snipemirror.Mirror
+	mirrors map[string]*snipemirror.Mirror // by table name
 
 	lock sync.Mutex // guards packedPages
-	// packedPages holds the last compressed page with all rows of each table.
+	// packedPages holds the last compressed page with all rows of each table, by table name.
 	packedPages map[string]packedPage
 }
 
 // packedPage is a compressed page and the time at which it was made.
 type packedPage struct {
 	page   snipemirror.Page // without rows
-	rows   []byte
+	rows   []byte           // from packRows
 	madeAt time.Time
 }
 
-// Watch implements snipeproto.Mirror.
+// Watch implements snipeproto.Mirror: it returns the changes of a table after a position, and waits
+// for one up to the requested time. Position 0 requests all rows, which may come from a compressed
+// page up to packedPageLife old.
 func (s *mirrorServer) Watch(ctx context.Context, r *snipeproto.MirrorWatchRequest) (*snipeproto.MirrorWatchResponse, error) {
 	m := s.mirrors[r.GetTable()]
 	if m == nil {
@@ -87,6 +91,7 @@
 	return p, ok && time.Since(p.madeAt) < packedPageLife
 }
 
+// cachePage replaces the compressed page of a whole table.
 func (s *mirrorServer) cachePage(table string, p packedPage) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -96,7 +101,8 @@
 	s.packedPages[table] = p
 }
 
-// encodePage returns the message for a page. packed holds the rows in compressed form, or is nil.
+// encodePage returns the message for a page. packed holds the page's rows in compressed form, or is
+// nil if p.Rows holds them.
 func encodePage(p snipemirror.Page, packed []byte) *snipeproto.MirrorWatchResponse {
 	return &snipeproto.MirrorWatchResponse{
 		Position: p.Position, Whole: p.Complete, Rows: encodeRows(p.Rows), Packed: packed,
@@ -105,6 +111,7 @@
 	}
 }
 
+// decodePage returns the page of a message, whose rows may be compressed.
 func decodePage(m *snipeproto.MirrorWatchResponse) (snipemirror.Page, error) {
 	p := snipemirror.Page{
 		Position: m.GetPosition(), Complete: m.GetWhole(), Rows: decodeRows(m.GetRows()),
@@ -138,7 +145,7 @@
 	return all
 }
 
-// packRows compresses rows.
+// packRows encodes rows as a snipeproto.MirrorRows message and compresses it.
 func packRows(rows []snipemirror.Row) ([]byte, error) {
 	data, err := proto.Marshal(&snipeproto.MirrorRows{Rows: encodeRows(rows)})
 	if err != nil {
@@ -158,7 +165,8 @@
 	return b.Bytes(), nil
 }
 
-// unpackRows is the inverse of packRows.
+// unpackRows is the inverse of packRows. It fails if the data are invalid, or maxUnpackedBytes or
+// more when decompressed.
 func unpackRows(packed []byte) ([]snipemirror.Row, error) {
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes))
 	if err != nil {
--- a/snipeentry/near.go
+++ b/snipeentry/near.go
@@ -10,14 +10,16 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// copyReadSlack is how much longer than its wait a read of another instance's copy may take. Both
-// instances are usually in one failure domain.
+// copyReadSlack is how much longer than its wait for a change a read of another instance's copy may
+// take. It may be short because both instances are usually in one failure domain.
 const copyReadSlack = 200 * time.Millisecond
 
-// peerCopy returns a function that reads another instance's copy of a table. That instance is the
-// one that reads the store for this failure domain, or after each failure the next one in rank. If
-// lost is set, because the store does not answer this instance, any other instance will do. It
-// returns false if this instance should read the store itself.
+// peerCopy returns a function that reads another instance's copy of a table. The other instance is
+// the first reader of this failure domain, or after each of failures consecutive failures the next
+// reader in rank. If this instance is itself the first reader of its domain, the other instance is
+// the global reader. If lost is set, because the store does not answer this instance, the other
+// instance may be of any domain. peerCopy returns false if this instance should read the store
+// itself.
 func (i *Instance) peerCopy(table string, failures int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 	readers := i.readers(lost)
 	reader, ok := followedReader(readers, i.Settings.Peers, failures, lost)
@@ -41,35 +43,39 @@
 	}, true
 }
 
-// maxCopyAges are the ages at which a copy is too old, so that the store is read instead. Each is
-// more than the wait and the interval of a read together.
+// maxCopyAges are the ages, counted from the read of the store, at which another instance's copy is
+// too old, so that the store is read instead. Each age exceeds the sum of the wait and the interval
+// of a read, because a copy gets as old as that sum without any failure.
 type maxCopyAges struct {
-	// Direct applies to copies of an instance that reads the store, where each failure domain has
-	// such a reader. Where a single instance reads the store for all domains, First applies to the
-	// first instance of each domain, which follows that reader, and Others to the instances that
-	// follow a first one. Others is longer, so that after the loss of the single reader only the
-	// first instances read the store, and not all.
+	// Direct applies if the first instance of each failure domain reads the store, and the other
+	// instances of the domain read that instance's copy. If a single instance reads the store for
+	// all domains, First applies to the first instance of each domain, which reads the single
+	// reader's copy, and Others to the instances that read a first instance's copy. Others is
+	// longer, so that after the loss of the single reader only the first instances read the store,
+	// and not all.
 	Direct, First, Others time.Duration
 }
 
 var (
 	// tableCopyAges apply to the operators' declarations and to the registry. They are short enough
-	// that a change which must be known within two seconds, or within three where a single instance
-	// reads for all, is known in time even if the reader loses the store at the worst moment.
+	// that each change is known in time even if the reader loses the store at the worst moment:
+	// within two seconds, or within three where a single instance reads the store for all domains.
 	tableCopyAges = maxCopyAges{Direct: 1400 * time.Millisecond, First: 1500 * time.Millisecond, Others: 2100 * time.Millisecond}
-	// ownershipCopyAges apply to the ownership rows. The loss of an instance is detected no sooner
-	// than its lease ends, so these copies may be older.
+	// ownershipCopyAges apply to the ownership rows. These copies may be older, because the loss of
+	// an instance is detected no sooner than the instance's lease ends.
 	ownershipCopyAges = maxCopyAges{Direct: 2500 * time.Millisecond, First: 2 * time.Second, Others: 2500 * time.Millisecond}
 )
 
-// singleReaderFreshness is the shortest freshness with which a single instance reads the store for
-// all failure domains.
+// singleReaderFreshness is the least time within which changes must be known at which a single
+// instance reads the store for all failure domains. If changes must be known sooner, each domain
+// has its own reader, since tableCopyAges guarantees only three seconds with a single reader.
 const singleReaderFreshness = 3 * time.Second
 
 // singleReader reports whether a single instance reads the store for all failure domains.
 func (i *Instance) singleReader() bool { return i.Settings.freshness() >= singleReaderFreshness }
 
-// maxCopyAge returns how old this instance's copy may become.
+// maxCopyAge returns the age at which another instance's copy is too old for this instance, which
+// depends on the instance from which this one reads.
 func (i *Instance) maxCopyAge(ages maxCopyAges) time.Duration {
 	if !i.singleReader() {
 		return ages.Direct
@@ -80,9 +86,10 @@
 	return ages.Others
 }
 
-// globalReader returns the instance that reads the store for all failure domains, which the first
-// instance of every other domain follows. It returns false if each domain has its own reader, or if
-// this instance is the global reader.
+// globalReader returns the instance that alone reads the store for all failure domains: the highest
+// in rank that is neither leaving nor on standby. The first instance of every other domain reads
+// that instance's copy. globalReader returns false if each domain has its own reader, if this
+// instance is the global reader, or if none is known.
 func (i *Instance) globalReader() (netip.AddrPort, bool) {
 	if !i.singleReader() {
 		return netip.AddrPort{}, false
@@ -95,9 +102,11 @@
 	return netip.AddrPort{}, false
 }
 
-// followedReader returns the reader that an instance follows after a number of failures, and false
-// if the instance should read the store itself. As long as the store answers, no instance follows
-// one that ranks below itself: two instances that follow each other would both get stale.
+// followedReader returns the reader whose copy the instance self reads (follows) after a number of
+// consecutive failures, or false if the instance should read the store itself. As long as the store
+// answers (lost is false), no instance follows a reader that ranks below the instance: two
+// instances that follow each other would both get stale. If lost is set, the readers are tried in
+// turn without end.
 func followedReader(readers []netip.AddrPort, self netip.AddrPort, failures int, lost bool) (netip.AddrPort, bool) {
 	if lost && len(readers) > 0 {
 		return readers[failures%len(readers)], true
@@ -109,10 +118,11 @@
 	return readers[failures], true
 }
 
-// readers returns the instances whose copies may be read, best first. They renew their rows and are
-// neither leaving nor on standby; the first in rank of this failure domain reads the store for the
-// domain. If lost is set, the instances of other domains follow, and then the seeds of the
-// settings, for an instance that knows no others yet.
+// readers returns the addresses of the instances whose copies may be read, best first: the live
+// instances of this failure domain, by rank, that are neither leaving nor on standby. The first of
+// them reads the store, or the global reader's copy, for the domain; it may be this instance. If
+// lost is set, this instance is left out, and the instances of other domains follow, then the seeds
+// of the settings, for an instance that knows no others yet.
 func (i *Instance) readers(lost bool) []netip.AddrPort {
 	var readers, remote []netip.AddrPort
 	for _, other := range i.holder.View().Ranked {
--- a/snipeentry/peers.go
+++ b/snipeentry/peers.go
@@ -20,10 +20,12 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// peerServer serves other instances' requests to this instance's controller.
+// peerServer serves the requests of other instances for adapters, for the loads of engines, and
+// with signals of upstreams.
 type peerServer struct {
 	controller *snipeadapter.Controller
-	// replicas returns the other engines that have recently loaded an adapter of an engine.
+	// replicas returns the engines, other than the given one, that have recently loaded an adapter
+	// at this instance's request.
 	replicas func(a snipecatalog.Adapter, engine string) []snipegateway.Replica
 	board    *snipebalance.Board
 	balancer *snipebalance.Balancer
@@ -34,8 +36,9 @@
 	reportedEvictions map[string]uint64
 }
 
-// newEvictions returns the evictions that have not been reported to an instance yet. Evictions in
-// an answer that is lost are not reported again: the registry shows them a second later.
+// newEvictions returns the recent evictions that have not been reported to an instance yet, and
+// marks them as reported. Evictions in an answer that is lost are not reported again: the registry
+// shows them a second later.
 func (s *peerServer) newEvictions(instance string) []snipeadapter.Eviction {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -47,7 +50,9 @@
 	return recent
 }
 
-// Ensure implements snipeproto.Adapter.
+// Ensure implements snipeproto.Adapter. It waits until an engine that this instance owns holds an
+// adapter. Its error codes tell the requester why the load failed: FailedPrecondition means that
+// this instance must not order the engine, and Aborted that the engine accepts no connection.
 func (s *peerServer) Ensure(ctx context.Context, r *snipeproto.AdapterEnsureRequest) (*snipeproto.AdapterEnsureResponse, error) {
 	a := snipecatalog.Adapter{Model: r.GetModel(), Name: r.GetAdapter()}
 	maxWait := time.Duration(r.GetPatienceMilliseconds()) * time.Millisecond
@@ -66,7 +71,8 @@
 	return &snipeproto.AdapterEnsureResponse{Version: version}, nil
 }
 
-// Report implements snipeproto.Adapter.
+// Report implements snipeproto.Adapter. It records an instance's use of engines, and returns the
+// loads of all engines for which there are reports and the evictions that are new to that instance.
 func (s *peerServer) Report(_ context.Context, r *snipeproto.AdapterReportRequest) (*snipeproto.AdapterReportResponse, error) {
 	answer := &snipeproto.AdapterReportResponse{}
 	for _, e := range r.GetEngines() {
@@ -81,8 +87,9 @@
 	return answer, nil
 }
 
-// recordUse records how an instance uses an engine, and adds to the answer which of the used
-// adapters the engine no longer holds and which other engines have loaded them.
+// recordUse records how an instance uses an engine, in place of the instance's previous report, and
+// adds to the answer which of the used adapters the engine neither holds nor loads, and which other
+// engines have loaded the used adapters.
 func (s *peerServer) recordUse(instance string, e *snipeproto.EngineUse, answer *snipeproto.AdapterReportResponse) {
 	engine, uses := e.GetEngine(), decodeUse(e)
 	s.board.Report(engine, instance, e.GetLoad())
@@ -98,7 +105,7 @@
 	}
 }
 
-// peers holds the clients of other instances and what is known of their reachability.
+// peers holds the clients of other instances, and which of these instances recently answered.
 type peers struct {
 	adapters clients[snipeproto.Adapter]
 	mirrors  clients[snipeproto.Mirror]
@@ -106,25 +113,28 @@
 	quotas   clients[snipeproto.Quota]
 
 	lock sync.Mutex // guards the fields below
-	// answeredAt is when each owner last answered, or was last asked.
+	// answeredAt is when each owner last answered a report, or was last sent an empty report
+	// because it had not answered for the longest time.
 	answeredAt map[netip.AddrPort]time.Time
-	// unreachable holds the instances that the last report of use did not reach.
+	// unreachable holds the instances that did not answer the last report of use.
 	unreachable map[netip.AddrPort]bool
 	// orderDenied holds the engines whose owners have answered that they have no right to order
 	// them, and until when these engines are avoided.
 	orderDenied map[netip.AddrPort]time.Time
 	// loadsFailures is how many instances, in order of rank, have recently failed to answer
-	// requests for loads. loadsFailedAt is the time of the last such failure, and
-	// firstLoadsReaderLost reports whether the first instance is among them.
+	// requests for loads. loadsFailedAt is the time of the last such failure.
+	// firstLoadsReaderLost is set from the first failure until the domain's first instance answers.
 	loadsFailures        int
 	loadsFailedAt        time.Time
 	firstLoadsReaderLost bool
-	// pendingRequests are the requests in progress, by the owner that was asked.
+	// pendingRequests holds the requests to load adapters in progress, by the address of the owner.
 	pendingRequests map[netip.AddrPort]map[*pendingRequest]bool
 }
 
-// noteReachability records whether a report reached an instance, and reports whether that changed.
-// Reports are so frequent that each outage is logged only once.
+// noteReachability records whether an instance answered a report, and returns true if the instance
+// answered the previous one (or there was none) and not this one, or the reverse. Callers log only
+// such changes, because reports are frequent. When an instance becomes unreachable,
+// noteReachability also cancels the pending requests to it.
 func (p *peers) noteReachability(to netip.AddrPort, ok bool) (changed bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -145,11 +155,13 @@
 	return true
 }
 
-// orderDeniedPause is how long an engine is avoided after its owner had no right to order it. By
-// then another instance owns the engine, or its owner has regained the right.
+// orderDeniedPause is how long no loads are requested on an engine after its owner had no right to
+// order it. After that time, another instance usually owns the engine, or its owner has regained
+// the right.
 const orderDeniedPause = 500 * time.Millisecond
 
-// noteOrderDenied records that an engine's owner has no right to order it now.
+// noteOrderDenied records that an engine's owner has no right to order it now. ownerMayOrder
+// returns false for the engine for orderDeniedPause from now.
 func (p *peers) noteOrderDenied(engine netip.AddrPort) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -161,14 +173,16 @@
 	p.orderDenied[engine] = now.Add(orderDeniedPause)
 }
 
-// ownerMayOrder reports whether an engine's owner may order it, as far as this instance knows.
+// ownerMayOrder reports whether no owner of an engine has denied a request for lack of the right to
+// order the engine within the last orderDeniedPause.
 func (p *peers) ownerMayOrder(engine netip.AddrPort) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return !time.Now().Before(p.orderDenied[engine])
 }
 
-// noteAnswer records that an owner has answered.
+// noteAnswer sets the time of an owner's last answer to now. addStalestOwner calls it also when it
+// sends an empty report, to give the owner time to answer.
 func (p *peers) noteAnswer(owner netip.AddrPort) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -178,6 +192,7 @@
 	p.answeredAt[owner] = time.Now()
 }
 
+// lastAnswer returns the time that noteAnswer last set for an owner, or zero.
 func (p *peers) lastAnswer(owner netip.AddrPort) time.Time {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -194,7 +209,8 @@
 	all  map[netip.AddrPort]C
 }
 
-// client returns the client of an instance.
+// client returns the client of an instance, and creates it on the first call. Clients are kept
+// until the process ends.
 func (c *clients[C]) client(address netip.AddrPort) C {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -219,7 +235,11 @@
 	}
 }
 
-// ensure asks an engine's owner to load an adapter, and returns the version that the engine holds.
+// ensure waits until an engine holds an adapter in at least the given version, by a request to the
+// engine's owner, and returns the version that the engine holds. It returns a BusyError if the load
+// is not expected to complete within maxWait, an error that wraps ErrNotOwner if no owner is known,
+// one that wraps ErrUnreached if the engine accepts no connection, and errOwnerUnresponsive,
+// wrapped, if the owner becomes unreachable during the wait.
 func (i *Instance) ensure(ctx context.Context, u *snipedirectory.Upstream, a snipecatalog.Adapter, version int64, maxWait time.Duration) (int64, error) {
 	owner, ok := i.holder.View().Owners[u.Address]
 	if !ok {
@@ -255,8 +275,8 @@
 	return answer.GetVersion(), nil
 }
 
-// spreadAdapters has more engines load the adapters that are heavily used on this instance's
-// engines.
+// spreadAdapters has more engines load the adapters that are heavily used on the engines that this
+// instance owns and may order. It does not wait for the loads.
 func (i *Instance) spreadAdapters() {
 	directory := i.directory.Snapshot()
 	for _, id := range i.controller.Engines() {
--- a/snipeentry/quota.go
+++ b/snipeentry/quota.go
@@ -14,7 +14,9 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// buildQuotas creates the issuer and the account for workspace quotas.
+// buildQuotas creates the issuer and the account for workspace quotas. The issuer of one instance
+// grants units (requests or tokens) of quotas to all instances; every instance has an issuer so
+// that any can take over. The account requests units from it and charges requests to them.
 func (i *Instance) buildQuotas() {
 	s := i.Settings
 	bounds := snipequota.Bounds{Span: s.QuotaSpan.Value(), Overrun: s.QuotaOverrun, Slack: s.QuotaSlack}
@@ -29,11 +31,13 @@
 	return snipegateway.Quotas{Take: i.account.Take, TakeAgain: i.account.Charge, Return: i.account.Return}
 }
 
-// sharingInstances returns the number of instances that share a limit without an issuer. It is at
-// least minSharingInstances, since an instance that has just started may know no others yet.
+// sharingInstances returns the number of instances by which a limit on all instances together is
+// divided: an upstream's limit, or a quota while no issuer answers. It is at least
+// minSharingInstances, since an instance that has just started may know no others yet.
 func (i *Instance) sharingInstances() int { return max(i.instances(), minSharingInstances) }
 
-// quotaOf returns a workspace's quota in the current catalog.
+// quotaOf returns a workspace's quota in the current catalog, or the zero Quota if no catalog is
+// known or it has no such workspace.
 func (i *Instance) quotaOf(workspace string) snipecatalog.Quota {
 	c := i.catalog.Catalog()
 	if c == nil {
@@ -46,13 +50,14 @@
 	return w.Quota
 }
 
-// quotasDeclared reports whether any workspace has a quota.
+// quotasDeclared reports whether a catalog is known in which any workspace has a quota.
 func (i *Instance) quotasDeclared() bool {
 	c := i.catalog.Catalog()
 	return c != nil && c.Limited()
 }
 
-// instanceNames returns the names under which the live instances request units.
+// instanceNames returns the names under which the live instances request units: their addresses for
+// other instances.
 func (i *Instance) instanceNames() []string {
 	ranked := i.holder.View().Ranked
 	all := make([]string, 0, len(ranked))
@@ -65,8 +70,9 @@
 // errNoIssuer reports that no instance that grants units is known.
 var errNoIssuer = errors.New("no instance grants units of quotas")
 
-// quotaIssuer returns the instance that grants units. It is one of the instances that renew their
-// rows each second, and stays the same as long as it lives.
+// quotaIssuer returns the instance that grants units: the one with the highest hash among the live
+// instances that are neither leaving nor on standby, or false if there is none. The issuer changes
+// if it ends, leaves or goes on standby, or if an instance with a higher hash appears.
 func (i *Instance) quotaIssuer() (netip.AddrPort, bool) {
 	var best netip.AddrPort
 	var highest uint64
@@ -81,7 +87,8 @@
 	return best, best.IsValid()
 }
 
-// requestUnits requests units from the issuer.
+// requestUnits requests units from the issuer, which may be this instance, and returns the issuer's
+// grants. It returns errNoIssuer if no issuer is known.
 func (i *Instance) requestUnits(ctx context.Context, asks []snipequota.Ask) ([]snipequota.Grant, error) {
 	issuer, ok := i.quotaIssuer()
 	if !ok {
@@ -115,7 +122,8 @@
 // quotaServer serves other instances' requests for units.
 type quotaServer struct{ issuer *snipequota.Issuer }
 
-// Issue implements snipeproto.Quota.
+// Issue implements snipeproto.Quota. It grants units even if this instance is not the issuer by its
+// own view, since views of the live instances may differ for a while.
 func (s *quotaServer) Issue(_ context.Context, r *snipeproto.QuotaIssueRequest) (*snipeproto.QuotaIssueResponse, error) {
 	asks := make([]snipequota.Ask, 0, len(r.GetAsks()))
 	for _, a := range r.GetAsks() {
--- a/snipeentry/relay.go
+++ b/snipeentry/relay.go
@@ -16,38 +16,41 @@
 )
 
 const (
-	// slowWriteTime is the duration above which an own write counts as slow. While the store is
-	// slow to this instance, it makes no writes for others: a store that is slow to all instances
-	// must not receive each write several times.
+	// slowWriteTime is the duration above which a write of this instance to the store, its own or
+	// one for another instance, counts as slow. After a slow write, the instance makes no writes
+	// for others for a while: a store that is slow to all instances must not receive each write
+	// several times.
 	slowWriteTime = 100 * time.Millisecond
 	// relayTimeout bounds a write through another instance, which is a few milliseconds away.
 	relayTimeout = 300 * time.Millisecond
-	// maxRelayAttempts is how many other instances are asked to make a write.
+	// maxRelayAttempts is how many other instances are asked, one after the other, to make a write.
 	maxRelayAttempts = 2
-	// writesPerDirectAttempt is the number of writes of which one tries the store first while the
-	// store does not answer this instance.
+	// While the store does not answer this instance, one of every writesPerDirectAttempt writes
+	// tries the store first, and the others try another instance first. Smaller: more writes wait
+	// for the store's timeout. Larger: the return of the store is noticed later.
 	writesPerDirectAttempt = 4
-	// slowStorePause is how long after a slow own write an instance makes no writes for others.
+	// slowStorePause is how long after a slow write to the store an instance makes no writes for
+	// others.
 	slowStorePause = 2 * time.Second
 )
 
 // writeFunc makes all changes or none; see snipeowner.Table.
 type writeFunc = func(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error)
 
-// relay writes ownership rows. While the store does not answer this instance, another instance
-// makes its writes, so that owners that are cut off from the store keep the right to order engines,
-// which depends on their renewals.
+// relay writes ownership rows. While the store does not answer this instance, another instance makes
+// this instance's writes, so that owners that are cut off from the store keep the right to order
+// engines, which depends on their renewals.
 //
-// Relaying is safe whatever the outcome of a single write. Each write is conditional on the
-// versions of the rows that it changes, so that at most one of its copies takes effect, and the
-// right to order is counted from before the first copy was sent.
+// Relaying is safe whatever the outcome of a single attempt. Each write is conditional on the versions
+// of the rows that it changes, so that at most one attempt takes effect, and the right to order is
+// counted from before the first attempt was sent.
 type relay struct {
 	// Direct writes to the store.
 	Direct writeFunc
-	// Peers returns the instances that may reach the store, in random order.
+	// Peers returns the other instances that may reach the store, in random order.
 	Peers func() []netip.AddrPort
 	// AskPeer makes a write through another instance. Its error wraps snipeplatform.ErrUnavailable
-	// if nothing was written.
+	// or snipeplatform.ErrConflict if nothing was written.
 	AskPeer func(ctx context.Context, peer netip.AddrPort, operation string, changes []snipeplatform.Change) (uint64, error)
 	// Owns reports whether this instance owns engines. An instance that owns none loses nothing by
 	// waiting for the store, and an overloaded store receives fewer writes if it waits.
@@ -58,15 +61,18 @@
 	OnRecovered func()
 
 	lock        sync.Mutex // guards the fields below
-	storeLost   bool
+	storeLost   bool      // the last write to the store got no definite answer
 	lastSlow    bool      // the last write took longer than slowWriteTime
 	lastWriteAt time.Time // when the last write ended
-	sinceDirect int       // writes since the last direct attempt, while the store is lost
+	sinceDirect int       // own writes since one last tried the store first, while the store is lost
 }
 
-// Write makes all changes or none, either directly or through another instance.
+// Write makes all changes or none. It tries the store, and if the store gives no definite answer
+// and this instance owns engines, other instances; decideDirectFirst may put the other instances
+// first. Write returns as soon as an attempt has a definite outcome (done, or a condition did not
+// hold), and otherwise the error of the attempt at the store.
 func (r *relay) Write(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
-	if r.Owns() && !r.directFirst() {
+	if r.Owns() && !r.decideDirectFirst() {
 		version, err := r.writeByPeer(ctx, operation, changes)
 		if snipeplatform.IsDefinite(err) {
 			return version, err
@@ -86,8 +92,9 @@
 	return 0, err
 }
 
-// directFirst reports whether the next write tries the store first.
-func (r *relay) directFirst() bool {
+// decideDirectFirst counts a write, and reports whether it tries the store first: always while the
+// store answers, and otherwise one of every writesPerDirectAttempt writes.
+func (r *relay) decideDirectFirst() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	if !r.storeLost {
@@ -100,17 +107,18 @@
 	return true
 }
 
-// AcceptsWrites reports whether this instance makes writes for others: whether the store answers it
-// in good time, as far as is known. After an unanswered own write it accepts no writes before the
-// store has answered another one, because an overloaded store refuses many writes and must not
-// receive each of them several times.
+// AcceptsWrites reports whether this instance makes writes for others. It does not for
+// slowStorePause after a slow write to the store. After a write without a definite answer it does
+// not until the store has answered a later one, because an overloaded store refuses many writes and
+// must not receive each of them several times.
 func (r *relay) AcceptsWrites() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return !r.storeLost && (!r.lastSlow || time.Since(r.lastWriteAt) >= slowStorePause)
 }
 
-// writeDirect writes to the store and records whether the store answers.
+// writeDirect writes to the store, and records how long the write took and whether the store gave a
+// definite answer. If that differs from the previous write, it calls OnLost or OnRecovered.
 func (r *relay) writeDirect(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 	begun := time.Now()
 	version, err := r.Direct(ctx, operation, changes)
@@ -130,7 +138,9 @@
 	return version, err
 }
 
-// writeByPeer makes a write through another instance. It returns the error of the last attempt.
+// writeByPeer makes a write through another instance, and tries up to maxRelayAttempts of them
+// until one has a definite outcome. Otherwise it returns the error of the last attempt, or
+// snipeplatform.ErrUnavailable if there is no other instance.
 func (r *relay) writeByPeer(ctx context.Context, operation string, changes []snipeplatform.Change) (version uint64, err error) {
 	err = snipeplatform.ErrUnavailable
 	others := r.Peers()
@@ -142,14 +152,16 @@
 	return version, err
 }
 
+// askPeer calls AskPeer with relayTimeout.
 func (r *relay) askPeer(ctx context.Context, peer netip.AddrPort, operation string, changes []snipeplatform.Change) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	return r.AskPeer(ctx, peer, operation, changes)
 }
 
-// relayPeers returns the instances that can write to the store for this one: those that renew their
-// rows each second, and therefore know whether the store answers.
+// relayPeers returns, in random order, the other instances that may write to the store for this
+// one: the live ones that are neither leaving nor on standby. These renew their rows each second,
+// so that they have recently observed whether the store answers.
 func (i *Instance) relayPeers() []netip.AddrPort {
 	var all []netip.AddrPort
 	// Map iteration yields a different order each time, which spreads the writes.
@@ -161,7 +173,9 @@
 	return all
 }
 
-// askWrite makes a write through another instance.
+// askWrite makes a write through another instance and returns the new version. Its error wraps
+// snipeplatform.ErrUnavailable if the other instance wrote nothing, snipeplatform.ErrConflict if a
+// condition did not hold, and snipeplatform.ErrUnknown otherwise, for example without an answer.
 func (i *Instance) askWrite(ctx context.Context, peer netip.AddrPort, operation string, changes []snipeplatform.Change) (uint64, error) {
 	r := &snipeproto.OwnershipWriteRequest{Operation: operation}
 	for _, c := range changes {
@@ -184,7 +198,9 @@
 // in one write.
 const maxRelayedChanges = 100
 
-// Write implements snipeproto.Ownership.
+// Write implements snipeproto.Ownership: it makes a write to the store for another instance.
+// Version 0 in the answer means that a condition did not hold. An error with the code Unavailable
+// means that nothing was written.
 func (s *ownershipServer) Write(ctx context.Context, r *snipeproto.OwnershipWriteRequest) (*snipeproto.OwnershipWriteResponse, error) {
 	if n := len(r.GetChanges()); n == 0 || n > maxRelayedChanges {
 		return nil, twirp.InvalidArgumentError("changes", "are none or too many")
@@ -217,7 +233,8 @@
 	return &snipeproto.OwnershipWriteResponse{Version: version}, nil
 }
 
-// buildRelay creates the relay for writes of ownership rows.
+// buildRelay creates the relay for writes of ownership rows. When the store stops answering,
+// pending reads of the store are canceled too.
 func (i *Instance) buildRelay() {
 	i.relay = &relay{
 		Direct: i.write, Peers: i.relayPeers, AskPeer: i.askWrite, Owns: func() bool { return i.holder.Owns() },
--- a/snipeentry/report.go
+++ b/snipeentry/report.go
@@ -11,9 +11,12 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// reportUses reports to the owners of engines the changes in the use of their engines, in one
-// report for each owner. A lost report is not repeated, but requests in flight are reported again
-// as long as they run.
+// reportUses reports the use of adapters to the owners of the engines, in one report for each
+// owner, and does not wait for the answers. It reports the engines whose use has changed, and from
+// time to time those with requests in flight. Uses of engines that are gone or have no owner are
+// dropped. A lost report is not repeated, but requests in flight are reported again as long as they
+// run. If the loads are not gathered, one owner that has not answered for long is sent a report
+// too.
 func (i *Instance) reportUses(ctx context.Context) {
 	v := i.holder.View()
 	directory := i.directory.Snapshot()
@@ -44,7 +47,9 @@
 	}
 }
 
-// recordOwnUse records the use of an engine that this instance owns.
+// recordOwnUse records this instance's use of an engine that it owns, as peerServer.recordUse does
+// for other instances, and drops the adapters that the engine neither holds nor loads from the
+// residency.
 func (i *Instance) recordOwnUse(id string, uses map[snipecatalog.Adapter]snipeadapter.Use) {
 	self := i.Settings.Peers.String()
 	i.board.Report(id, self, i.balancer.InFlight(id))
@@ -53,14 +58,14 @@
 	}
 }
 
-// ownerStaleAfter is how long an owner may not have answered before it is sent an empty report. A
-// load that an owner reported is used for two seconds; an engine without a known load seems idle
-// and draws too many requests.
+// ownerStaleAfter is the time since an owner's last answer after which the owner may be sent an
+// empty report. Longer: loads expire. A load that an owner reported is used for two seconds, and an
+// engine without a known load seems idle and draws too many requests. Shorter: more reports.
 const ownerStaleAfter = time.Second
 
-// addStalestOwner adds an empty report to the owner that has not answered for the longest
-// time, so that it returns the loads of its engines. It adds one owner in each interval, however
-// many there are.
+// addStalestOwner adds an empty report for the owner that has not answered for the longest time, so
+// that the owner returns the loads of its engines. It adds nothing if all owners have answered
+// within ownerStaleAfter, and at most one report on each call, however many owners there are.
 func (i *Instance) addStalestOwner(owners []netip.AddrPort, reports map[netip.AddrPort]*snipeproto.AdapterReportRequest) {
 	owner, ok := stalestOwner(owners, i.peers.lastAnswer, time.Now().Add(-ownerStaleAfter))
 	if !ok {
@@ -73,8 +78,8 @@
 	}
 }
 
-// stalestOwner returns the owner whose last answer is the oldest, if that is before since.
-// It returns false if all owners have answered since then.
+// stalestOwner returns the owner whose last answer is the oldest, if that answer came before since.
+// It returns false if all owners have answered since then, or if there are none.
 func stalestOwner(owners []netip.AddrPort, lastAnswer func(netip.AddrPort) time.Time, since time.Time) (found netip.AddrPort, ok bool) {
 	for _, owner := range owners {
 		if answered := lastAnswer(owner); answered.Before(since) {
@@ -84,12 +89,13 @@
 	return found, ok
 }
 
-// newReport returns a report without any use.
+// newReport returns a report from this instance without any use.
 func (i *Instance) newReport() *snipeproto.AdapterReportRequest {
 	return &snipeproto.AdapterReportRequest{Instance: i.Settings.Peers.String()}
 }
 
-// encodeUse returns the message for the use of one engine.
+// encodeUse returns the message for this instance's use of one engine, with the weight of its
+// requests in flight there.
 func (i *Instance) encodeUse(id string, uses map[snipecatalog.Adapter]snipeadapter.Use) *snipeproto.EngineUse {
 	e := &snipeproto.EngineUse{Engine: id, Load: i.balancer.InFlight(id)}
 	for a, u := range uses {
@@ -100,7 +106,7 @@
 	return e
 }
 
-// decodeUse returns the use of one engine from a report.
+// decodeUse returns the use of one engine, by adapter, from its message.
 func decodeUse(e *snipeproto.EngineUse) map[snipecatalog.Adapter]snipeadapter.Use {
 	uses := make(map[snipecatalog.Adapter]snipeadapter.Use, len(e.GetAdapters()))
 	for _, u := range e.GetAdapters() {
@@ -111,14 +117,15 @@
 }
 
 // reportTimeout bounds one report of use, at a hundred times the round-trip time. An owner that
-// does not answer in time is not asked for loads of adapters, and the requests that wait for it go
-// elsewhere while most latency objectives can still be met.
+// does not answer in time is not asked to load adapters until it answers a report, and the requests
+// that wait for it go elsewhere. Longer: these requests miss more latency objectives.
 const reportTimeout = 300 * time.Millisecond
 
 // peerField is the log field for another instance.
 const peerField = "Peer"
 
-// sendReport sends a report to an owner and applies the answer.
+// sendReport sends a report to an owner, waits for the answer, and applies it. It records whether
+// the owner answered, and logs when that changes.
 func (i *Instance) sendReport(ctx context.Context, to netip.AddrPort, r *snipeproto.AdapterReportRequest) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -158,12 +165,14 @@
 	return &snipeproto.AdapterReplica{Engine: engine, Model: a.Model, Adapter: a.Name}
 }
 
+// decodeAdapter returns the adapter of a message.
 func decodeAdapter(r *snipeproto.AdapterReplica) snipecatalog.Adapter {
 	return snipecatalog.Adapter{Model: r.GetModel(), Name: r.GetAdapter()}
 }
 
-// applyOwnLoads applies what other instances learn from this instance's answers to reports: the
-// loads of its own engines and the adapters that they have evicted.
+// applyOwnLoads applies to this instance's own state what its answers to reports contain for other
+// instances: the loads of the engines that it owns, and the adapters that these engines have
+// evicted since the last call.
 func (i *Instance) applyOwnLoads() {
 	recent, last := i.controller.Evictions(i.lastEviction)
 	i.lastEviction = last
--- a/snipeentry/signal.go
+++ b/snipeentry/signal.go
@@ -13,16 +13,18 @@
 )
 
 const (
-	// signalTimeout bounds one message about upstreams' signals. A lost message is made up for:
-	// signals are sent again while they are in force.
+	// signalTimeout bounds one message about the signals that upstreams send in their answers. It
+	// may be short because a message that is lost does no lasting harm: signals are sent again
+	// while they are in force.
 	signalTimeout = 300 * time.Millisecond
 	// signalPeersPerDomain is how many instances of each failure domain receive signals directly if
-	// there are many instances. The others receive them from these together with the loads of
-	// engines.
+	// the loads of engines are gathered. The other instances of the domain receive the signals from
+	// the one that gathers the loads, together with the loads.
 	signalPeersPerDomain = 2
 )
 
-// sourceField is the log field for the origin of a signal.
+// sourceField is the log field for the origin of a signal, or of the announcement that an upstream
+// is leaving.
 const sourceField = "Source"
 
 // buildSignals creates the tracker of upstreams' signals.
@@ -30,8 +32,10 @@
 	i.signals = &snipesignal.Tracker{Share: i.limitShare, Changed: i.signalChanged, BackoffStarted: i.logBackoff, Invalid: i.logInvalidSignal}
 }
 
-// limitShare returns this instance's share of an upstream's limit. The ranking of the instances
-// differs between upstreams, but all instances compute the same one.
+// limitShare returns this instance's share of an upstream's limit, which is in requests per second
+// of all instances together. The share depends on this instance's rank among the live instances.
+// The ranking differs between upstreams, but all instances that know the same live instances
+// compute the same ranking for an upstream.
 func (i *Instance) limitShare(upstream string, limit float64) snipesignal.Share {
 	key := sniperoute.Hash(upstream)
 	self := i.Settings.Peers
@@ -57,7 +61,8 @@
 	return `snipepitch_upstream_signals_total{signal="` + kind + `"}`
 }
 
-// signalChanged handles a change of an upstream's signals.
+// signalChanged logs and counts a change of an upstream's signals. If the upstream now signals that
+// it is leaving, signalChanged also marks the upstream as leaving in the directory.
 func (i *Instance) signalChanged(c snipesignal.Change) {
 	if c.Now.Leaving && !c.Before.Leaving {
 		i.meter.Count(signalCounter("Leaving"))
@@ -69,7 +74,7 @@
 	}
 }
 
-// limitChanged logs a change of an upstream's limit.
+// limitChanged logs and counts that an upstream's limit was set, changed or lifted.
 func (i *Instance) limitChanged(c snipesignal.Change) {
 	fields := snipelog.Fields{upstreamField: c.Upstream, sourceField: c.Source}
 	if c.Before.Limited {
@@ -86,19 +91,21 @@
 	i.Log.Log(snipelog.UpstreamLimited, fields)
 }
 
-// logBackoff logs that an upstream asked this instance for a backoff.
+// logBackoff logs and counts that an upstream asked this instance for a backoff: to send it nothing
+// for a time.
 func (i *Instance) logBackoff(upstream string, backoff time.Duration) {
 	i.meter.Count(signalCounter("Rest"))
 	i.Log.Log(snipelog.UpstreamRests, snipelog.Fields{upstreamField: upstream, "RestMilliseconds": backoff.Milliseconds()})
 }
 
-// logInvalidSignal logs a signal that cannot be parsed.
+// logInvalidSignal logs and counts a signal that cannot be parsed.
 func (i *Instance) logInvalidSignal(upstream, text string) {
 	i.meter.Count(signalCounter("Wrong"))
 	i.Log.Log(snipelog.SignalWrong, snipelog.Fields{upstreamField: upstream, "Value": text})
 }
 
-// sendSignals sends the signals that this instance received from upstreams to other instances.
+// sendSignals sends other instances the signals that this instance received from upstreams and that
+// are due to be sent now, and does not wait for the answers.
 func (i *Instance) sendSignals(ctx context.Context) {
 	updates := i.signals.PendingUpdates()
 	if len(updates) == 0 {
@@ -116,8 +123,9 @@
 	}
 }
 
-// signalPeers returns the instances to which signals are sent: all if there are few, otherwise the
-// first ones of each failure domain.
+// signalPeers returns the instances to which signals are sent, all of them other instances that are
+// not leaving. If the loads of engines are gathered, they are the first signalPeersPerDomain of
+// each failure domain that are not on standby, and otherwise all.
 func (i *Instance) signalPeers() []netip.AddrPort {
 	var all []netip.AddrPort
 	maxPerDomain := len(i.holder.View().Ranked)
@@ -135,7 +143,7 @@
 	return all
 }
 
-// Signal implements snipeproto.Adapter.
+// Signal implements snipeproto.Adapter: it merges the signals that another instance received.
 func (s *peerServer) Signal(_ context.Context, r *snipeproto.AdapterSignalRequest) (*snipeproto.AdapterSignalResponse, error) {
 	s.signals.Merge(decodeSignals(r.GetSignals()))
 	return &snipeproto.AdapterSignalResponse{}, nil
--- a/snipeentry/silent.go
+++ b/snipeentry/silent.go
@@ -7,17 +7,18 @@
 	"github.com/go-faster/errors"
 )
 
-// errOwnerUnresponsive reports that an owner does not answer reports of use, so that it will not
-// answer a pending request either.
+// errOwnerUnresponsive reports that a request to an owner was canceled, because the owner has not
+// answered a report of use and so is not expected to answer the request either.
 var errOwnerUnresponsive = errors.New("the owner does not answer")
 
-// pendingRequest is a request in progress.
+// pendingRequest is a request in progress to an owner to load an adapter.
 type pendingRequest struct {
-	cancel context.CancelCauseFunc
+	cancel context.CancelCauseFunc // ends the request's context
 }
 
-// trackRequest returns the context of a request to an owner. The context also ends when the owner
-// is found to be unreachable. The returned function ends the request.
+// trackRequest returns a context for a request to an owner. The context also ends, with the cause
+// errOwnerUnresponsive, when the owner becomes unreachable from now on. The caller must call the
+// returned function when the request has ended.
 func (p *peers) trackRequest(ctx context.Context, owner netip.AddrPort) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	q := &pendingRequest{cancel}
@@ -36,7 +37,7 @@
 	}
 }
 
-// endRequest drops a finished request.
+// endRequest removes a request that has ended from the pending ones.
 func (p *peers) endRequest(owner netip.AddrPort, q *pendingRequest) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -46,7 +47,8 @@
 	}
 }
 
-// isUnreachable reports whether the last report of use did not reach an instance.
+// isUnreachable reports whether an instance did not answer the last report of use. It is false for
+// an instance that was sent no report.
 func (p *peers) isUnreachable(to netip.AddrPort) bool {
 	p.lock.Lock()
 	defer p.lock.Unlock()
