--- a/snipeentry/acquaint_test.go
+++ b/snipeentry/acquaint_test.go
@@ -8,9 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestWaitForPeers covers a simultaneous start of all instances, also while the store is down. An
-// instance that knows others starts at once, one that discovers none waits for a bounded time, and
-// none waits if the store refuses reads.
+// TestWaitForPeers checks how long a starting instance waits to discover others: not at all if it
+// knows others or if the ownership rows cannot be read, and maxDiscoveryWait if it discovers none.
 func TestWaitForPeers(t *testing.T) {
 	tests := map[string]struct {
 		known   int
--- a/snipeentry/budget.go
+++ b/snipeentry/budget.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// usedShare is a safety factor: the fraction of the allowed retries that the instances use. The
-	// remainder covers errors in the number of instances while some start or end, and retries that
-	// ended instances sent within the window. It does not cover a kill of all instances at once:
-	// their successors may then spend the slack a second time.
-	usedShare = 0.85
+	// retrySafetyFactor is a safety factor: the fraction of the allowed retries that the instances
+	// use. The remainder covers errors in the number of instances while some start or end, and
+	// retries that ended instances sent within the window. It does not cover a kill of all
+	// instances at once: their successors may then spend the slack a second time.
+	retrySafetyFactor = 0.85
 	// minSharingInstances is the least number of instances among which a limit on all instances
 	// together is divided. An instance that has just started may know no others yet.
 	minSharingInstances = 6
@@ -41,7 +41,7 @@
 	if b.all == nil {
 		b.all = make(map[string]*sniperetry.Window)
 	}
-	made := &sniperetry.Window{Share: usedShare * b.share, Slack: b.slackShare, Span: b.span}
+	made := &sniperetry.Window{Share: retrySafetyFactor * b.share, Slack: b.slackShare, Span: b.span}
 	b.all[service] = made
 	return made
 }
@@ -49,5 +49,5 @@
 // slackShare returns the number of retries within one window that this instance may send as its
 // part of the slack.
 func (b *retryBudgets) slackShare() float64 {
-	return usedShare * b.slack / float64(max(b.instances(), minSharingInstances))
+	return retrySafetyFactor * b.slack / float64(max(b.instances(), minSharingInstances))
 }
--- a/snipeentry/cluster_test.go
+++ b/snipeentry/cluster_test.go
@@ -269,7 +269,8 @@
 
 const modelHeader = "X-Snipepitch-Model"
 
-// TestEndToEnd runs callers, instances, upstreams and the store together.
+// TestEndToEnd runs a caller, one instance, upstreams and the store together. Subtests check what
+// callers receive, and how often the upstreams execute each request.
 func TestEndToEnd(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	one := s.start("one")
@@ -460,8 +461,8 @@
 	must.NoError(t, <-one.ended)
 }
 
-// TestStoreLost guards against instances that drop the known routes and upstreams when the store is
-// lost.
+// TestStoreLost guards against instances that drop the known routes and upstreams or their
+// readiness when the store is lost, or miss a new catalog when the store is back.
 func TestStoreLost(t *testing.T) {
 	modes := map[string]snipestand.StoreMode{
 		"Refuses": snipestand.StoreRefuses, "Silent": snipestand.StoreSilent,
--- a/snipeentry/keys_test.go
+++ b/snipeentry/keys_test.go
@@ -170,8 +170,8 @@
 	eventually(t, func() bool { return status(t, one, "key-2") == http.StatusUnauthorized })
 }
 
-// TestHostileKeys guards against hostile Authorization headers that reach an upstream or the log,
-// with ten thousand requests without a valid key.
+// TestHostileKeys guards against malformed Authorization headers whose requests run on an upstream
+// or whose keys are logged, with ten thousand requests without a valid key.
 func TestHostileKeys(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1, workspace("north", "key-1"))
@@ -215,8 +215,9 @@
 	return values
 }
 
-// TestQuota checks that callers above their quota are told at once when to retry, and that executed
-// requests are counted.
+// TestQuota checks that requests above a workspace's quota are refused with a Retry-After header,
+// that the executed requests stay near the quota on two instances together, neither far above nor
+// far below, and that another workspace is not affected.
 func TestQuota(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	limited := workspace("north", "key-1")
--- a/snipeentry/leaving_test.go
+++ b/snipeentry/leaving_test.go
@@ -17,9 +17,9 @@
 // the upstream is leaving.
 const drainBound = 2 * time.Second
 
-// TestLeavingAnnouncedByAnswer guards against instances that keep sending requests to an upstream
-// whose answers announce that it is leaving, because the registry does not show this while the
-// store is down.
+// TestLeavingAnnouncedByAnswer guards against instances that keep sending requests to a leaving
+// upstream for longer than drainBound while the store is down. The registry then does not show that
+// the upstream is leaving, but the upstream's answers do.
 func TestLeavingAnnouncedByAnswer(t *testing.T) {
 	tests := map[string]struct {
 		leaving, target string
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestLeavingSentToPeers guards against instances that keep using an upstream after another
-// instance was notified that it is leaving, while the registry cannot show this.
+// TestLeavingSentToPeers guards against instances that keep using a leaving upstream after another
+// instance has received the upstream's signal and sent it to them, while the store is down.
 func TestLeavingSentToPeers(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
--- a/snipeentry/limit_test.go
+++ b/snipeentry/limit_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestLimitSentToPeers guards against instances that do not learn from other instances that an
-// upstream has named a limit or lifted it. An instance that sends no requests to the upstream
-// receives neither from the upstream itself.
+// TestLimitSentToPeers guards against instances that are not notified by other instances that an
+// upstream has named a limit or lifted it. Only one instance sends requests to the upstream here,
+// so the others receive no signal from the upstream itself.
 func TestLimitSentToPeers(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
--- a/snipeentry/mirror_test.go
+++ b/snipeentry/mirror_test.go
@@ -24,9 +24,10 @@
 	return rows
 }
 
-// TestWholePages covers dozens of instances that start at once and request all rows of three
-// thousand upstreams from one instance. The page is compressed once for all of them, and followers
-// that continue from it miss no change.
+// TestWholePages covers instances that start at once and request the whole table of three thousand
+// upstreams from one instance. Two requests for the whole table within packedPageLife get the same
+// compressed page, and an instance that reads on from that page receives later changes. It also
+// checks that invalid compressed rows are rejected.
 func TestWholePages(t *testing.T) {
 	const table, count = "rows", 3000
 	synctest.Test(t, func(t *testing.T) {
--- a/snipeentry/near.go
+++ b/snipeentry/near.go
@@ -66,13 +66,13 @@
 	ownershipCopyAges = maxCopyAges{Direct: 2500 * time.Millisecond, First: 2 * time.Second, Others: 2500 * time.Millisecond}
 )
 
-// singleReaderFreshness is the least time within which changes must be known at which a single
+// singleReaderStaleness is the least time within which changes must be known at which a single
 // instance reads the store for all failure domains. If changes must be known sooner, each domain
 // has its own reader, since tableCopyAges guarantees only three seconds with a single reader.
-const singleReaderFreshness = 3 * time.Second
+const singleReaderStaleness = 3 * time.Second
 
 // singleReader reports whether a single instance reads the store for all failure domains.
-func (i *Instance) singleReader() bool { return i.Settings.freshness() >= singleReaderFreshness }
+func (i *Instance) singleReader() bool { return i.Settings.maxStaleness() >= singleReaderStaleness }
 
 // maxCopyAge returns the age at which another instance's copy is too old for this instance, which
 // depends on the instance from which this one reads.
--- a/snipeentry/near_test.go
+++ b/snipeentry/near_test.go
@@ -15,9 +15,10 @@
 
 func peer(n int) netip.AddrPort { return netip.MustParseAddrPort(fmt.Sprintf("10.1.0.%d:70", n+1)) }
 
-// TestFollowedReader checks that, whichever readers have failed, no instance follows one that ranks
-// below itself, so that no two follow each other, and that the store is read in the end. An
-// instance that has lost the store asks all readers in turn.
+// TestFollowedReader checks that, however many readers have failed, no instance reads the copy of
+// one that ranks below itself, so that no two read each other's copies, and that after enough
+// failures the instance reads the store. An instance that has lost the store tries all readers in
+// turn.
 func TestFollowedReader(t *testing.T) {
 	const count = 5
 	readers := make([]netip.AddrPort, count)
@@ -40,8 +41,8 @@
 	must.False(t, ok)
 }
 
-// TestAgePassedOn guards against copies that look younger than they are after being passed on
-// several times.
+// TestAgePassedOn guards against copies that look younger each time they are passed on, because
+// their age is rounded down to milliseconds.
 func TestAgePassedOn(t *testing.T) {
 	const table = "rows"
 	m := snipemirror.New()
--- a/snipeentry/quota_test.go
+++ b/snipeentry/quota_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestSharingInstances covers a simultaneous start of all instances, which know no others yet. None
-// may assume that it is the only one.
+// TestSharingInstances guards against an instance that uses a whole limit because it knows no
+// others yet, as after a simultaneous start of all instances.
 func TestSharingInstances(t *testing.T) {
 	i := instanceWithRows(t, 0, DefaultMaxStaleness, nil)
 	must.LessEq(t, 1, i.instances())
--- a/snipeentry/reader_test.go
+++ b/snipeentry/reader_test.go
@@ -41,11 +41,11 @@
 }
 
 // instanceWithRows returns an instance that has read the given ownership rows.
-func instanceWithRows(t *testing.T, n int, freshness time.Duration, rows []snipeplatform.Row) *Instance {
+func instanceWithRows(t *testing.T, n int, maxStaleness time.Duration, rows []snipeplatform.Row) *Instance {
 	self := member(n)
 	i := &Instance{Settings: Settings{
 		Peers: self.Peer, Domain: self.Domain,
-		DrainTime: snipejson.Duration(freshness), ApplyTime: snipejson.Duration(freshness),
+		DrainTime: snipejson.Duration(maxStaleness), ApplyTime: snipejson.Duration(maxStaleness),
 	}}
 	i.peers = newPeers(&http.Client{})
 	i.holder = &snipeowner.Holder{
@@ -76,12 +76,13 @@
 	return rows
 }
 
-// TestOneReader covers hundreds of instances that follow the store's tables. One instance reads the
-// store, the first instance of each other domain follows that one, and all others follow the first
-// of their domain. If changes must be known sooner, each domain has its own reader.
+// TestOneReader covers hundreds of instances that follow the store's tables. If changes may take
+// four seconds to be known, one instance reads the store. If they must be known within two seconds,
+// one instance of each failure domain does. After enough failures of other instances, each instance
+// reads the store.
 func TestOneReader(t *testing.T) {
 	tests := map[string]struct {
-		freshness time.Duration
+		maxStaleness time.Duration
 		// readers is the number of instances that read the store, first the number of instances
 		// that detect the loss of a reader first.
 		readers, first int
@@ -94,7 +95,7 @@
 				if n >= 3*domains && n%sampleInterval != 0 {
 					continue
 				}
-				i := instanceWithRows(t, n, tt.freshness, rows)
+				i := instanceWithRows(t, n, tt.maxStaleness, rows)
 				if _, follows := i.peerCopy("rows", 0, false); !follows {
 					readers++
 				}
@@ -103,7 +104,7 @@
 				}
 				_, follows := i.peerCopy("rows", domains*perDomain, false)
 				must.False(t, follows, must.Sprint("after enough failures each instance reads the store"))
-				must.LessEq(t, tt.freshness, i.maxCopyAge(tableCopyAges)+500*time.Millisecond)
+				must.LessEq(t, tt.maxStaleness, i.maxCopyAge(tableCopyAges)+500*time.Millisecond)
 			}
 			must.Eq(t, tt.readers, readers)
 			must.Eq(t, tt.first, first)
@@ -111,8 +112,9 @@
 	}
 }
 
-// TestReaderLost checks that after the loss of the single reader only the first instance of each
-// domain reads the store. The copies of the others, which wait longer, never become too old.
+// TestReaderLost covers one failure domain after the loss of the single reader. Only the domain's
+// first instance reads the store. The other instances, which accept older copies, read the first
+// instance's copy throughout.
 func TestReaderLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &countedStore{}
--- a/snipeentry/relay.go
+++ b/snipeentry/relay.go
@@ -61,10 +61,10 @@
 	OnRecovered func()
 
 	lock        sync.Mutex // guards the fields below
-	storeLost   bool      // the last write to the store got no definite answer
-	lastSlow    bool      // the last write took longer than slowWriteTime
-	lastWriteAt time.Time // when the last write ended
-	sinceDirect int       // own writes since one last tried the store first, while the store is lost
+	storeLost   bool       // the last write to the store got no definite answer
+	lastSlow    bool       // the last write took longer than slowWriteTime
+	lastWriteAt time.Time  // when the last write ended
+	sinceDirect int        // own writes since one last tried the store first, while the store is lost
 }
 
 // Write makes all changes or none. It tries the store, and if the store gives no definite answer
--- a/snipeentry/relay_test.go
+++ b/snipeentry/relay_test.go
@@ -63,9 +63,10 @@
 	}
 }
 
-// TestRelay covers an outage in which the store does not answer a third of the instances, while
-// these reach the others. Another instance makes their renewals, in time for the next one and never
-// twice. If the store answers no instance, the renewals fail as they would without a relay.
+// TestRelay covers an outage in which the store does not answer one instance, which reaches others.
+// Another instance makes its renewals, in time for the next one, and no renewal takes effect twice.
+// If the store answers no instance, the renewals fail, and the store receives at most one more call
+// from the instance than without a relay.
 func TestRelay(t *testing.T) {
 	const renewals, every = 8, time.Second
 	tests := map[string]struct {
@@ -165,8 +166,9 @@
 	})
 }
 
-// TestRelayedRows checks that an instance accepts only a bounded number of changes in a relayed
-// write, and refuses at once if it cannot reach the store either.
+// TestRelayedRows checks that an instance rejects a write for another instance with no or too many
+// changes, and that after a write that the store did not answer it rejects such writes without a
+// call to the store.
 func TestRelayedRows(t *testing.T) {
 	s := &rowStore{calls: map[netip.AddrPort]int{}}
 	server := &ownershipServer{relay: &relay{Direct: s.via(refusedPath, peer(1)), OnLost: func(error) {}, OnRecovered: func() {}}}
@@ -187,7 +189,7 @@
 	must.Eq(t, 1, s.calls[peer(1)], must.Sprint("the store is known to be lost after the first write"))
 	must.False(t, server.relay.AcceptsWrites())
 	server.relay.lastWriteAt = server.relay.lastWriteAt.Add(-time.Minute)
-	must.False(t, server.relay.AcceptsWrites(), must.Sprint("the store stays lost until an own write is answered"))
+	must.False(t, server.relay.AcceptsWrites(), must.Sprint("the store stays lost until a write is answered"))
 }
 
 // TestOrderDenied guards against requests that wait for an engine whose owner has no right to order
--- a/snipeentry/settings.go
+++ b/snipeentry/settings.go
@@ -12,7 +12,8 @@
 	"snipepitch.example/snipepitch/snipejson"
 )
 
-// ErrSettings is wrapped by every error that reports an invalid settings file.
+// ErrSettings is wrapped by every error that reports an invalid settings file. An error that
+// reports a file that cannot be read does not wrap it.
 var ErrSettings = errors.New("invalid settings file")
 
 // maxSettings bounds a settings file in bytes.
@@ -21,51 +22,63 @@
 // Settings is the content of an entry instance's settings file. The field names are the keys of the
 // file.
 type Settings struct {
-	// Name is the instance's name, Domain its failure domain.
+	// Name is the instance's name, Domain the name of its failure domain. Instances and engines
+	// with the same Domain can fail together.
 	Name   string
 	Domain string
-	// Callers, Ready, Peers and Metrics are the listen addresses for callers, for the balancer's
-	// readiness checks, for other instances and for scrapers of metrics.
+	// Callers, Ready, Peers and Metrics are the listen addresses for callers, for the readiness
+	// checks of the load balancer in front of the instances, for other instances, and for scrapers
+	// of metrics. Peers also identifies the instance to the others.
 	Callers netip.AddrPort
 	Ready   netip.AddrPort
 	Peers   netip.AddrPort
 	Metrics netip.AddrPort
-	// Seeds are the Peers addresses of other instances, from which an instance reads while the
-	// store does not answer. They may be down.
+	// Seeds are the Peers addresses of other instances, from which this instance reads the store's
+	// tables while the store does not answer and no live instance is known or answers. The seeds
+	// may be down.
 	Seeds []netip.AddrPort
 	// Table is the address of the platform's store.
 	Table netip.AddrPort
-	// OrderGap is the least time between orders of two different instances to one engine.
+	// OrderGap is the least time from the last moment at which this instance owned an engine until
+	// it may order that engine again, if another instance owned the engine in between. It keeps two
+	// owners from alternating. Ownership before the start of this process is counted until the
+	// start. It does not delay an instance that takes over an engine for the first time later.
 	OrderGap snipejson.Duration
 	// RetryShare is the number of retries that all instances together may send for each request of
-	// a service, RetrySlack the number of retries beyond that.
+	// a service, between 0 and 1. RetrySlack is the number of retries for each service that they
+	// may send within RetrySpan beyond that.
 	RetryShare float64
 	RetrySlack float64
-	// RetrySpan is the length of the window over which both are counted.
+	// RetrySpan is the length of the window over which requests and retries are counted;
+	// DefaultRetrySpan if the file does not set it.
 	RetrySpan snipejson.Duration
-	// QuotaSpan is the length of the window over which the use of quotas is counted. Within one
-	// window, all instances together may exceed a quota by the share QuotaOverrun of it and by
-	// QuotaSlack units.
+	// QuotaSpan is the length of the window over which the use of quotas is counted;
+	// DefaultQuotaSpan if the file does not set it. Within one window, all instances together may
+	// exceed the units that a quota permits, its burst included, by the fraction QuotaOverrun of
+	// them and by QuotaSlack units.
 	QuotaSpan    snipejson.Duration
 	QuotaOverrun float64
 	QuotaSlack   float64
-	// StopTimeout bounds a planned stop.
+	// StopTimeout bounds a planned stop; requests that are then still in flight are cut off. It is
+	// at least minStopTimeout.
 	StopTimeout snipejson.Duration
 	// DrainTime is the time within which an upstream that announces that it is leaving stops
 	// receiving new work, ApplyTime the time within which operators' declarations come into force.
+	// Both are DefaultMaxStaleness if the file does not set them.
 	DrainTime snipejson.Duration
 	ApplyTime snipejson.Duration
-	// Power is the share of a core that the process gets on its machine. Tasks that are done for
-	// all instances go to the instances with the most power.
+	// Power is the share of a core that the process gets on its machine. Tasks that a few instances
+	// do for all go to the instances with the most power; instances with 0 come last.
 	Power float64
-	// MemoryBytes is the memory that the process may use.
+	// MemoryBytes is the memory that the process may use; 0 sets no limit.
 	MemoryBytes int64
-	// LogLevel is the name of a logrus level.
+	// LogLevel is the name of a logrus level; "info" if the file does not set it.
 	LogLevel string
 }
 
-// LoadSettings reads and checks a settings file. Its errors name the file, the field and the
-// reason.
+// LoadSettings reads and checks a settings file. Fields that the file does not set get their
+// defaults. Errors about the content wrap ErrSettings and name the file and the reason, and for a
+// value out of range also the field.
 func LoadSettings(path string) (Settings, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -91,27 +104,31 @@
 	return s, nil
 }
 
-// DefaultRetrySpan is the default of RetrySpan: the window over which the platform counts retries.
+// DefaultRetrySpan is the default of Settings.RetrySpan. It equals the window over which the
+// platform counts retries.
 const DefaultRetrySpan = 10 * time.Second
 
-// DefaultQuotaSpan is the default of QuotaSpan.
+// DefaultQuotaSpan is the default of Settings.QuotaSpan.
 const DefaultQuotaSpan = 10 * time.Second
 
-// DefaultMaxStaleness is the default of DrainTime and ApplyTime. The intervals at which the tables
-// are read are designed for it.
+// DefaultMaxStaleness is the default of Settings.DrainTime and Settings.ApplyTime. The intervals at
+// which the tables are read are designed for it.
 const DefaultMaxStaleness = 2 * time.Second
 
-// freshness returns the time within which changes in the store must be known.
-func (s Settings) freshness() time.Duration { return min(s.DrainTime.Value(), s.ApplyTime.Value()) }
+// maxStaleness returns the time within which an instance must know of a change in the store: the
+// shorter of DrainTime and ApplyTime.
+func (s Settings) maxStaleness() time.Duration { return min(s.DrainTime.Value(), s.ApplyTime.Value()) }
 
-// minStopTimeout is the shortest time for a planned stop. The balancer needs more than two seconds
-// to notice the stop.
+// minStopTimeout is the least StopTimeout. The load balancer in front of the instances needs more
+// than two seconds to notice a stop.
 const minStopTimeout = 4 * time.Second
 
 const notPositive = "is not positive"
 
+// invalid returns an error that wraps ErrSettings and names a field and the reason.
 func invalid(field, reason string) error { return errors.Wrapf(ErrSettings, "%s: %s", field, reason) }
 
+// checkAddresses checks that each address is valid and has a port other than 0.
 func (s Settings) checkAddresses() error {
 	addresses := map[string]netip.AddrPort{
 		callersName: s.Callers, "Ready": s.Ready, "Peers": s.Peers, "Metrics": s.Metrics, "Table": s.Table,
@@ -145,7 +162,8 @@
 	return nil
 }
 
-// checkOverruns checks the amounts by which all instances together may exceed their limits.
+// checkOverruns checks the bounds on retries, and the amounts by which all instances together may
+// exceed a quota.
 func (s Settings) checkOverruns() error {
 	for name, share := range map[string]float64{"RetryShare": s.RetryShare, "QuotaOverrun": s.QuotaOverrun} {
 		if share < 0 || share > 1 {
--- a/snipeentry/silent_test.go
+++ b/snipeentry/silent_test.go
@@ -11,9 +11,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestUnreachableOwner covers an owner that hangs while requests wait for loads on its engines. As
-// soon as a report fails to reach the owner, the pending requests to it end, and it is asked for
-// nothing until it answers a report.
+// TestUnreachableOwner covers an owner that hangs while requests wait for loads on its engines.
+// When a report to the owner fails, the pending requests to that owner end, those to another owner
+// do not, and the owner counts as unreachable until it answers a report.
 func TestUnreachableOwner(t *testing.T) {
 	asked := make(chan struct{}, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
--- a/snipeentry/snipeentry.go
+++ b/snipeentry/snipeentry.go
@@ -1,14 +1,16 @@
 // Package snipeentry implements an entry instance for a platform that keeps routes, upstreams and
 // rows in its own store. It builds the components of the instance and runs them.
 //
-// Each of these background tasks runs in its own goroutine: following the operators' declarations,
-// following the registry of upstreams, renewing the ownership of engines, reading engines that this
-// instance has taken over, exchanging loads and signals with other instances, closing idle
-// connections, the four listeners, and the planned stop. Requests run in the goroutines of
-// net/http.
+// Each of these background tasks runs in its own goroutine: keeping copies of the store's three tables
+// up to date (the operators' declarations, the registry of upstreams, and the ownership rows), renewing
+// the ownership of engines, extending leases during an outage of the store, requesting units of
+// workspace quotas, reading engines that this instance has taken over, exchanging loads and signals
+// with other instances, closing idle connections, the four listeners, and the planned stop. Requests
+// run in the goroutines of net/http.
 //
 // The request path never calls the store. If the store is lost, the last known routes and upstreams
-// stay in use; only orders to engines end.
+// stay in use; orders to engines (to load or evict adapters) end only if the owners can neither renew
+// their leases through another instance nor have them extended.
 package snipeentry
 
 import (
@@ -49,8 +51,8 @@
 	// idleConnectionTime is how long an idle connection to an upstream is kept if the upstream does
 	// not announce its own keep-alive time.
 	idleConnectionTime = 4 * time.Second
-	// maxIdleConnections bounds the idle connections to one upstream. An upstream accepts a few
-	// hundred connections from all instances together.
+	// maxIdleConnections bounds the idle connections to one upstream, and those to one other
+	// instance. An upstream accepts a few hundred connections from all instances together.
 	maxIdleConnections = 16
 	// sweepInterval is the time between two sweeps, which close idle connections and drop the state
 	// of upstreams that are gone.
@@ -61,25 +63,30 @@
 	// how soon an adapter whose demand rises suddenly is loaded on more engines, and how soon
 	// requests find it there.
 	reportInterval = 80 * time.Millisecond
-	// registryRecoveryTime is how long after an outage of the registry the entries that expired
-	// during the outage may take to reappear.
+	// registryRecoveryTime is how long, after an outage of the registry, upstreams whose entries
+	// expired during the outage are kept, so that the upstreams have time to write the entries
+	// again.
 	registryRecoveryTime = 2500 * time.Millisecond
 )
 
 // Platform connects the instance to its environment: callers, engines and the store.
 type Platform struct {
+	// Protocol parses callers' requests and interprets upstreams' answers.
 	Protocol snipegateway.Protocol
-	// ReadyPath is the path on which the balancer checks whether the instance is ready.
+	// ReadyPath is the path on which the load balancer in front of the instances checks whether
+	// this instance is ready.
 	ReadyPath string
-	Engine    snipeadapter.Engine
+	// Engine sends orders to engines and reads their state.
+	Engine snipeadapter.Engine
 	// IsAnswerTo and KeepAlive interpret answers of upstreams; see snipelink.Pool.
 	IsAnswerTo func(r *http.Request, a *http.Response) bool
 	KeepAlive  func(a *http.Response) time.Duration
 	// Source returns the reader of a table of the store. Write changes rows; see snipeowner.Table.
 	Source func(table string) snipemirror.Source
 	Write  func(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error)
-	// DeclaredTable holds the operators' declarations, UpstreamTable the registry. The errors that
-	// DecodeUpstreams returns beside a change describe the rows that could not be decoded.
+	// DeclaredTable is the name of the table of the operators' declarations, UpstreamTable that of
+	// the registry. DecodeUpstreams also returns an error for each row that cannot be decoded, in
+	// the order of the change's Undecodable keys.
 	DeclaredTable   string
 	DecodeDeclared  func(rows []snipemirror.Row, position uint64) snipecatalog.Change
 	UpstreamTable   string
@@ -99,9 +106,10 @@
 	Log       *snipelog.Logger
 	// LogDropped returns the number of dropped log lines; nil means none.
 	LogDropped func() uint64
-	// Reload reads the settings file again. An error leaves the settings unchanged.
+	// Reload reads and checks the settings file again. It is called on SIGHUP; the result is only
+	// compared with Settings and logged.
 	Reload func() (Settings, error)
-	// Listen opens a listener; nil means TCP.
+	// Listen opens a listener at an address; nil means TCP.
 	Listen func(ctx context.Context, address netip.AddrPort) (net.Listener, error)
 
 	stopSignalsOnce sync.Once // makes stopSignals
@@ -133,10 +141,11 @@
 	lastEviction uint64
 
 	tables      tables
-	stopSignals chan os.Signal
+	stopSignals chan os.Signal // the signals for waitStop
 }
 
-// Run serves until a signal stops the instance or ctx ends.
+// Run serves until ctx ends, SIGTERM, SIGINT or Stop stops the instance, or a task fails. It
+// returns the error of the task that ended first, which is nil after a planned stop.
 func (i *Instance) Run(ctx context.Context) error {
 	i.build()
 	i.makeStopSignals()
@@ -176,28 +185,32 @@
 	return err
 }
 
-// maxSignals bounds the signals that wait to be handled by waitStop.
+// maxSignals bounds the signals that wait to be handled by waitStop. Further signals are dropped.
 const maxSignals = 4
 
+// makeStopSignals creates the channel stopSignals on the first call, so that Stop can be called
+// before Run.
 func (i *Instance) makeStopSignals() {
 	i.stopSignalsOnce.Do(func() { i.stopSignals = make(chan os.Signal, maxSignals) })
 }
 
-// Stop begins a planned stop, as a signal does.
+// Stop begins a planned stop, as SIGTERM does, and does not wait for its end. It does nothing if
+// maxSignals signals already wait to be handled.
 func (i *Instance) Stop() {
 	i.makeStopSignals()
 	select {
 	case i.stopSignals <- syscall.SIGTERM:
-	default: // a stop is already pending
+	default: // maxSignals signals are pending
 	}
 }
 
-// addTask adds a background task that ends with the instance.
+// addTask adds a background task to g. The task's context ends when any task of g has ended.
 func (i *Instance) addTask(ctx context.Context, g *run.Group, f func(ctx context.Context) error) {
 	ctx, cancel := context.WithCancel(ctx)
 	g.Add(func() error { return f(ctx) }, func(error) { cancel() })
 }
 
+// build creates the components of the instance.
 func (i *Instance) build() {
 	s := i.Settings
 	i.meter = snipemeter.New()
@@ -260,7 +273,8 @@
 	return time.Duration(t.Nano())
 }
 
-// peerClient returns the HTTP client for requests to other instances.
+// peerClient returns the HTTP client for requests to other instances, which counts calls and
+// traffic.
 func peerClient(m *snipemeter.Meter) *http.Client {
 	dial := snipelink.Dialer()
 	return &http.Client{Transport: &countedTransport{meter: m, RoundTripper: &http.Transport{
@@ -279,7 +293,8 @@
 	}}}
 }
 
-// engineAddresses returns the addresses of all engines that are not leaving.
+// engineAddresses returns the addresses of all engines that are not leaving, which instances may
+// own.
 func (i *Instance) engineAddresses() []netip.AddrPort {
 	var all []netip.AddrPort
 	for _, u := range i.engines() {
@@ -290,7 +305,7 @@
 	return all
 }
 
-// engines returns the upstreams of all services that run models.
+// engines returns the upstreams of all services that run models, or nil if no catalog is known.
 func (i *Instance) engines() []*snipedirectory.Upstream {
 	c := i.catalog.Catalog()
 	if c == nil {
@@ -305,7 +320,8 @@
 	return all
 }
 
-// adapterSlots returns how many adapters an engine can hold.
+// adapterSlots returns how many adapters an engine can hold, or 0 if the catalog does not declare
+// the engine's service as one that runs models.
 func (i *Instance) adapterSlots(u *snipedirectory.Upstream) int {
 	c := i.catalog.Catalog()
 	if c == nil || c.Services[u.Service] == nil || c.Services[u.Service].Engine == nil {
@@ -314,8 +330,9 @@
 	return c.Services[u.Service].Engine.AdapterSlots
 }
 
-// modelFor returns the base model that an engine without one should load: the model that the fewest
-// engines of its service hold.
+// modelFor returns the base model that an engine should load: the model that the fewest engines of
+// its service hold, or "" if the engine holds a model already or the catalog does not declare its
+// service as one that runs models.
 func (i *Instance) modelFor(u *snipedirectory.Upstream) string {
 	c := i.catalog.Catalog()
 	if c == nil || len(u.Models) > 0 || c.Services[u.Service] == nil || c.Services[u.Service].Engine == nil {
@@ -336,7 +353,8 @@
 	return rarest
 }
 
-// readTakenEngines reads the state of engines that this instance has come to own.
+// readTakenEngines has the controller read the state of the engines that this instance owns, as far
+// as the state is not known yet. An engine that cannot be read is tried again on the next call.
 func (i *Instance) readTakenEngines(ctx context.Context) {
 	for _, u := range i.engines() {
 		if !u.Leaving {
@@ -345,7 +363,9 @@
 	}
 }
 
-// ownerReachable reports whether an engine has an owner that can be asked to load adapters.
+// ownerReachable reports whether an engine has an owner that can be asked to load adapters: this
+// instance, or another one that answered the last report and has not just denied a request because
+// it must not order the engine.
 func (i *Instance) ownerReachable(u *snipedirectory.Upstream) bool {
 	owner, ok := i.holder.View().Owners[u.Address]
 	return ok && (owner.Self || !i.peers.isUnreachable(owner.Instance.Peer) && i.peers.ownerMayOrder(u.Address))
@@ -357,10 +377,12 @@
 	return i.tables.catalog.Mirror.Age() > i.Settings.ApplyTime.Value()
 }
 
-// instances returns the number of instances that share the requests.
+// instances returns the number of live instances, this one included once it has read its own
+// ownership row; 0 before the first read.
 func (i *Instance) instances() int { return len(i.holder.View().Live) }
 
-// logSuspect logs that an upstream is avoided as suspect, or trusted again.
+// logSuspect logs that an upstream is avoided because it is suspected to have failed, or trusted
+// again.
 func (i *Instance) logSuspect(id string, suspect bool) {
 	if suspect {
 		i.Log.Log(snipelog.UpstreamSuspect, snipelog.Fields{upstreamField: id})
--- a/snipeentry/stop.go
+++ b/snipeentry/stop.go
@@ -13,10 +13,13 @@
 )
 
 const (
-	// stopAcceptTime is how long a stopping instance still accepts connections. The balancer checks
-	// readiness once a second and removes the instance after two failed checks.
+	// stopAcceptTime is how long a stopping instance still accepts connections. The load balancer
+	// in front of the instances checks readiness once a second, and removes an instance after two
+	// failed checks. Shorter: the load balancer would still send callers to a closed listener.
+	// Longer: less of the stop timeout is left for the requests in flight.
 	stopAcceptTime = 3 * time.Second
-	// stopReserve is the part of the stop timeout that is kept for the final shutdown.
+	// stopReserve is the part of the stop timeout that is kept for ending the process, after the
+	// wait for requests in flight.
 	stopReserve = 500 * time.Millisecond
 )
 
@@ -25,16 +28,19 @@
 
 func (s *stopState) stopping() bool { return s.begun.Load() }
 
-// ready reports whether the balancer may send callers to this instance: routes and some upstreams
-// are known, and no stop has begun.
+// ready reports whether the load balancer may send callers to this instance: routes and some
+// upstreams are known, and no planned stop has begun.
 func (i *Instance) ready() bool {
 	return !i.stopState.stopping() && i.catalog.Catalog() != nil && i.directory.Snapshot().Len() > 0
 }
 
-// waitStop waits for a signal and carries out a planned stop. Readiness ends at once, connections
-// are accepted until the balancer has noticed, and requests in flight run to their end. The servers
-// are shut down one after the other: until its callers' requests have ended, the instance answers
-// other instances, because in an outage of the store an owner's lease extension may need this
+// waitStop blocks until a signal to stop arrives, carries out a planned stop, and returns nil; it
+// returns nil without a stop when ctx ends. SIGHUP does not stop the instance but calls reload.
+//
+// In a planned stop, readiness ends and the release of the owned engines begins at once, connections are accepted for
+// stopAcceptTime, and requests in flight may run until stopReserve before the end of the stop timeout.
+// The servers are shut down one after the other: until its callers' requests have ended, the instance
+// answers other instances, because in an outage of the store an owner's lease extension may need this
 // instance's grant.
 func (i *Instance) waitStop(ctx context.Context, servers []*http.Server) error {
 	for {
@@ -65,7 +71,9 @@
 	return nil
 }
 
-// reload reads the settings file again. An invalid file changes nothing.
+// reload reads and checks the settings file, and logs an error or whether the settings differ from
+// those in force. It does not apply the settings: a change comes into force when the process
+// restarts.
 func (i *Instance) reload() {
 	s, err := i.Reload()
 	if err != nil {
--- a/snipeentry/stop_test.go
+++ b/snipeentry/stop_test.go
@@ -9,9 +9,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestStopAnswersPeers covers planned stops while the store answers no instance. Until its last
-// requests have ended, a stopping instance must answer requests for lease extensions, since the
-// other instances take a missing answer for a refusal.
+// TestStopAnswersPeers guards against a stopping instance that closes its listener for other
+// instances while a caller's request is still in flight: it checks that the listener accepts a
+// connection then, and that the request completes. Other instances may need this instance's grant
+// for a lease extension, and take a missing answer for a refusal.
 func TestStopAnswersPeers(t *testing.T) {
 	s := newTestCluster(t, time.Second)
 	one := s.start("one")
