--- a/snipeentry/relay.go
+++ b/snipeentry/relay.go
@@ -37,13 +37,13 @@
 // writeFunc makes all changes or none; see snipeowner.Table.
 type writeFunc = func(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error)
 
-// relay writes ownership rows. While the store does not answer this instance, another instance makes
-// this instance's writes, so that owners that are cut off from the store keep the right to order
-// engines, which depends on their renewals.
+// relay writes ownership rows. While the store does not answer this instance, another instance
+// makes this instance's writes, so that owners that are cut off from the store keep the right to
+// order engines, which depends on their renewals.
 //
-// Relaying is safe whatever the outcome of a single attempt. Each write is conditional on the versions
-// of the rows that it changes, so that at most one attempt takes effect, and the right to order is
-// counted from before the first attempt was sent.
+// Relaying is safe whatever the outcome of a single attempt. Each write is conditional on the
+// versions of the rows that it changes, so that at most one attempt takes effect, and the right to
+// order is counted from before the first attempt was sent.
 type relay struct {
 	// Direct writes to the store.
 	Direct writeFunc
--- a/snipeentry/relay_test.go
+++ b/snipeentry/relay_test.go
@@ -63,10 +63,10 @@
 	}
 }
 
-// TestRelay covers an outage in which the store does not answer one instance, which reaches others.
-// Another instance makes its renewals, in time for the next one, and no renewal takes effect twice.
-// If the store answers no instance, the renewals fail, and the store receives at most one more call
-// from the instance than without a relay.
+// TestRelay covers outages in which the store refuses or does not answer the writes of an instance
+// that reaches other instances. Another instance makes the renewals, in time for the next one. If
+// the store answers no instance, the renewals fail. In all cases, no renewal takes effect twice,
+// and the instance itself calls the store at most once for each renewal.
 func TestRelay(t *testing.T) {
 	const renewals, every = 8, time.Second
 	tests := map[string]struct {
--- a/snipeentry/settings.go
+++ b/snipeentry/settings.go
@@ -41,8 +41,8 @@
 	Table netip.AddrPort
 	// OrderGap is the least time from the last moment at which this instance owned an engine until
 	// it may order that engine again, if another instance owned the engine in between. It keeps two
-	// owners from alternating. Ownership before the start of this process is counted until the
-	// start. It does not delay an instance that takes over an engine for the first time later.
+	// owners from alternating. An instance does not know which engines it owned before its process
+	// started, so for an engine that it has not owned since, it counts the time from its start.
 	OrderGap snipejson.Duration
 	// RetryShare is the number of retries that all instances together may send for each request of
 	// a service, between 0 and 1. RetrySlack is the number of retries for each service that they
--- a/snipeentry/snipeentry.go
+++ b/snipeentry/snipeentry.go
@@ -1,16 +1,16 @@
 // Package snipeentry implements an entry instance for a platform that keeps routes, upstreams and
 // rows in its own store. It builds the components of the instance and runs them.
 //
-// Each of these background tasks runs in its own goroutine: keeping copies of the store's three tables
-// up to date (the operators' declarations, the registry of upstreams, and the ownership rows), renewing
-// the ownership of engines, extending leases during an outage of the store, requesting units of
-// workspace quotas, reading engines that this instance has taken over, exchanging loads and signals
-// with other instances, closing idle connections, the four listeners, and the planned stop. Requests
-// run in the goroutines of net/http.
+// Each of these background tasks runs in its own goroutine: keeping copies of the store's three
+// tables up to date (the operators' declarations, the registry of upstreams, and the ownership
+// rows), renewing the ownership of engines, extending leases during an outage of the store,
+// requesting units of workspace quotas, reading engines that this instance has taken over,
+// exchanging loads and signals with other instances, closing idle connections, the four listeners,
+// and the planned stop. Requests run in the goroutines of net/http.
 //
 // The request path never calls the store. If the store is lost, the last known routes and upstreams
-// stay in use; orders to engines (to load or evict adapters) end only if the owners can neither renew
-// their leases through another instance nor have them extended.
+// stay in use; orders to engines (to load or evict adapters) end only if the owners can neither
+// renew their leases through another instance nor have them extended.
 package snipeentry
 
 import (
