--- a/snipeentry/peers.go
+++ b/snipeentry/peers.go
@@ -51,8 +51,9 @@
 }
 
 // Ensure implements snipeproto.Adapter. It waits until an engine that this instance owns holds an
-// adapter. Its error codes tell the requester why the load failed: FailedPrecondition means that
-// this instance must not order the engine, and Aborted that the engine accepts no connection.
+// adapter. An answer with Busy set means that the load is not expected to complete in time. The
+// error code FailedPrecondition means that this instance must not order the engine, and Aborted
+// that the engine accepts no connection.
 func (s *peerServer) Ensure(ctx context.Context, r *snipeproto.AdapterEnsureRequest) (*snipeproto.AdapterEnsureResponse, error) {
 	a := snipecatalog.Adapter{Model: r.GetModel(), Name: r.GetAdapter()}
 	maxWait := time.Duration(r.GetPatienceMilliseconds()) * time.Millisecond
@@ -72,7 +73,8 @@
 }
 
 // Report implements snipeproto.Adapter. It records an instance's use of engines, and returns the
-// loads of all engines for which there are reports and the evictions that are new to that instance.
+// loads of all engines for which there are reports the evictions that were not reported to that
+// instance before, and for the reported engines what recordUse adds.
 func (s *peerServer) Report(_ context.Context, r *snipeproto.AdapterReportRequest) (*snipeproto.AdapterReportResponse, error) {
 	answer := &snipeproto.AdapterReportResponse{}
 	for _, e := range r.GetEngines() {
--- a/snipeentry/peers_test.go
+++ b/snipeentry/peers_test.go
@@ -16,8 +16,9 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// TestReportOfUse checks that an instance that reports the use of an engine's adapters learns which
-// of them the engine no longer holds and which other engines hold the rest.
+// TestReportOfUse checks that the answer to a report of the use of an engine's adapters names the
+// adapters that the engine does not hold, the other engines that hold the rest, and the engine's
+// load, and that the reporting instance applies all three.
 func TestReportOfUse(t *testing.T) {
 	const engine, other, version = "e1", "e2", 7
 	held := snipecatalog.Adapter{Model: "base", Name: "held"}
