--- a/snipeentry/peers.go
+++ b/snipeentry/peers.go
@@ -73,7 +73,7 @@
 }
 
 // Report implements snipeproto.Adapter. It records an instance's use of engines, and returns the
-// loads of all engines for which there are reports the evictions that were not reported to that
+// loads of all engines for which there are reports, the evictions that were not reported to that
 // instance before, and for the reported engines what recordUse adds.
 func (s *peerServer) Report(_ context.Context, r *snipeproto.AdapterReportRequest) (*snipeproto.AdapterReportResponse, error) {
 	answer := &snipeproto.AdapterReportResponse{}
