--- a/snipeentry/peers_test.go
+++ b/snipeentry/peers_test.go
@@ -16,8 +16,9 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// TestReportOfUse checks that an instance that reports the use of an engine's adapters learns which
-// of them the engine no longer holds and which other engines hold the rest.
+// TestReportOfUse checks that the answer to a report of the use of an engine's adapters names the
+// adapters that the engine does not hold, the other engines that hold the rest, and the engine's
+// load, and that the reporting instance applies all three.
 func TestReportOfUse(t *testing.T) {
 	const engine, other, version = "e1", "e2", 7
 	held := snipecatalog.Adapter{Model: "base", Name: "held"}
@@ -67,8 +68,9 @@
 	must.Positive(t, i.balancer.Busy(u))
 }
 
-// TestStalestOwner covers many instances of which few use the two engines of one owner. Each instance
-// still receives the loads of every owner once a second.
+// TestStalestOwner checks which owner is sent an empty report for the loads of its engines: the one
+// whose last answer is the oldest, if that is more than a second ago. Otherwise an instance that
+// uses none of an owner's engines would not receive their loads.
 func TestStalestOwner(t *testing.T) {
 	address := func(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 80) }
 	owners := []netip.AddrPort{address(10), address(20)}
