--- a/snipebalance/snipebalance.go
+++ b/snipebalance/snipebalance.go
@@ -279,9 +279,9 @@
 	}
 }
 
-// Answered records an answer, and whether it was a failure. Any answer, also a failure, ends a
+// RecordAnswer records an answer, and whether it was a failure. Any answer, also a failure, ends a
 // suspicion and resets the count of requests without an answer.
-func (b *Balancer) Answered(id string, failed bool) {
+func (b *Balancer) RecordAnswer(id string, failed bool) {
 	b.lock.Lock()
 	s := b.state(id)
 	s.failures *= failureDecay
@@ -296,22 +296,22 @@
 	}
 }
 
-// Unreached records that a connection to an upstream, or to the owner of an engine, could not be
+// RecordUnreached records that a connection to an upstream, or to the owner of an engine, could not be
 // opened. This makes the upstream suspect at once.
-func (b *Balancer) Unreached(id string) { b.recordFailure(id, true) }
+func (b *Balancer) RecordUnreached(id string) { b.recordFailure(id, true) }
 
-// Replaced records that another upstream answered at the address of this one, so that this one is
+// RecordReplaced records that another upstream answered at the address of this one, so that this one is
 // gone for good. This makes it suspect for replacedSuspicion.
-func (b *Balancer) Replaced(id string) {
+func (b *Balancer) RecordReplaced(id string) {
 	b.lock.Lock()
 	b.state(id).suspectUntil = time.Now().Add(replacedSuspicion)
 	b.lock.Unlock()
 	b.notify(id, true)
 }
 
-// Unanswered records that a request got no usable answer. maxUnanswered failures in a row make the
+// RecordUnanswered records that a request got no usable answer. maxUnanswered failures in a row make the
 // upstream suspect.
-func (b *Balancer) Unanswered(id string) { b.recordFailure(id, false) }
+func (b *Balancer) RecordUnanswered(id string) { b.recordFailure(id, false) }
 
 // recordFailure counts a failure, which makes the upstream suspect if atOnce is set, and otherwise
 // from the maxUnanswered-th failure in a row on. Each failure that does so doubles the time
@@ -338,8 +338,8 @@
 	}
 }
 
-// Keep drops the state of all upstreams for which known returns false.
-func (b *Balancer) Keep(known func(id string) bool) {
+// Retain drops the state of all upstreams for which known returns false.
+func (b *Balancer) Retain(known func(id string) bool) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	maps.DeleteFunc(b.states, func(id string, _ *state) bool { return !known(id) })
--- a/snipebalance/snipebalance_test.go
+++ b/snipebalance/snipebalance_test.go
@@ -33,20 +33,20 @@
 		"Ended":     {func(b *snipebalance.Balancer) { b.Begin("near", 2)() }, "near"},
 		"ToldLoad":  {func(b *snipebalance.Balancer) { b.SetLoad("near", 5) }, "far"},
 		"OldTold":   {func(b *snipebalance.Balancer) { b.SetLoad("near", 5); time.Sleep(3 * time.Second) }, "near"},
-		"Unreached": {func(b *snipebalance.Balancer) { b.Unreached("near") }, "far"},
+		"Unreached": {func(b *snipebalance.Balancer) { b.RecordUnreached("near") }, "far"},
 		"Recovered": {func(b *snipebalance.Balancer) {
-			b.Unreached("near")
+			b.RecordUnreached("near")
 			time.Sleep(time.Second)
 			for range 12 {
-				b.Answered("near", false)
+				b.RecordAnswer("near", false)
 			}
 		}, "near"},
 		"Failing": {func(b *snipebalance.Balancer) {
 			for range 3 {
-				b.Answered("near", true)
+				b.RecordAnswer("near", true)
 			}
 		}, "far"},
-		"AllSuspect": {func(b *snipebalance.Balancer) { b.Unreached("near"); b.Unreached("far") }, "near"},
+		"AllSuspect": {func(b *snipebalance.Balancer) { b.RecordUnreached("near"); b.RecordUnreached("far") }, "near"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -80,12 +80,12 @@
 		b := &snipebalance.Balancer{Suspect: func(_ string, s bool) { notified = append(notified, s) }}
 		u := upstreams()[0]
 		for range 6 {
-			b.Unreached(u.ID)
+			b.RecordUnreached(u.ID)
 			must.False(t, b.Usable(u))
 			time.Sleep(3 * time.Second)
 			must.True(t, b.Usable(u))
 		}
-		b.Answered(u.ID, false)
+		b.RecordAnswer(u.ID, false)
 		must.Eq(t, []bool{true, true, true, true, true, true, false}, notified)
 	})
 }
@@ -95,10 +95,10 @@
 func TestUnansweredRequests(t *testing.T) {
 	b := &snipebalance.Balancer{}
 	u := upstreams()[0]
-	b.Unanswered(u.ID)
-	b.Unanswered(u.ID)
+	b.RecordUnanswered(u.ID)
+	b.RecordUnanswered(u.ID)
 	must.True(t, b.Usable(u))
-	b.Unanswered(u.ID)
+	b.RecordUnanswered(u.ID)
 	must.False(t, b.Usable(u))
 	b.Forget(u.ID)
 	must.True(t, b.Usable(u))
--- a/snipeentry/feed.go
+++ b/snipeentry/feed.go
@@ -216,7 +216,7 @@
 	now := i.directory.Snapshot()
 	registered := func(id string) bool { return now.ByID(id) != nil }
 	i.residency.Retain(registered)
-	i.balancer.Keep(registered)
+	i.balancer.Retain(registered)
 	i.signals.Retain(registered)
 }
 
--- a/snipeentry/quota.go
+++ b/snipeentry/quota.go
@@ -101,7 +101,7 @@
 	r := &snipeproto.QuotaIssueRequest{Instance: self.String()}
 	for _, a := range asks {
 		r.Asks = append(r.Asks, &snipeproto.QuotaAsk{
-			Workspace: a.Workspace, Need: a.Need, First: a.First, Ahead: a.Ahead, Held: a.Held, Alone: a.FallbackUsed,
+			Workspace: a.Workspace, Need: a.Need, First: a.FirstNeed, Ahead: a.AheadOfUse, Held: a.Held, Alone: a.FallbackUsed,
 			Demand: a.Demand, Level: a.Level, AgeMilliseconds: a.LevelAge.Milliseconds(), Known: a.LevelKnown,
 		})
 	}
@@ -128,7 +128,7 @@
 	asks := make([]snipequota.Ask, 0, len(r.GetAsks()))
 	for _, a := range r.GetAsks() {
 		asks = append(asks, snipequota.Ask{
-			Workspace: a.GetWorkspace(), Need: a.GetNeed(), First: a.GetFirst(), Ahead: a.GetAhead(), Held: a.GetHeld(),
+			Workspace: a.GetWorkspace(), Need: a.GetNeed(), FirstNeed: a.GetFirst(), AheadOfUse: a.GetAhead(), Held: a.GetHeld(),
 			FallbackUsed: a.GetAlone(), Demand: a.GetDemand(), Level: a.GetLevel(),
 			LevelAge: time.Duration(a.GetAgeMilliseconds()) * time.Millisecond, LevelKnown: a.GetKnown(),
 		})
--- a/snipegateway/attempt.go
+++ b/snipegateway/attempt.go
@@ -98,7 +98,7 @@
 	}
 	c.mayHaveRun++
 	if !v.Signed {
-		g.Balancer.Unanswered(u.ID)
+		g.Balancer.RecordUnanswered(u.ID)
 		g.Log.Log(snipelog.AnswerDiscarded, snipelog.Fields{requestField: c.ID, "Upstream": u.ID, "Status": answer.StatusCode})
 		return snipeerror.New(snipeerror.ErrMismatch, snipeerror.MayHaveRun, "the upstream's answer has no receipt")
 	}
@@ -147,7 +147,7 @@
 	b := c.gateway.Balancer
 	if errors.Is(err, snipelink.ErrNotSent) {
 		if ctx.Err() == nil {
-			b.Unreached(id)
+			b.RecordUnreached(id)
 		}
 		return snipeerror.New(snipeerror.ErrNoUpstream, c.outcome(), err.Error())
 	}
@@ -155,7 +155,7 @@
 	if ctx.Err() != nil {
 		return snipeerror.New(snipeerror.ErrDeadline, snipeerror.MayHaveRun, err.Error())
 	}
-	b.Unanswered(id)
+	b.RecordUnanswered(id)
 	return snipeerror.New(snipeerror.ErrUpstreamFailed, snipeerror.MayHaveRun, err.Error())
 }
 
@@ -168,7 +168,7 @@
 	id := d.Upstream.ID
 	switch {
 	case v.Elsewhere:
-		c.gateway.Balancer.Replaced(id)
+		c.gateway.Balancer.RecordReplaced(id)
 	case v.Signal.Backoff > 0:
 		// The engine has no free slot, but keeps its adapters during its backoff.
 	case c.Adapter.Name != "":
@@ -193,11 +193,11 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(answer, maxBuffered))
 	if err != nil {
-		c.gateway.Balancer.Unanswered(id)
+		c.gateway.Balancer.RecordUnanswered(id)
 		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, err.Error())
 	}
 	failed := answer.StatusCode >= http.StatusInternalServerError
-	c.gateway.Balancer.Answered(id, failed)
+	c.gateway.Balancer.RecordAnswer(id, failed)
 	w := &bufferedAnswer{status: answer.StatusCode, header: endToEnd(answer.Header), body: body}
 	if len(body) == maxBuffered {
 		return c.writeUnbuffered(w, answer)
--- a/snipegateway/limit_test.go
+++ b/snipegateway/limit_test.go
@@ -37,7 +37,7 @@
 		announceLimit(c.Signals, 1, home)
 		for _, id := range []string{"e0", "e1", "e2"} {
 			if id != home {
-				c.Balancer.Unreached(id)
+				c.Balancer.RecordUnreached(id)
 			}
 		}
 		_, err = c.Choose(t.Context(), service, request, nil, latencyTarget)
--- a/snipegateway/loading.go
+++ b/snipegateway/loading.go
@@ -178,7 +178,7 @@
 		c.estimators.forService(u.Service).recordLoad(time.Since(start))
 		c.Residency.RecordHeld(key.engine, key.adapter, l.version)
 	case errors.Is(l.err, snipeadapter.ErrUnreached):
-		c.Balancer.Unreached(key.engine)
+		c.Balancer.RecordUnreached(key.engine)
 	}
 	c.lock.Lock()
 	if c.loads[key] == l {
--- a/snipegateway/replicas_test.go
+++ b/snipegateway/replicas_test.go
@@ -109,10 +109,10 @@
 	return n
 }
 
-// TestSpare guards against the eviction of an adapter that the other holders cannot take over
+// TestCanEvict guards against the eviction of an adapter that the other holders cannot take over
 // without a further replica, and against the loss of the last holder: the first holder in rank
 // always keeps the adapter.
-func TestSpare(t *testing.T) {
+func TestCanEvict(t *testing.T) {
 	ranked := newChooser(&fakeOwners{}, 4).RankedForTest(service, request.Adapter)
 	tests := map[string]struct {
 		holders   []string
--- a/snipegateway/stream.go
+++ b/snipegateway/stream.go
@@ -93,7 +93,7 @@
 // finishStream writes what is left of a stream that has reached its end: the data after the last
 // whole event, and the header if the stream had no event.
 func (c *call) finishStream(id string, answer *snipelink.Answer, remainder []byte) error {
-	c.gateway.Balancer.Answered(id, false)
+	c.gateway.Balancer.RecordAnswer(id, false)
 	if len(remainder) == 0 && c.answerStarted {
 		return nil
 	}
@@ -103,7 +103,7 @@
 // streamError records a stream that broke off and returns its error.
 func (c *call) streamError(ctx context.Context, id string, err error) error {
 	if ctx.Err() == nil {
-		c.gateway.Balancer.Unanswered(id)
+		c.gateway.Balancer.RecordUnanswered(id)
 		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun, err.Error())
 	}
 	return snipeerror.New(snipeerror.ErrDeadline, snipeerror.MayHaveRun, err.Error())
--- a/snipehealth/snipehealth_test.go
+++ b/snipehealth/snipehealth_test.go
@@ -88,9 +88,9 @@
 	}
 }
 
-// TestLongestPause guards against a shorter backoff, from a call that was already running, that
+// TestLongestBackoff guards against a shorter backoff, from a call that was already running, that
 // ends a longer backoff of the same upstream.
-func TestLongestPause(t *testing.T) {
+func TestLongestBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker()
 		tracker.Observe("0", Observation{Reached: true, Backoff: 3 * time.Second})
@@ -127,10 +127,10 @@
 	}
 }
 
-// TestReturn guards against an upstream that gets calls again without a probe, or at
+// TestReadmission guards against an upstream that gets calls again without a probe, or at
 // once with its full share, and against a probe delay that starts again at its minimum
 // when the upstream fails in the state Ramp.
-func TestReturn(t *testing.T) {
+func TestReadmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker()
 		all := func(string) bool { return true }
@@ -193,9 +193,9 @@
 	})
 }
 
-// TestWatch checks the Observation that follows from the failure of a call. It guards
+// TestObservationOfFailure checks the Observation that follows from the failure of a call. It guards
 // against failures that wrongly count, or do not count, as failures of the upstream.
-func TestWatch(t *testing.T) {
+func TestObservationOfFailure(t *testing.T) {
 	tests := map[string]struct {
 		err  error
 		want Observation
--- a/snipeowner/snipeowner_test.go
+++ b/snipeowner/snipeowner_test.go
@@ -78,7 +78,7 @@
 		before := s.holders[0].View()
 		s.runAndCheck(3 * time.Second)
 		after := s.holders[0].View()
-		must.Greater(t, 0, after.Read.Sub(before.Read))
+		must.Greater(t, 0, after.CreatedAt.Sub(before.CreatedAt))
 		must.True(t, maps.Equal(before.Owners, after.Owners))
 		s.stops[1]()
 		s.runAndCheck(8 * time.Second)
--- a/snipeowner/view.go
+++ b/snipeowner/view.go
@@ -31,9 +31,9 @@
 	// the owners other than this instance.
 	Owners      map[netip.AddrPort]Owner
 	OtherOwners []netip.AddrPort
-	// Read is when the view was created. That is at the end of each step, also if the rows could
+	// CreatedAt is when the view was created. That is at the end of each step, also if the rows could
 	// not be read or the renewal failed, and after each successful read between two steps.
-	Read time.Time
+	CreatedAt time.Time
 }
 
 // View returns the last snapshot. It is never nil, but empty until the rows were first read.
@@ -48,7 +48,7 @@
 // steps find no change.
 func (h *Holder) publish() {
 	last := h.View()
-	v := &View{Live: make(map[netip.AddrPort]Instance, len(last.Live)), Read: time.Now()}
+	v := &View{Live: make(map[netip.AddrPort]Instance, len(last.Live)), CreatedAt: time.Now()}
 	for peer, r := range h.instances {
 		switch {
 		case h.live(r):
--- a/snipequota/allowance.go
+++ b/snipequota/allowance.go
@@ -107,17 +107,17 @@
 	q := Ask{Workspace: name, Held: p.remaining, FallbackUsed: p.fallbackUsed, Demand: p.demand}
 	for n, r := range p.waiting {
 		if n == 0 {
-			q.First = r.units - p.remaining
+			q.FirstNeed = r.units - p.remaining
 		}
 		q.Need += r.units
 	}
 	if q.Need > 0 {
 		q.Need -= p.remaining
 	} else if p.remaining < 0 {
-		q.Need, q.First = -p.remaining, -p.remaining
+		q.Need, q.FirstNeed = -p.remaining, -p.remaining
 	}
-	q.Need, q.First = max(q.Need, 0), max(q.First, 0)
-	q.Ahead = p.ahead()
+	q.Need, q.FirstNeed = max(q.Need, 0), max(q.FirstNeed, 0)
+	q.AheadOfUse = p.ahead()
 	if !p.levelAt.IsZero() {
 		q.Level, q.LevelAge, q.LevelKnown = p.level, now.Sub(p.levelAt), true
 	}
--- a/snipequota/bench_test.go
+++ b/snipequota/bench_test.go
@@ -47,7 +47,7 @@
 	}
 	var asks []snipequota.Ask
 	for n := range workspaces {
-		asks = append(asks, snipequota.Ask{Workspace: strconv.Itoa(n), Need: 1, First: 1, Ahead: 100, Demand: 700, LevelAge: time.Second})
+		asks = append(asks, snipequota.Ask{Workspace: strconv.Itoa(n), Need: 1, FirstNeed: 1, AheadOfUse: 100, Demand: 700, LevelAge: time.Second})
 	}
 	b.ReportAllocs()
 	n := 0
--- a/snipequota/issuer.go
+++ b/snipequota/issuer.go
@@ -180,9 +180,9 @@
 	if b.level <= 0 {
 		return 0
 	}
-	units := min(a.Need, max(b.level, a.First))
+	units := min(a.Need, max(b.level, a.FirstNeed))
 	if spare := b.level - units - aheadReserve*q.Burst; spare > 0 {
-		units += min(a.Ahead, spare)
+		units += min(a.AheadOfUse, spare)
 	}
 	return units
 }
--- a/snipequota/snipequota.go
+++ b/snipequota/snipequota.go
@@ -67,9 +67,9 @@
 // Ask is a request of an instance to the issuer for units of one workspace.
 type Ask struct {
 	Workspace string
-	// Need is the number of units that waiting requests need, First the number that the first of
-	// them needs, and Ahead the number that may be granted in addition, ahead of use.
-	Need, First, Ahead float64
+	// Need is the number of units that waiting requests need, FirstNeed the number that the first of
+	// them needs, and AheadOfUse the number that may be granted in addition, ahead of use.
+	Need, FirstNeed, AheadOfUse float64
 	// Held is the number of units left of previous grants; negative after requests that ran again
 	// and exceeded the grants.
 	Held float64
--- a/sniperetry/sniperetry_test.go
+++ b/sniperetry/sniperetry_test.go
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestServeExcludesDirected guards against retries at the wrong upstream: if Execute
+// TestServeExcludesRedirected guards against retries at the wrong upstream: if Execute
 // redirects an attempt, the upstream that it was redirected to is excluded.
-func TestServeExcludesDirected(t *testing.T) {
+func TestServeExcludesRedirected(t *testing.T) {
 	var chosen [][]string
 	a := &Retrier{
 		Choose: func(_ *snipecall.Call, failed []string) (string, error) {
