--- a/snipelease/move.go
+++ b/snipelease/move.go
@@ -20,7 +20,8 @@
 	since time.Time
 }
 
-// claim takes the engines that have no live owner and that this instance should own.
+// claim takes the engines that have no live owner and that this instance should own. It takes none
+// while this instance is leaving, has not joined, or has ended its lease for good.
 func (h *Holder) claim(ctx context.Context, p plan) {
 	if h.leaving.Load() || !p.joined || h.hasEnded() {
 		return
@@ -70,7 +71,9 @@
 }
 
 // leaseOver reports whether the lease of a row's owner has certainly ended, and returns the
-// condition that the takeover's transaction checks to ensure that this still holds.
+// condition that the takeover's transaction checks to ensure that this still holds. The condition
+// is nil if no renewal can revive the lease. The first call for an owner starts the wait and
+// reports false.
 func (h *Holder) leaseOver(ctx context.Context, row ownerRow) (*snipeplatform.Change, bool) {
 	if row.Instance == "" {
 		return nil, true
@@ -102,7 +105,8 @@
 	return &snipeplatform.Change{Key: key, Expect: w.version}, true
 }
 
-// readForTakeover reads the owner row once the owner's lease may have ended.
+// readForTakeover reads the owner row if the owner's lease row has not been read yet, or was
+// first read at its version at least Duration and Margin ago. In between it returns row as it is.
 func (h *Holder) readForTakeover(ctx context.Context, engine string, row ownerRow) (ownerRow, error) {
 	w, known := h.watches[row.Instance]
 	if known && time.Since(w.since) < h.Duration+h.Margin {
@@ -132,6 +136,9 @@
 	return row.Version, i.Incarnation, nil
 }
 
+// takeEngine makes this instance the owner of an engine by a transaction with the condition, and
+// reports whether the write succeeded. If the lease has ended by then, the engine counts as owned
+// only after its owner row is read again.
 func (h *Holder) takeEngine(ctx context.Context, engine string, row ownerRow, condition *snipeplatform.Change) bool {
 	changes := []snipeplatform.Change{h.ownerChange(engine, row, h.selfOwner())}
 	if condition != nil {
@@ -158,6 +165,8 @@
 	return true
 }
 
+// ownerChange returns the change that replaces the owner in a row, if the row is still at its known
+// version.
 func (h *Holder) ownerChange(engine string, row ownerRow, to owner) snipeplatform.Change {
 	// Marshaling a struct of strings cannot fail.
 	data, _ := json.Marshal(to)
@@ -174,7 +183,8 @@
 
 // handOver hands over engines: all of them at a planned stop, otherwise those above the bound, to
 // instances with capacity. Other instances send no new calls to an engine that is being handed
-// over; the engine changes owner as soon as no call or order is in flight.
+// over; the engine changes owner as soon as no call or order is in flight. If no instance has
+// capacity by then, the engine is released.
 func (h *Holder) handOver(ctx context.Context, p plan) {
 	excess := p.counts[h.Self.Name] - p.bound
 	if h.leaving.Load() {
@@ -215,6 +225,7 @@
 	return owner{Instance: name, Incarnation: i.Incarnation}
 }
 
+// startHandover marks an engine as being handed over and announces this.
 func (h *Holder) startHandover(engine string) {
 	h.lock.Lock()
 	o := h.owned[engine]
@@ -244,7 +255,8 @@
 	h.Log.Log(snipelog.EngineGivenUp, snipelog.Fields{"Engine": engine, "To": to.Instance})
 }
 
-// removeLease deletes the lease row at the end of a planned stop.
+// removeLease deletes the lease row and ends the lease, once this instance is leaving and owns no
+// engine. If that fails, the next step tries again.
 func (h *Holder) removeLease(ctx context.Context) {
 	if !h.leaving.Load() || len(h.Owned()) > 0 || h.hasEnded() {
 		return
--- a/snipelease/peers.go
+++ b/snipelease/peers.go
@@ -18,7 +18,8 @@
 
 type server struct{ holder *Holder }
 
-// GetOwners implements snipeproto.Lease.
+// GetOwners implements snipeproto.Lease. It returns the owner rows as of this instance's last step,
+// and none before its first step.
 func (s *server) GetOwners(context.Context, *snipeproto.GetOwnersRequest) (*snipeproto.GetOwnersResponse, error) {
 	out := &snipeproto.GetOwnersResponse{}
 	rows := s.holder.publishedRows.Load()
@@ -34,7 +35,8 @@
 }
 
 // askOwners requests the owner rows known to some peers, so that an instance that starts while the
-// table is down can route calls. The result never makes this instance an owner.
+// table is down can route calls. It does nothing if any owner row is known here. The result never
+// makes this instance an owner.
 func (h *Holder) askOwners(ctx context.Context) {
 	if h.Members.Peers == nil || len(h.rows) > 0 {
 		return
--- a/snipelease/plan.go
+++ b/snipelease/plan.go
@@ -16,12 +16,14 @@
 
 // plan is the distribution of engines over instances as far as this instance knows.
 type plan struct {
-	// eligible are the instances that may own engines; counts is how many engines each owns.
+	// eligible are the instances that may own engines; counts is how many engines each of them owns.
 	eligible []string
 	counts   map[string]int
-	// evenShare is the even share of engines and bound the most that an owner keeps.
+	// evenShare is the number of engines divided by the number of eligible instances, rounded up.
+	// bound is the number above which an owner hands engines over.
 	evenShare, bound int
-	joined           bool
+	// joined reports that this instance has joined the membership, or has waited Duration for it.
+	joined bool
 }
 
 // plan counts the engines of each eligible instance. Instances may compute different plans: the
@@ -100,7 +102,7 @@
 }
 
 // mayClaimNow reports whether this instance may claim an engine that has been free since the given
-// time: the first candidate at once, each further one 2*Renew after the one before it.
+// time: the first candidate (rank 0) at once, each further one 2*Renew after the one before it.
 func (h *Holder) mayClaimNow(rank int, free time.Time) bool {
 	return time.Since(free) >= time.Duration(rank)*2*h.Renew
 }
--- a/snipelease/renew.go
+++ b/snipelease/renew.go
@@ -19,6 +19,9 @@
 	return !h.ended && !time.Now().Before(h.nextRenewal)
 }
 
+// renew writes the lease row. After a success the lease ends Duration after the write was sent, and
+// if it had lapsed, all ownerships are invalid until verified. renewalFailed stays set after an
+// error.
 func (h *Holder) renew(ctx context.Context) error {
 	self := h.Self
 	self.Leaving = h.leaving.Load()
@@ -57,8 +60,8 @@
 	return nil
 }
 
-// retryUnavailable repeats a request that the table refuses as unavailable, as a throttled table
-// does at times.
+// retryUnavailable sends a request up to three times, about 200 ms apart, while the table refuses it
+// as unavailable, as a throttled table does at times.
 func (h *Holder) retryUnavailable(ctx context.Context, request func() error) error {
 	const tries, wait = 3, 200 * time.Millisecond
 	for n := 1; ; n++ {
@@ -149,7 +152,7 @@
 
 // handleFailedRenewal is called in each step after a renewal that failed. It announces that the
 // table is lost, and decides whether to extend the ownerships past the lease: only in an outage,
-// and while other instances are in contact. The extension is shorter than the wait before a
+// and while this instance is in contact with others or knows none. The extension is shorter than the wait before a
 // takeover, which cannot begin before some instance reaches the table again. When the outage ends,
 // a short time remains to renew.
 func (h *Holder) handleFailedRenewal() {
@@ -161,8 +164,8 @@
 	h.updateExtension(outage && inContact, inContact, snipelog.Fields{"Without": without, "Known": known})
 }
 
-// updateExtension extends the ownerships past the lease, leaves a short time for a renewal after
-// an outage, or lets the lease lapse.
+// updateExtension extends the ownerships by Duration from now in an outage. When an outage has ended
+// it leaves Renew/4 for one early renewal. Otherwise it lets the lease lapse: it ends the extension.
 func (h *Holder) updateExtension(outage, inContact bool, fields snipelog.Fields) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -186,8 +189,8 @@
 	}
 }
 
-// logOnce logs an event that is due, unless it was logged since the last
-// renewal. The lock is held.
+// logOnce logs an event that is due, unless it was logged since the last successful renewal. The
+// lock is held.
 func (h *Holder) logOnce(due bool, logged *bool, e snipelog.Event, f snipelog.Fields) {
 	if due && !*logged {
 		*logged = true
@@ -196,7 +199,9 @@
 }
 
 // verifyOwned verifies the owner rows of the engines whose ownership is invalid since the lease
-// lapsed. It uses a write that changes nothing, because a read may be stale.
+// lapsed. It uses a write that changes nothing, because a read may be stale. An engine whose row has
+// changed is no longer owned. verifyOwned also ends the extension past the lease, since it is called
+// only after a successful renewal.
 func (h *Holder) verifyOwned(ctx context.Context) {
 	for _, engine := range h.Owned() {
 		h.lock.Lock()
--- a/snipelease/snipelease.go
+++ b/snipelease/snipelease.go
@@ -111,9 +111,11 @@
 
 // View is an immutable snapshot of instances and owners.
 type View struct {
-	// Instances holds the instances that are considered live, by name.
+	// Instances holds this instance and those that the membership reports alive or suspect, by name.
+	// Incarnation, OperatorAddress and Revision are empty until an instance's lease row was read.
 	Instances map[string]Instance
-	// Owners holds the owners of the engines, by the engine's name.
+	// Owners holds the owners of the engines, by the engine's name. It leaves out engines whose
+	// owner is not in Instances.
 	Owners map[string]Ownership
 }
 
@@ -129,16 +131,19 @@
 	hung map[string]bool
 }
 
-// instanceRecord is a lease row as read after its instance last started or changed.
+// instanceRecord is an instance's lease row as read when the instance was new here or its
+// incarnation in the membership had changed. Later renewals of the row are not reflected.
 type instanceRecord struct {
 	Instance
-	// memberIncarnation is the instance's incarnation in the membership at that time.
+	// memberIncarnation is the membership's incarnation of the instance when the row was read. It
+	// also grows when the instance refutes a suspicion; Instance.Incarnation identifies the process.
 	memberIncarnation uint64
 }
 
 // Members is the part of the membership that the holder uses.
 type Members struct {
-	// All returns all known instances, and whether this instance has joined the membership.
+	// All returns all known instances, also those that are dead or have left, and whether this
+	// instance has joined the membership.
 	All func() (all []snipemember.Member, joined bool)
 	// Announce and Digests send and return announcements; see snipemember.Node.
 	Announce func(topic, key string, data []byte, ttl time.Duration)
@@ -146,12 +151,12 @@
 	// LastContact returns the time of the last contact with another instance.
 	LastContact func() time.Time
 	// Peers returns the addresses of up to n random live peers, and HTTP sends requests to them.
-	// Both are nil when owners are not requested from peers.
+	// Both are nil when owners are not requested from peers (other instances).
 	Peers func(n int) []netip.AddrPort
 	HTTP  snipeproto.HTTPClient
 }
 
-// ownerRow is an owner row as last read or announced.
+// ownerRow is an owner row as last read, written, announced or returned by a peer.
 type ownerRow struct {
 	owner
 	version     uint64
@@ -184,7 +189,7 @@
 	// Revision returns the settings revision in force.
 	Revision func() uint64
 	// Busy reports whether a call or an order is in flight at an engine that this instance owns.
-	// A busy engine is not handed over.
+	// A busy engine does not change owner in a handover.
 	Busy func(engine string) bool
 	// Operation returns a new identifier for a write.
 	Operation func() string
@@ -216,13 +221,13 @@
 	lastCheck       time.Time
 	rows            map[string]ownerRow
 	instances       map[string]instanceRecord
-	watches         map[string]watch
-	ownerlessSince  map[string]time.Time
-	checkedVersions map[string]uint64 // versions of lease rows at the last check
+	watches         map[string]watch     // by the name of the watched instance
+	ownerlessSince  map[string]time.Time // when claim first found an engine released, by engine
+	checkedVersions map[string]uint64    // versions of lease rows at the last check, by instance
 	observed        observation
 }
 
-// View returns the last snapshot; never nil.
+// View returns the snapshot of the last step, or an empty one before the first step; never nil.
 func (h *Holder) View() *View {
 	if v := h.view.Load(); v != nil {
 		return v
@@ -232,7 +237,7 @@
 
 // Fence returns the fencing number of an engine that this instance owns and is not handing over.
 // It reports false when the lease has lapsed, unless an outage of the table extends the ownership
-// past the lease.
+// past the lease, and after a lapse until the engine's owner row is verified again.
 func (h *Holder) Fence(engine string) (uint64, bool) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -248,7 +253,9 @@
 	return o.verified && now.Before(h.deadline) || now.Before(h.extendedUntil)
 }
 
-// Owned returns the engines that this instance owns.
+// Owned returns the engines that this instance is recorded to own, in no particular order. They
+// include engines that are being handed over, and after a lapse of the lease those whose ownership
+// is not valid; see Fence and Owns.
 func (h *Holder) Owned() []string {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -259,7 +266,8 @@
 	return names
 }
 
-// Leave requests that the holder hand over or release all engines.
+// Leave requests that the holder hand over or release all engines and then delete its lease row.
+// Leave does not wait for this.
 func (h *Holder) Leave() { h.leaving.Store(true) }
 
 // Run keeps the lease until ctx ends. Its steps are frequent, so that the holder promptly takes
--- a/snipelease/step.go
+++ b/snipelease/step.go
@@ -18,7 +18,9 @@
 // For more, all lease rows are listed.
 const maxSingleReads = 5
 
-// Step renews the lease if that is due, reads what has changed, and claims or hands over engines.
+// Step renews the lease if that is due, reads what has changed, claims or hands over engines, and
+// publishes a new View. After a failed renewal it makes no other request to the table until the
+// next renewal succeeds. Its requests together take at most a third of Duration.
 func (h *Holder) Step(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, h.Duration/3)
 	defer cancel()
@@ -70,7 +72,7 @@
 	return h.Renew
 }
 
-// observe reads the membership and its announcements.
+// observe reads the membership and its announcements of lost tables and hung instances.
 func (h *Holder) observe() {
 	s := observation{byName: map[string]snipemember.Member{}, tableLost: map[string]bool{}, hung: map[string]bool{}}
 	s.all, s.joined = h.Members.All()
@@ -86,6 +88,7 @@
 	h.observed = s
 }
 
+// initialize creates the holder's maps at the first step.
 func (h *Holder) initialize() {
 	if h.rows != nil {
 		return
@@ -98,6 +101,8 @@
 	h.owned = map[string]ownedEngine{}
 }
 
+// readOwner reads an engine's owner row. A row that does not exist is returned as an empty ownerRow
+// with version 0.
 func (h *Holder) readOwner(ctx context.Context, engine string) (ownerRow, error) {
 	row, err := h.Table.Get(ctx, snipeplatform.Key{Partition: ownersPartition, Sort: engine})
 	if errors.Is(err, snipeplatform.ErrNotFound) {
@@ -147,7 +152,8 @@
 	HandingOver bool `json:"Giving,omitempty"`
 }
 
-// announce sends an owner row to the other instances as an announcement.
+// announce sends an owner row to the other instances as an announcement. A row that exceeds the
+// membership's size limit is not announced; other instances read it when they list all owner rows.
 func (h *Holder) announce(engine string, row ownerRow) {
 	data, err := json.Marshal(announcement{Owner: row.owner, Fence: row.version, HandingOver: row.handingOver})
 	if err != nil || len(data) > snipemember.MaxData {
@@ -179,7 +185,8 @@
 }
 
 // refreshOwners reads all owner rows at long intervals, to make up for missed announcements.
-// In between it reads only the rows that an announcement assigns to this instance.
+// In between it reads only the rows that name this instance as owner and are not recorded as owned.
+// It also checks lease rows if that is due.
 func (h *Holder) refreshOwners(ctx context.Context) error {
 	if !h.lastList.IsZero() && time.Since(h.lastList) < h.listInterval() {
 		if err := h.readAnnounced(ctx); err != nil {
@@ -222,7 +229,8 @@
 
 // checkLeases reads the lease rows of some owners: those whose engines this instance would be the
 // first to take over. An owner whose row has not changed since the last check is announced as hung,
-// even if the membership reports it alive.
+// even if the membership reports it alive. If the row has changed, or was not read at the last
+// check, an earlier announcement by this instance is withdrawn. After an error nothing is announced.
 func (h *Holder) checkLeases(ctx context.Context) error {
 	checked := map[string]uint64{}
 	for engine, row := range h.rows {
@@ -252,7 +260,8 @@
 	return nil
 }
 
-// readAnnounced reads the owner rows that an announcement assigns to this instance.
+// readAnnounced reads the owner rows that name this instance as owner, usually by an announcement,
+// while the engine is not recorded as owned.
 func (h *Holder) readAnnounced(ctx context.Context) error {
 	for engine, r := range h.rows {
 		h.lock.Lock()
@@ -271,7 +280,8 @@
 }
 
 // updateInstances reads the lease rows of instances that are new here or have changed, for the
-// fields that the membership does not carry.
+// fields that the membership does not carry. Rows that cannot be read are tried again at the next
+// step.
 func (h *Holder) updateInstances(ctx context.Context) {
 	var unknown []string
 	for _, m := range h.observed.all {
