--- a/snipelease/renew.go
+++ b/snipelease/renew.go
@@ -152,9 +152,9 @@
 
 // handleFailedRenewal is called in each step after a renewal that failed. It announces that the
 // table is lost, and decides whether to extend the ownerships past the lease: only in an outage,
-// and while this instance is in contact with others or knows none. The extension is shorter than the wait before a
-// takeover, which cannot begin before some instance reaches the table again. When the outage ends,
-// a short time remains to renew.
+// and while this instance is in contact with others or knows none. The extension is shorter than the
+// wait before a takeover, which cannot begin before some instance reaches the table again. When the
+// outage ends, a short time remains to renew.
 func (h *Holder) handleFailedRenewal() {
 	// The announcement must outlast a step that fails by its timeout.
 	h.Members.Announce(tableLostTopic, "", flagSet, 2*(h.Duration/3+h.Renew))
--- a/snipemember/digest.go
+++ b/snipemember/digest.go
@@ -14,32 +14,36 @@
 	// MaxData bounds the data of a digest, and MaxName its topic and its key, in bytes.
 	MaxData = 512
 	MaxName = 200
-	// MaxOriginDigests bounds the digests of one origin, and MaxDigests all of them.
+	// MaxOriginDigests bounds the digests kept of one origin. MaxDigests is the total from which on
+	// no new digests of other instances are accepted; it does not bound those of this instance.
 	MaxOriginDigests = 64
 	MaxDigests       = 4096
 	// MaxTTL bounds the lifetime of a digest.
 	MaxTTL = time.Hour
-	// versionShift is the number of low bits of a version that count the announcements of one
-	// incarnation.
+	// versionShift is the number of low bits of a version that count the announcements of one run of
+	// the process. The bits above hold the incarnation at its start.
 	versionShift = 20
 )
 
-// Digest is a small announcement of one instance.
+// Digest is a small announcement that one instance distributes to all others. It is not a hash.
 type Digest struct {
 	// Origin is the instance that announced the digest. Topic and Key identify the subject.
 	Origin string
 	Topic  string
 	Key    string
-	// Version grows with each announcement of the origin.
+	// Version grows with each announcement of the origin, over its topics and keys together.
 	Version uint64
 	// Data is the announcement. It must not be modified.
 	Data []byte
 }
 
+// digestKey identifies a digest: a later version replaces an earlier one with the same key.
 type digestKey struct{ origin, topic, key string }
 
+// queueName returns the name of a changed digest in Node.queue.
 func (k digestKey) queueName() string { return "d/" + k.origin + "/" + k.topic + "/" + k.key }
 
+// digest is a Digest and the time at which it is removed here.
 type digest struct {
 	Digest
 	expires time.Time
@@ -50,7 +54,7 @@
 // Announce distributes data under a topic and a key to all instances for the duration ttl. A later
 // announcement under the same topic and key replaces an earlier one. Announcing the same data again
 // while more than half of ttl is left sends nothing. An announcement that exceeds a bound is not
-// sent; its refusal is logged.
+// sent; its refusal is logged. Announce does not wait for the announcement to be sent.
 func (n *Node) Announce(topic, key string, data []byte, ttl time.Duration) {
 	n.start()
 	if len(data) > MaxData || len(topic) > MaxName || len(key) > MaxName || ttl <= 0 || ttl > MaxTTL {
@@ -108,7 +112,8 @@
 	return all
 }
 
-// mergeDigest merges a received digest and reports whether it was new. The lock is held.
+// mergeDigest merges a received digest and reports whether it was new. A digest of another instance
+// that exceeds MaxOriginDigests or MaxDigests is dropped. The lock is held.
 func (n *Node) mergeDigest(d *digest) bool {
 	id := d.id()
 	old, known := n.digests[id]
@@ -131,7 +136,8 @@
 	return true
 }
 
-// reannounce gives this instance's own digest a version above all earlier ones. The lock is held.
+// reannounce gives this instance's own digest a version above all earlier ones and queues it. It does
+// nothing if this process has announced no such digest. The lock is held.
 func (n *Node) reannounce(id digestKey) {
 	own, ok := n.digests[id]
 	if !ok {
--- a/snipemember/merge.go
+++ b/snipemember/merge.go
@@ -7,8 +7,9 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// mergeMember merges a received state of one member and reports whether the state was new. The
-// lock is held.
+// mergeMember merges a received state of one member and reports whether it changed anything. A new
+// state is queued for other peers, unless it is that of an unknown member that is dead or has left.
+// The lock is held.
 func (n *Node) mergeMember(m Member) bool {
 	if m.Name == n.self.Name {
 		return n.refute(m)
@@ -27,7 +28,8 @@
 	return true
 }
 
-// setState stores a state that supersedes old, which is nil for a new member. The lock is held.
+// setState stores and logs a state that supersedes old, which is nil for a new member. The lock is
+// held.
 func (n *Node) setState(m Member, old *peer) {
 	p := &peer{Member: m}
 	fields := snipelog.Fields{"Member": m.Name, "Incarnation": m.Incarnation}
@@ -73,9 +75,9 @@
 	return true
 }
 
-// markSuspect marks a member as suspect after it could not be reached. If isolated, no relay has
-// answered either: this instance may be the one that is cut off, and the suspect gets more time to
-// refute.
+// markSuspect marks an alive member as suspect after it could not be reached. If isolated, no relay
+// has answered either: this instance may be the one that is cut off, and the suspect gets more time
+// to refute.
 func (n *Node) markSuspect(name string, isolated bool) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -92,7 +94,8 @@
 	n.enqueueMember(name)
 }
 
-// expire declares suspects dead after their deadline, and removes expired members and digests.
+// expire declares suspects dead after their deadline, and removes expired digests and, after
+// tombstoneTTL, members that are dead or have left.
 func (n *Node) expire() {
 	now := time.Now()
 	n.lock.Lock()
--- a/snipemember/news.go
+++ b/snipemember/news.go
@@ -22,17 +22,22 @@
 type queuedUpdate struct {
 	// sent counts how often the change was sent.
 	sent int
-	// member or digest identifies what changed.
+	// member is the name of the changed member. If it is empty, digest is the key of the changed
+	// digest.
 	member string
 	digest digestKey
 }
 
+// memberPrefix begins the queue names of members.
 const memberPrefix = "m/"
 
+// enqueueMember queues a member's current state to be sent, with no transmissions counted. The lock
+// is held.
 func (n *Node) enqueueMember(name string) {
 	n.queue[memberPrefix+name] = &queuedUpdate{member: name}
 }
 
+// enqueueDigest does the same for a digest. The lock is held.
 func (n *Node) enqueueDigest(k digestKey) {
 	n.queue[k.queueName()] = &queuedUpdate{digest: k}
 }
@@ -63,7 +68,7 @@
 }
 
 // nextBatch returns the changes that were sent least often so far, up to maxUpdateBytes, without
-// those that the peer has just sent itself.
+// those that the peer has just sent itself at the same version. It does not count them as sent.
 func (n *Node) nextBatch(received *snipeproto.News) updateBatch {
 	skip := versionsOf(received)
 	n.lock.Lock()
@@ -89,8 +94,10 @@
 	return out
 }
 
-// markSent counts the changes of a batch as sent. Changes that did not arrive are not counted: an
-// instance that is cut off for a while must not use up its retransmissions.
+// markSent counts the changes of a batch as sent, and removes those that have reached
+// retransmitLimit from the queue. The changes in a probe are counted only once the peer has answered:
+// an instance that is cut off for a while must not use up its retransmissions. The changes in an
+// answer to a probe are counted at once, as the sender does not learn whether the answer arrives.
 func (n *Node) markSent(b updateBatch) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -123,7 +130,8 @@
 	return versions
 }
 
-// queuedVersion returns the version of a queued change. The lock is held.
+// queuedVersion returns the version of a queued change, or zero if its member or digest was removed.
+// The lock is held.
 func (n *Node) queuedVersion(q *queuedUpdate) updateVersion {
 	if q.member == n.self.Name {
 		return updateVersion{n.self.Incarnation, n.self.Status}
@@ -166,7 +174,8 @@
 	return size
 }
 
-// applyUpdates merges the updates of a peer and wakes the pusher when one was new.
+// applyUpdates merges the updates of a peer and wakes the pusher when one was new. It leaves out
+// invalid updates, and records a contact also if there are no updates.
 func (n *Node) applyUpdates(updates *snipeproto.News) {
 	changed := false
 	n.lock.Lock()
--- a/snipemember/run.go
+++ b/snipemember/run.go
@@ -11,7 +11,8 @@
 	"snipepitch.example/snipepitch/snipetime"
 )
 
-// Run takes part in the membership until ctx ends.
+// Run takes part in the membership until ctx ends: it joins, then probes, pushes and syncs. It does
+// not announce the end of the instance; see AnnounceLeft.
 func (n *Node) Run(ctx context.Context) error {
 	n.start()
 	var wait sync.WaitGroup
@@ -34,7 +35,8 @@
 	}
 }
 
-// step does the work that is due in one interval.
+// step does the work that is due in one interval. While no live peer is known it reads the platform's
+// list every reconnectRounds in place of seedsRounds.
 func (n *Node) step(ctx context.Context, round int) {
 	n.expire()
 	n.probeNext(ctx)
@@ -51,8 +53,9 @@
 	}
 }
 
-// runPushes pushes new changes at once, within a budget of pushRefillRate pushes an interval and a
-// burst of pushBurst.
+// runPushes pushes new changes within pushDelay, as far as a budget of requests allows: it grows by
+// pushRefillRate in each interval, up to pushBurst. Changes that the budget does not allow are sent
+// with the next probes or when the budget has grown.
 func (n *Node) runPushes(ctx context.Context) {
 	budget, refilled := float64(pushBurst), time.Now()
 	for {
@@ -79,7 +82,8 @@
 	}
 }
 
-// push probes up to count random peers to send them updates, and returns the number of peers.
+// push probes up to count random live peers to send them updates, waits until each has answered or
+// Timeout has passed, and returns the number of peers probed.
 func (n *Node) push(ctx context.Context, count int) int {
 	peers := n.randomPeers(count, "")
 	var wait sync.WaitGroup
@@ -95,7 +99,8 @@
 	return snipeproto.NewMemberProtobufClient("http://"+address.String(), n.HTTP)
 }
 
-// probe sends a probe with updates to a peer. It reports whether the peer answered in time.
+// probe sends a probe with updates to a peer and applies the updates in its answer. It reports
+// whether the peer answered in time and under that name.
 func (n *Node) probe(ctx context.Context, name string, address netip.AddrPort) bool {
 	bounded, cancel := context.WithTimeout(ctx, n.Timeout)
 	defer cancel()
@@ -123,7 +128,7 @@
 }
 
 // nextPeer returns the next live peer of the order, which is shuffled again when it is exhausted:
-// every peer is probed within two rounds of the order.
+// every peer is probed within two passes through the order. It reports false if no peer is live.
 func (n *Node) nextPeer() (Member, bool) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -200,7 +205,8 @@
 	n.seeds, n.seedsRead = seeds, true
 }
 
-// join fetches all that a few listed instances know.
+// join fetches all members and digests that a few listed instances know. It tries the listed
+// instances one after the other, in a random order, until maxJoinSyncs have answered.
 func (n *Node) join(ctx context.Context) {
 	n.lock.Lock()
 	var others []Seed
--- a/snipemember/snipemember.go
+++ b/snipemember/snipemember.go
@@ -1,20 +1,21 @@
-// Package snipemember detects which instances are live and distributes small announcements among
-// them.
+// Package snipemember detects which instances are live and distributes small announcements, called
+// digests, among them. Members are all instances; an instance's peers are the other ones.
 //
 // Design. No instance contacts all others at once. In each interval each instance probes one
 // other instance, in a shuffled order. When the probe fails, it asks a few other instances to probe
-// the same target, so that a broken link between two instances alone makes no instance suspect, and
-// only then suspects the target. A suspect that does not refute in time is dead. Changes are sent
-// with probes and their answers. New changes are also pushed at once to a few random instances, as
-// far as a budget of pushes allows, since the traffic of an instance must not grow with the number
-// of instances. Missed changes are found by comparing sums with a random instance.
+// the same target, and suspects the target only if none of them reaches it, so that a broken link
+// between two instances alone makes no instance suspect. A suspect that does not refute the
+// suspicion in time is declared dead. Changes are sent with probes and their answers. New changes
+// are also pushed at once to a few random instances, as far as a budget of pushes allows, since the
+// traffic of an instance must not grow with the number of instances. Missed changes are found by
+// comparing hash sums of the known states with a random instance.
 //
 // Invariants:
 //
 //   - A member's state is ordered by (Incarnation, Status); a lower one never replaces a higher
 //     one. Merging is therefore commutative, and the order in which updates arrive does not matter.
-//   - Only an instance itself raises its incarnation: to refute a suspicion, or to announce that it
-//     is leaving.
+//   - Only an instance itself sets its incarnation: from the clock at its start. It raises it to
+//     refute a suspicion or a state of an earlier process, or to announce that it is leaving.
 //   - A digest is ordered by its origin's version; a lower one never replaces a higher one. Digests
 //     are bounded in number and in size, and they expire.
 //
@@ -40,9 +41,13 @@
 
 // The statuses, in ascending order: at one incarnation a later status supersedes an earlier one.
 const (
+	// Alive members answer probes, as far as is known.
 	Alive Status = iota
+	// Suspect members did not answer a probe and have not refuted the suspicion yet.
 	Suspect
+	// Dead members did not refute a suspicion in time.
 	Dead
+	// Left members have announced the end of their process.
 	Left
 	statusCount
 )
@@ -64,7 +69,8 @@
 	Name    string
 	Address netip.AddrPort
 	Domain  string
-	// Incarnation grows with each start and each refutation.
+	// Incarnation orders the states of the instance. It is set from the clock at each start, and
+	// raised by each refutation and by Leave.
 	Incarnation uint64
 	// Status is the state of the instance.
 	Status Status
@@ -96,20 +102,20 @@
 	// DefaultTimeout bounds one request.
 	DefaultTimeout = 500 * time.Millisecond
 
-	relayCount      = 3
-	pushFanout      = 4
-	pushBurst       = 12
-	pushRefillRate  = 0.25                  // pushes per interval
+	relayCount      = 3                     // peers asked to probe a target that does not answer
+	pushFanout      = 4                     // peers that one push reaches at most
+	pushBurst       = 12                    // requests that pushes may make at once
+	pushRefillRate  = 0.25                  // requests of pushes per interval
 	pushDelay       = 20 * time.Millisecond // collects further changes before a push
 	maxUpdateBytes  = 400                   // bytes of updates in one message
-	maxRetransmits  = 8
-	suspectFactor   = 3 // multiplies Interval in suspicionTimeout
-	isolatedFactor  = 3 // multiplies suspicionTimeout
-	tombstoneTTL    = 10 * time.Minute
-	syncRounds      = 5 // a round lasts one interval
-	reconnectRounds = 5
-	seedsRounds     = 60
-	maxJoinSyncs    = 3
+	maxRetransmits  = 8                     // most times that an instance sends one change
+	suspectFactor   = 3                     // multiplies Interval in suspicionTimeout
+	isolatedFactor  = 3                     // multiplies suspicionTimeout
+	tombstoneTTL    = 10 * time.Minute      // how long members that are dead or have left are kept
+	syncRounds      = 5                     // rounds between two syncs; a round lasts one interval
+	reconnectRounds = 5                     // rounds between two calls of reconnect
+	seedsRounds     = 60                    // rounds between two reads of the platform's list
+	maxJoinSyncs    = 3                     // answers of listed instances after which join ends
 )
 
 // peer is a member and the time at which its status changes by itself.
@@ -122,7 +128,7 @@
 // Node is this instance's part of the membership. Its exported fields are set before Run. Its
 // methods are safe for concurrent use.
 type Node struct {
-	// Self is this instance; the node sets its incarnation from the clock.
+	// Self is this instance; the node sets its status, and its incarnation from the clock.
 	Self Member
 	// HTTP sends requests to peers. It must open a new connection for each request: an existing
 	// connection may have failed silently, so its state proves nothing about the peer.
@@ -143,9 +149,9 @@
 	self        Member
 	peers       map[string]*peer
 	digests     map[digestKey]*digest
-	lastVersion uint64 // the version of this instance's last digest
-	queue       map[string]*queuedUpdate
-	probeOrder  []string
+	lastVersion uint64                   // the version of this instance's last digest
+	queue       map[string]*queuedUpdate // by memberPrefix and the name, or by digestKey.queueName
+	probeOrder  []string                 // the names of the peers still to be probed in this pass
 	lastContact time.Time
 	seeds       []Seed
 	seedsRead   bool
@@ -225,8 +231,8 @@
 	return n.seedsRead
 }
 
-// LastContact returns when another instance last answered or sent a request. An instance without
-// any peer has no contact after its start.
+// LastContact returns when another instance last answered or sent a request, or the node's start if
+// none has done so.
 func (n *Node) LastContact() time.Time {
 	n.start()
 	n.lock.Lock()
@@ -234,7 +240,8 @@
 	return n.lastContact
 }
 
-// Leave announces that a planned stop has begun.
+// Leave announces that a planned stop has begun, by a higher incarnation. The member stays alive.
+// Leave does not wait for the announcement to be sent.
 func (n *Node) Leave() {
 	n.start()
 	n.lock.Lock()
@@ -245,7 +252,9 @@
 	n.wakePusher()
 }
 
-// AnnounceLeft announces that this instance ends now. It waits for one round of pushes.
+// AnnounceLeft sets this instance's status to Left, pushes it to a few random live peers, and waits
+// for their answers, at most for Timeout. The other instances receive the status from these peers;
+// if none of them answers, it may reach no instance.
 func (n *Node) AnnounceLeft(ctx context.Context) {
 	n.start()
 	n.lock.Lock()
@@ -276,6 +285,7 @@
 	return all
 }
 
+// shuffle puts count elements into a random order.
 func (n *Node) shuffle(count int, swap func(i, j int)) {
 	for i := count - 1; i > 0; i-- {
 		swap(i, n.Random(i+1))
--- a/snipemember/sync.go
+++ b/snipemember/sync.go
@@ -15,13 +15,17 @@
 // buckets is the number of parts into which the known states are split for comparison.
 const buckets = 32
 
+// bucketOf returns the bucket of a name by its hash.
 func bucketOf(hash uint64) uint32 { return uint32(hash % buckets) }
 
+// memberHashes returns the hash that determines a member's bucket, and the hash of its state. Every
+// change of a member changes its incarnation or status, so the state's hash covers only these.
 func memberHashes(m Member) (name, state uint64) {
 	return sniperoute.Hash(m.Name),
 		sniperoute.Hash(m.Name, strconv.FormatUint(m.Incarnation, 10), m.Status.String())
 }
 
+// digestHashes returns the same hashes for a digest.
 func digestHashes(d Digest) (name, state uint64) {
 	return sniperoute.Hash(d.Origin, d.Topic, d.Key),
 		sniperoute.Hash(d.Origin, d.Topic, d.Key, strconv.FormatUint(d.Version, 10))
@@ -66,7 +70,8 @@
 
 // sync compares the known states with those of a peer by bucket sums, exchanges the buckets that
 // differ, and reports whether the peer answered. With introduce it sends only this instance's own
-// state, as the peer may not know this instance.
+// state in addition to the sums, as the peer may not know this instance, and fetches the contents of
+// the peer's differing buckets without sending its own.
 func (n *Node) sync(ctx context.Context, address netip.AddrPort, introduce bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, 2*n.Timeout)
 	defer cancel()
@@ -90,6 +95,7 @@
 	return true
 }
 
+// selfUpdate returns this instance's own state as an update.
 func (n *Node) selfUpdate() *snipeproto.News {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -99,7 +105,8 @@
 // server serves the requests of peers.
 type server struct{ node *Node }
 
-// Probe implements snipeproto.Member.
+// Probe implements snipeproto.Member. It refuses a probe that is meant for an instance of another
+// name.
 func (s *server) Probe(_ context.Context, in *snipeproto.ProbeRequest) (*snipeproto.ProbeResponse, error) {
 	if in.GetTarget() != s.node.Self.Name {
 		return nil, twirp.NotFound.Errorf("this is %s", s.node.Self.Name)
@@ -110,7 +117,7 @@
 	return &snipeproto.ProbeResponse{News: b.updates}, nil
 }
 
-// Relay implements snipeproto.Member.
+// Relay implements snipeproto.Member. It probes the target and reports whether the target answered.
 func (s *server) Relay(ctx context.Context, in *snipeproto.RelayRequest) (*snipeproto.RelayResponse, error) {
 	address, err := decodeAddress(in.GetAddress())
 	if err != nil {
@@ -121,7 +128,8 @@
 	return &snipeproto.RelayResponse{Reached: reached}, nil
 }
 
-// Sync implements snipeproto.Member.
+// Sync implements snipeproto.Member. It applies the updates and, if the request has sums, returns the
+// differing buckets with all states that this instance knows in them.
 func (s *server) Sync(_ context.Context, in *snipeproto.SyncRequest) (*snipeproto.SyncResponse, error) {
 	s.node.applyUpdates(in.GetNews())
 	out := &snipeproto.SyncResponse{}
