--- a/snipequarantine/guard.go
+++ b/snipequarantine/guard.go
@@ -66,8 +66,10 @@
 	coordinator string
 }
 
-// Execute runs an attempt once its coordinator permits it. It sets the Attempt of the
-// call, and its Upstream and Alone as the coordinator decides.
+// Execute runs an attempt once its coordinator permits it, and reports its end. It sets
+// the Attempt of the call, and its Upstream and Alone as the coordinator decides. It
+// blocks while the coordinator requires the attempt to wait. Some calls run without a
+// coordinator; see unguarded.
 func (g *Guard) Execute(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	if unguarded(c) {
 		return g.Run(ctx, c, sink)
@@ -93,7 +95,8 @@
 }
 
 // admit asks the coordinators until the attempt may start, is refused, or has no time
-// left.
+// left. If it may start, admit registers it here and with a further coordinator, and
+// sets the upstream and Alone as decided.
 func (g *Guard) admit(ctx context.Context, c *snipecall.Call, a *Attempt) error {
 	for {
 		if left, ok := g.Registry.QuarantinedFor(a.Fingerprint); ok {
@@ -132,6 +135,7 @@
 	}
 }
 
+// quarantinedError returns the error of a call whose fingerprint is released after left.
 func quarantinedError(left time.Duration) error {
 	return snipeerror.New(snipeerror.ErrQuarantined, snipeerror.NotRun, "two upstreams broke off this request").After(left)
 }
@@ -153,7 +157,7 @@
 }
 
 // ask asks the coordinators in the order of their rank, and returns the first verdict
-// and the member that gave it.
+// and the member that gave it. It returns an error if neither of them answers in time.
 func (g *Guard) ask(ctx context.Context, a Attempt) (Verdict, string, error) {
 	for _, m := range Coordinators(a.Fingerprint, g.Members()) {
 		if m.ID == g.Registry.Self {
@@ -186,6 +190,7 @@
 	}
 }
 
+// register records an attempt in flight with the member that permitted it.
 func (g *Guard) register(a Attempt, deadline time.Time, member string) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -196,8 +201,9 @@
 }
 
 // reportEnd reports the attempt's end. It reports a crash before the caller receives
-// the failure, so that a repeated call finds the crash recorded. It reports other ends
-// in the background.
+// the failure, so that a repeated call finds the crash recorded. If the upstream has
+// survived, the attempt counts as abandoned. reportEnd reports other ends in the
+// background, and for an abandoned attempt checks the upstream once more later.
 func (g *Guard) reportEnd(a Attempt, c *snipecall.Call, err error) {
 	e := classifyEnd(c, err)
 	if e == Crashed && a.Mark != "" && g.survived(a) {
@@ -222,7 +228,7 @@
 // current coordinators if that member is unknown or does not answer. Further
 // coordinators that know of the attempt receive Refused in place of the end, which only
 // removes the attempt: the record is replicated to them. Withdrawn is reported
-// unchanged to all of them.
+// unchanged to all of them. If no coordinator answers, this instance records the end.
 func (g *Guard) report(a Attempt, e End) {
 	g.lock.Lock()
 	registered := g.inFlight[a.ID]
@@ -246,11 +252,14 @@
 		}
 	}
 	if len(reported) == 1 {
-		// No coordinator answers: this instance records the end and spreads the record.
+		// No coordinator answers: this instance records the end. Registry.Announce then
+		// spreads the record if it has changed.
 		g.Registry.Finish(a, e)
 	}
 }
 
+// reportTo reports an end to one member, and reports whether the member has recorded it.
+// This instance keeps the record that the member returns for a crash.
 func (g *Guard) reportTo(member string, a Attempt, e End) bool {
 	if member == g.Registry.Self {
 		g.Registry.Finish(a, e)
@@ -266,7 +275,8 @@
 }
 
 // Announce replicates a changed record to the other coordinators, so that the death of
-// one instance does not lose the record, and then spreads it to all instances.
+// one instance does not lose the record, and then spreads it to all instances. It waits
+// for the coordinators' answers, at most askTimeout for each.
 func (g *Guard) Announce(f Fingerprint, record []byte, ttl time.Duration) {
 	for _, m := range Coordinators(f, g.Members()) {
 		if m.ID == g.Registry.Self {
@@ -300,7 +310,8 @@
 }
 
 // classifyEnd derives the end of an attempt from its failure. Crashed means only that
-// the upstream broke off the call; whether the upstream has crashed is verified later.
+// the upstream broke off the call; the callers of classifyEnd verify whether the
+// upstream has crashed.
 func classifyEnd(c *snipecall.Call, err error) End {
 	if err == nil {
 		return Answered
--- a/snipequarantine/isolation.go
+++ b/snipequarantine/isolation.go
@@ -38,9 +38,10 @@
 	waiting []chan struct{} // suspects in order of arrival; closing the first admits it
 }
 
-// Enter admits a call at its upstream. A suspect waits until no other call runs there.
-// While a suspect waits or runs, Enter refuses other calls at once, so that they are
-// sent to other upstreams. The caller calls done with the call's failure.
+// Enter admits a call at its upstream. A suspect waits until no other call runs there or
+// ctx ends; it is refused at once if maxWaitingSuspects wait already. While a suspect
+// waits or runs, Enter refuses other calls at once, so that they are sent to other
+// upstreams. The caller calls done with the call's failure, or nil, when the call ends.
 func (i *Isolation) Enter(ctx context.Context, c *snipecall.Call) (done func(error), err error) {
 	if c.Alone {
 		return i.enterAlone(ctx, c)
@@ -55,11 +56,14 @@
 	return i.releaser(c, s), nil
 }
 
+// busyError returns the error of a call that is refused at an upstream with the given
+// number of suspects.
 func busyError(upstream string, suspects int) error {
 	wait := time.Duration(suspects) * retryPerSuspect
 	return snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "upstream "+upstream+" is kept free for a suspect").After(wait)
 }
 
+// enterAlone queues a suspect at its upstream and waits until it is admitted or ctx ends.
 func (i *Isolation) enterAlone(ctx context.Context, c *snipecall.Call) (func(error), error) {
 	upstream := c.Upstream
 	i.lock.Lock()
@@ -105,6 +109,7 @@
 	}
 }
 
+// release ends a call at its upstream and admits the next suspect if nothing else runs.
 func (i *Isolation) release(upstream string, s *upstreamState, alone bool) {
 	i.lock.Lock()
 	defer i.lock.Unlock()
--- a/snipequarantine/membership.go
+++ b/snipequarantine/membership.go
@@ -45,8 +45,8 @@
 	g.reportTo(previous, a.Attempt, Refused)
 }
 
-// misplaced returns the attempts in flight whose first coordinator is no longer the one
-// that they are registered with.
+// misplaced returns the attempts in flight whose first coordinator is not the one that
+// they are registered with, marked as Moved and with the time that is left to them.
 func (g *Guard) misplaced(members []Member) []inFlightAttempt {
 	g.lock.Lock()
 	defer g.lock.Unlock()
--- a/snipequarantine/owner.go
+++ b/snipequarantine/owner.go
@@ -45,6 +45,10 @@
 	return snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "coordinator has changed").After(v.Wait)
 }
 
+// reportOwnerEnd reports the end of an attempt as far as the owner of the upstream has to:
+// a suspect that was refused as Withdrawn, and a crash if the upstream has not survived.
+// After other ends of a call that may still run, it checks the upstream in the
+// background. The entry instance reports the remaining ends.
 func (g *Guard) reportOwnerEnd(c *snipecall.Call, alias string, err error) {
 	e := classifyEnd(c, err)
 	if c.Attempt == "" || e == Answered || e == Refused && !c.Alone {
@@ -66,7 +70,8 @@
 }
 
 // verify waits for half of Linger, checks whether the upstream has survived an attempt
-// that may still run there, and reports a crash if it has not.
+// that may still run there, and reports a crash if it has not. It does nothing for an
+// attempt without a mark.
 func (g *Guard) verify(a Attempt) {
 	if a.Mark == "" {
 		return
@@ -87,6 +92,7 @@
 	}
 }
 
+// survived calls Survived for an attempt that has a mark, with a timeout of one second.
 func (g *Guard) survived(a Attempt) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/snipequarantine/record.go
+++ b/snipequarantine/record.go
@@ -13,7 +13,8 @@
 // quarantineCrashes is the number of uncleared crashes that quarantines a fingerprint.
 const quarantineCrashes = 2
 
-// maxCrashes bounds the crashes that a record keeps; a new crash replaces the oldest.
+// maxCrashes bounds the crashes that a record keeps; a new crash replaces the one that
+// was added first.
 // An encoded record stays below the 512 bytes of an announcement.
 const maxCrashes = 4
 
@@ -28,7 +29,8 @@
 	Upstream uint64
 	// AgeMilliseconds is the time since the crash, as of the encoding.
 	AgeMilliseconds int64
-	// Cleared means that another call must have caused the crash.
+	// Cleared means that another call must have caused the crash, because the suspect has
+	// since been answered completely while it ran alone.
 	Cleared bool `json:",omitempty"`
 }
 
@@ -108,7 +110,7 @@
 	}
 }
 
-// clear marks all crashes as cleared.
+// clear marks all crashes as cleared. The record is kept until it expires.
 func (r *record) clear() {
 	for i := range r.crashes {
 		r.crashes[i].cleared = true
@@ -130,7 +132,7 @@
 }
 
 // DecodeRecord decodes a record and checks it. The time until its release must not
-// exceed hold.
+// exceed hold, the Retention of the registry.
 func DecodeRecord(data []byte, hold time.Duration) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(data, &r); err != nil {
--- a/snipequarantine/registry.go
+++ b/snipequarantine/registry.go
@@ -13,7 +13,9 @@
 	// maxRecords bounds the records; a new record replaces the one that would be
 	// released first.
 	maxRecords = 10000
-	// maxAttempts bounds the known attempts in flight.
+	// maxAttempts is the number of known attempts from which on no attempt of an
+	// unsuspected fingerprint starts. Attempts of suspects, and those that another
+	// coordinator has permitted, are registered beyond it.
 	maxAttempts = 200000
 	// maxLingering bounds the other upstreams at which abandoned attempts of a
 	// fingerprint may still run when a new attempt of it starts.
@@ -29,15 +31,16 @@
 type Registry struct {
 	// Self is this instance's member ID.
 	Self string
-	// SettleTime is how long no suspect starts after a crash or a change of the members.
-	// After that time every instance has received the crash and has moved its attempts
-	// to their new coordinators.
+	// SettleTime is how long after a crash or a change of the members no suspect starts.
+	// It must be long enough for every instance to receive the crash and to move its
+	// attempts to their new coordinators.
 	SettleTime time.Duration
 	// Linger is how long an abandoned attempt may still crash its upstream.
 	Linger time.Duration
 	// Retention is how long the record of a fingerprint is kept after its last crash.
 	Retention time.Duration
-	// Announce sends a changed record to all instances; nil sends nothing.
+	// Announce sends a changed record to all instances; nil sends nothing. Finish waits
+	// for it to return.
 	Announce func(f Fingerprint, record []byte, ttl time.Duration)
 
 	lock           sync.Mutex // guards the fields below; not held during Announce
@@ -92,8 +95,10 @@
 	return r.beginUnsuspected(a, now)
 }
 
-// beginUnsuspected decides about an attempt whose fingerprint has no uncleared crash.
-// The lock is held.
+// beginUnsuspected decides about an attempt whose fingerprint has no uncleared crash. If
+// another attempt of the fingerprint is in flight and awaited, the attempt must run at
+// the same upstream. Otherwise it waits while abandoned attempts may still run at more
+// than maxLingering other upstreams. The lock is held.
 func (r *Registry) beginUnsuspected(a Attempt, now time.Time) Verdict {
 	v := Verdict{Decision: Run}
 	var lingering []string
@@ -114,7 +119,9 @@
 	return v
 }
 
-// beginSuspect decides about an attempt of a suspect. The lock is held.
+// beginSuspect decides about an attempt of a suspect. It may run alone if SettleTime has
+// passed, no other attempt of the suspect may still run, and this instance is the first
+// coordinator; otherwise it waits. The lock is held.
 func (r *Registry) beginSuspect(a Attempt, known *record, now time.Time) Verdict {
 	settled := known.lastAdded
 	if r.membersChanged.After(settled) {
@@ -143,7 +150,8 @@
 	return Verdict{Decision: RunAlone}
 }
 
-// leads reports whether this instance is a fingerprint's first coordinator.
+// leads reports whether this instance is a fingerprint's first coordinator. It is also
+// true as long as no members are set.
 func (r *Registry) leads(f Fingerprint) bool {
 	all := Coordinators(f, r.members)
 	return len(all) == 0 || all[0].ID == r.Self
@@ -240,9 +248,10 @@
 	return record.add(crash{id: crashID(a.ID, a.Upstream), upstream: upstream, when: now}, now)
 }
 
-// SetMembers sets the live instances. It returns the attempts whose entry instance is
-// gone. The caller verifies whether their upstreams have survived and reports crashes
-// to Finish.
+// SetMembers sets the live instances and removes expired attempts and records. If the
+// members have changed, it marks the attempts whose entry instance is gone as abandoned
+// and returns them. The caller verifies whether their upstreams have survived and
+// reports crashes to Finish.
 func (r *Registry) SetMembers(members []Member) []Attempt {
 	sorted := slices.SortedFunc(slices.Values(members), compareMembers)
 	r.lock.Lock()
@@ -270,7 +279,8 @@
 	return slices.ContainsFunc(r.members, func(m Member) bool { return m.ID == id })
 }
 
-// Merge merges a record that another instance has announced.
+// Merge merges a record that another instance has announced or replicated. It does not
+// announce the result. An invalid record is refused.
 func (r *Registry) Merge(f Fingerprint, data []byte) error {
 	in, err := DecodeRecord(data, r.Retention)
 	if err != nil {
@@ -316,7 +326,8 @@
 	return known != nil && known.uncleared() > 0
 }
 
-// Counts returns the numbers of records and of attempts that may still run.
+// Counts returns the numbers of records and of known attempts. They include expired ones
+// that are not removed yet.
 func (r *Registry) Counts() (records, attempts int) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/snipequarantine/snipequarantine.go
+++ b/snipequarantine/snipequarantine.go
@@ -7,7 +7,8 @@
 // first for it by rendezvous hash, and, as a fallback if that instance does not answer,
 // the highest-ranking instance of another failure domain. Every attempt is reported to
 // a coordinator before it starts and after it has ended, so that at least one instance
-// besides the one that executes the attempt has a record of it.
+// besides the one that executes the attempt has a record of it. The entry instance of a
+// call is the one that the caller is connected to.
 //
 //   - Registry holds the state of a coordinator and makes its decisions.
 //   - Guard is the entry instance's side: it asks the coordinator before each attempt
@@ -108,8 +109,8 @@
 // Verdict is a coordinator's answer to Begin.
 type Verdict struct {
 	Decision Decision
-	// Wait is the time to wait if Decision is Wait, and the time until the release if
-	// Decision is Quarantined.
+	// Wait is the time to wait if Decision is Wait, the time until the release if
+	// Decision is Quarantined, and without meaning otherwise.
 	Wait time.Duration
 	// Upstream is where the attempt must run. If it is empty, the attempt runs at the
 	// upstream that its entry instance chose.
@@ -121,7 +122,8 @@
 	Fingerprint Fingerprint
 	// ID identifies the attempt in the whole system.
 	ID string
-	// Entry is the ID of the member that the caller is connected to.
+	// Entry is the ID of the member that the caller is connected to. It is empty in the
+	// reports of an upstream's owner.
 	Entry string
 	// Upstream is where the attempt runs.
 	Upstream string
@@ -179,7 +181,8 @@
 
 // Coordinators returns the coordinators of a fingerprint, at most two: the member that
 // ranks first, and the highest-ranking member of another failure domain. Without
-// another failure domain the second is the member that ranks second.
+// another failure domain the second is the member that ranks second. It returns nil if
+// there are no members.
 func Coordinators(f Fingerprint, members []Member) []Member {
 	key := sniperoute.Hash(string(f[:]))
 	first := bestMember(key, members, func(Member) bool { return true })
--- a/snipequarantine/state.go
+++ b/snipequarantine/state.go
@@ -7,6 +7,7 @@
 
 // The functions below maintain the maps of a Registry. The lock is held in each.
 
+// initialize creates the maps at the first use.
 func (r *Registry) initialize(now time.Time) {
 	if r.active != nil {
 		return
@@ -14,7 +15,7 @@
 	r.active = map[Fingerprint]map[string]*attempt{}
 	r.records = map[Fingerprint]*record{}
 	// A new instance may be the coordinator of attempts that are not registered with it
-	// yet; suspects wait for Settle.
+	// yet; suspects wait for SettleTime.
 	r.membersChanged = now
 }
 
@@ -43,6 +44,8 @@
 	}
 }
 
+// addAttempt adds an attempt, or replaces the one with its ID, and returns it. The
+// attempt expires Linger after its call's deadline.
 func (r *Registry) addAttempt(a Attempt, now time.Time) *attempt {
 	all := r.active[a.Fingerprint]
 	if all == nil {
--- a/snipequarantine/wire.go
+++ b/snipequarantine/wire.go
@@ -13,10 +13,10 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// Limits of the values that peers may send.
+// Limits of the values that peers (other instances) may send.
 const (
-	maxTextBytes = 512
-	maxLeft      = 24 * time.Hour
+	maxTextBytes = 512            // longer texts are refused
+	maxLeft      = 24 * time.Hour // a longer time is shortened
 )
 
 // ErrUnknownMember is returned for a member whose address is not known.
@@ -92,10 +92,12 @@
 type Client struct {
 	// HTTP sends requests with the peer secret.
 	HTTP snipeproto.HTTPClient
-	// Address returns the address at which a member serves its peers.
+	// Address returns the address at which a member serves its peers, and false if the
+	// member is not known.
 	Address func(member string) (netip.AddrPort, bool)
 }
 
+// remote returns a client of a member's service.
 func (c *Client) remote(member string) (snipeproto.Quarantine, error) {
 	address, ok := c.Address(member)
 	if !ok {
@@ -104,7 +106,7 @@
 	return snipeproto.NewQuarantineProtobufClient("http://"+address.String(), c.HTTP), nil
 }
 
-// Begin calls Registry.Begin on a member.
+// Begin calls Registry.Begin on a member. The verdict's Wait is at least a millisecond.
 func (c *Client) Begin(ctx context.Context, member string, a Attempt) (Verdict, error) {
 	remote, err := c.remote(member)
 	if err != nil {
