--- a/snipeclaim/attempt.go
+++ b/snipeclaim/attempt.go
@@ -13,7 +13,8 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// step writes the attempt's record if the row has the given version.
+// step writes the attempt's record, with new times, if the row has the given version. It
+// returns ErrConflict, wrapped, if the row has another version.
 func (a *attempt) step(ctx context.Context, version uint64) error {
 	a.record.Changed = time.Now().UTC()
 	a.record.Expires = a.record.Changed.Add(Retention)
@@ -65,8 +66,9 @@
 	return now.Before(deadline) && now.Round(0).Before(deadline.Round(0))
 }
 
-// collect returns a sink that stores the answer, up to MaxKept, and accepts the rest of
-// the answer after the caller has disconnected.
+// collect returns a sink that passes the answer on and stores it, or nothing of it if it
+// is larger than MaxKept. An error of the caller's sink that is not a CallError means that
+// the caller has disconnected; the returned sink then accepts the rest of the answer.
 func (a *attempt) collect(sink snipecall.Sink) snipecall.Sink {
 	return func(k snipecall.Chunk) error {
 		a.size += len(k.Data)
@@ -93,7 +95,8 @@
 var errTooMany = errors.New("too many claim rows are being completed")
 
 // finish completes the row after the final answer, in the background so that the answer
-// is not delayed.
+// is not delayed. If maxFinishing other rows are being completed, the row is left as it
+// is, and repetitions of a dispatched call fail with MayHaveRun.
 func (s *Claims) finish(a *attempt, err error) {
 	s.initSlots.Do(func() { s.finishSlots = make(chan struct{}, maxFinishing) })
 	select {
@@ -128,7 +131,8 @@
 	return a.persist(ctx, func(ctx context.Context) error { return a.step(ctx, a.version) })
 }
 
-// persist retries a step while the table is down, until ctx ends.
+// persist calls f, and calls it again every second while the table is down, until ctx
+// ends.
 func (a *attempt) persist(ctx context.Context, f func(context.Context) error) error {
 	for {
 		err := f(ctx)
@@ -145,9 +149,9 @@
 	}
 }
 
-// release releases the key if the row still belongs to this attempt. The call is
-// certain not to have run, even if a step of this attempt has taken effect without its
-// knowledge. The row is kept, so that its version continues.
+// release releases the key if the row still belongs to this attempt, and otherwise does
+// nothing. The call is certain not to have run, even if a step of this attempt has taken
+// effect without its knowledge. The row is kept, so that its version continues.
 func (a *attempt) release(ctx context.Context) error {
 	const tries = 3
 	for range tries {
--- a/snipeclaim/snipeclaim.go
+++ b/snipeclaim/snipeclaim.go
@@ -58,14 +58,16 @@
 	// claimAge is the age at which a Claimed row counts as abandoned, and the time
 	// after its deadline at which a Dispatched row no longer counts as in flight.
 	claimAge = 10 * time.Second
-	// inFlightRetry is the Retry-After of a repetition while the first attempt is in
-	// flight, downRetry that of a call while the table is down.
+	// inFlightRetry is the Retry-After of a repetition while another attempt with the
+	// key is in flight, downRetry that of a call while the table is down.
 	inFlightRetry = time.Second
 	downRetry     = 5 * time.Second
-	// finishTime bounds the step that completes a row, and maxFinishing the number of
-	// these steps in progress.
+	// finishTime bounds the step that completes a row, with its retries. maxFinishing
+	// bounds the number of these steps in progress; beyond it rows are not completed.
 	finishTime    = 30 * time.Second
 	maxFinishing  = 256
+	// maxClaimTries bounds the writes of a Claimed row, each after a conflict with another
+	// attempt.
 	maxClaimTries = 4
 )
 
@@ -102,12 +104,12 @@
 	Instance string
 	Token    string
 	State    State
-	// Changed, Deadline and Expires are times of Instance's clock. The call is over
-	// once Deadline has passed.
+	// Changed, Deadline and Expires are times of Instance's clock: of the last step, of
+	// the end of the call, and of the time from which on the row may be swept.
 	Changed  time.Time
 	Deadline time.Time
 	Expires  time.Time
-	// Kept means that Answer is the whole answer.
+	// Kept means that Answer is the whole answer. Larger answers are not stored.
 	Kept   bool   `json:",omitempty"`
 	Answer []part `json:",omitempty"`
 }
@@ -125,10 +127,11 @@
 	Serve func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
 	// Dispatch executes a call at its upstream.
 	Dispatch func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
-	// IsLive reports whether an instance is considered alive.
+	// IsLive reports whether an instance is considered alive. A wrong result affects only
+	// when a row is taken over or reported as not in flight, never safety.
 	IsLive func(instance string) bool
-	// SweepsPartition reports whether this instance sweeps a partition, and Sweep is the interval
-	// between the sweeps of two partitions.
+	// SweepsPartition reports whether this instance sweeps a partition. SweepInterval is
+	// the interval between the sweeps of two partitions.
 	SweepsPartition func(partition string) bool
 	SweepInterval   time.Duration
 	// Timeout bounds each step before the dispatch.
@@ -156,15 +159,19 @@
 	caller context.Context
 	// dispatched means that the call was passed to Dispatch at least once.
 	dispatched bool
-	kept       []part
-	size       int
+	// kept is the answer so far, or nil if its size in bytes exceeds MaxKept.
+	kept []part
+	size int
+	// callerGone means that the caller accepts no more of the answer.
 	callerGone bool
 }
 
+// attemptKey is the context key of the attempt of a call.
 type attemptKey struct{}
 
 // Call executes a call. If the call is not idempotent and has a request key, it is
-// executed at most once for the key.
+// executed at most once for the key: a repetition receives the stored answer, or an error
+// if there is none. Such a call runs on to its deadline if its caller disconnects.
 func (s *Claims) Call(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	if c.Idempotent || c.Key == "" {
 		return s.Serve(ctx, c, sink)
@@ -199,7 +206,8 @@
 	return s.Dispatch(ctx, c, sink)
 }
 
-// Wait waits until the rows of answered calls are complete.
+// Wait waits until the rows of all calls that have ended are completed or have
+// failed to be completed.
 func (s *Claims) Wait() { s.finishing.Wait() }
 
 // rowKey returns the key of the row for a team's request key.
@@ -227,7 +235,8 @@
 }
 
 // claim claims the call for a new attempt. If the call has a stored answer, claim
-// returns the answer and no attempt.
+// returns the answer and no attempt. It returns an error if the table is down, or if the
+// row of the key may not be taken over.
 func (s *Claims) claim(ctx context.Context, c *snipecall.Call) (*attempt, []part, error) {
 	bounded, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
@@ -293,7 +302,8 @@
 	return nil, snipeerror.New(snipeerror.ErrDuplicate, snipeerror.MayHaveRun, "an earlier attempt may have run and has no answer")
 }
 
-// abandoned reports whether the attempt of a Claimed row seems to be gone.
+// abandoned reports whether the attempt of a Claimed row seems to be gone: its instance
+// is not live, or the row is older than claimAge.
 func (s *Claims) abandoned(r record) bool {
 	return !s.IsLive(r.Instance) || time.Since(r.Changed) > claimAge
 }
--- a/snipeclaim/sweep.go
+++ b/snipeclaim/sweep.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// sweepMargin is how far the clocks of instances may differ.
+	// sweepMargin is how far the clocks of instances may differ: a row is deleted only
+	// once it has been expired for that long.
 	sweepMargin = time.Hour
 	// sweepBatch bounds the rows deleted by one write.
 	sweepBatch = 25
@@ -42,6 +43,8 @@
 	return "", false
 }
 
+// sweep deletes up to sweepBatch expired rows of the next partition. Rows that cannot be
+// decoded are kept.
 func (s *Claims) sweep(ctx context.Context) error {
 	name, ok := s.nextPartition()
 	if !ok {
