--- a/snipeclaim/snipeclaim.go
+++ b/snipeclaim/snipeclaim.go
@@ -64,8 +64,8 @@
 	downRetry     = 5 * time.Second
 	// finishTime bounds the step that completes a row, with its retries. maxFinishing
 	// bounds the number of these steps in progress; beyond it rows are not completed.
-	finishTime    = 30 * time.Second
-	maxFinishing  = 256
+	finishTime   = 30 * time.Second
+	maxFinishing = 256
 	// maxClaimTries bounds the writes of a Claimed row, each after a conflict with another
 	// attempt.
 	maxClaimTries = 4
@@ -171,7 +171,7 @@
 
 // Call executes a call. If the call is not idempotent and has a request key, it is
 // executed at most once for the key: a repetition receives the stored answer, or an error
-// if there is none. Such a call runs on to its deadline if its caller disconnects.
+// if there is none. If its caller disconnects, such a call continues, at most to its deadline.
 func (s *Claims) Call(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	if c.Idempotent || c.Key == "" {
 		return s.Serve(ctx, c, sink)
