--- a/snipeclaim/claim_test.go
+++ b/snipeclaim/claim_test.go
@@ -123,6 +123,8 @@
 // sendInBackground sends the call through instance n in a goroutine.
 func (cl *cluster) sendInBackground(n int) { cl.background.Go(func() { _, _ = cl.send(n, "body") }) }
 
+// TestAtMostOnce checks the result of a call that is sent through another instance after
+// the first attempt met a fault, and how often it has run. It guards against a second run.
 func TestAtMostOnce(t *testing.T) {
 	hang := func() { time.Sleep(30 * time.Second) }
 	notRun := snipeerror.New(snipeerror.ErrNoUpstream, snipeerror.NotRun, "x")
--- a/snipelease/lease_test.go
+++ b/snipelease/lease_test.go
@@ -112,8 +112,8 @@
 	*flag = v
 }
 
-// members returns the membership as n observes it: deaths after deathDetection, announcements at
-// once.
+// members returns the membership as n observes it: deaths after deathDetection, isolation and
+// announcements at once.
 func (c *cluster) members(n *node) snipelease.Members {
 	return snipelease.Members{
 		All: func() ([]snipemember.Member, bool) { return c.membersSeenBy(n), true },
@@ -276,7 +276,7 @@
 }
 
 // advance lets d elapse, and checks every 100 ms that no engine has two owners and that no fencing
-// number decreases.
+// number decreases within d.
 func (c *cluster) advance(d time.Duration) {
 	fences := map[string]uint64{}
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -317,6 +317,8 @@
 
 func (c *cluster) ownedBy(index int) int { return len(c.nodes[index].holder.Owned()) }
 
+// TestOwnership applies a fault to a cluster in which each engine has an owner. It guards against an
+// engine with two owners, one that stays without an owner, and more changes of owner than needed.
 func TestOwnership(t *testing.T) {
 	const size, engines = 5, 20
 	tests := map[string]struct {
@@ -465,8 +467,9 @@
 	c.table.SetFault(snipestand.TableFault{})
 }
 
-// TestHandover checks that a busy engine is not handed over, accepts no new calls meanwhile, and
-// has its next owner within two seconds once it is idle.
+// TestHandover checks that a leaving instance keeps its busy engines, which accept no new calls
+// meanwhile, and that each has its next owner within two seconds once it is idle. The leaving
+// instance's lease row is then deleted.
 func TestHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 3, 6)
--- a/snipelease/random_test.go
+++ b/snipelease/random_test.go
@@ -52,8 +52,9 @@
 }
 
 // TestRandomTroubles applies random faults, several at once, and checks all the time that no
-// engine has two owners and that no fencing number decreases. After all faults have ended, each
-// engine has an owner again. Seeds 11, 16, 29 and 32 have exposed defects.
+// engine has two owners and that no fencing number decreases between two changes of the faults.
+// After all faults have ended, each engine has an owner again. Seeds 11, 16, 29 and 32 have exposed
+// defects.
 func TestRandomTroubles(t *testing.T) {
 	const seeds, size, steps = 33, 4, 40
 	for seed := range int64(seeds) {
--- a/snipequarantine/interleaving_test.go
+++ b/snipequarantine/interleaving_test.go
@@ -12,10 +12,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// interleavings is the number of seeds that each test runs.
+// interleavings is the number of seeds that each test with random interleavings runs.
 const interleavings = 150
 
-// sendCalls sends crashing and harmless calls through every instance at random times.
+// sendCalls sends crashing and harmless calls through random instances at random times,
+// and waits for their ends.
 func (cl *cluster) sendCalls(seed uint64, calls int, within time.Duration) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var all sync.WaitGroup
@@ -44,7 +45,7 @@
 }
 
 // TestBound runs random interleavings of harmless calls and a few crashing calls, which
-// are repeated, also concurrently, through all instances. It guards against a call that
+// are repeated, also concurrently, through random instances. It guards against a call that
 // crashes more than two engines and against a harmless call that is quarantined.
 func TestBound(t *testing.T) {
 	for seed := range uint64(interleavings) {
--- a/snipequarantine/simulation_test.go
+++ b/snipequarantine/simulation_test.go
@@ -110,7 +110,8 @@
 	}
 }
 
-// members returns the live instances as the table shows them after memberDelay.
+// members returns the instances that were live memberDelay ago, and this one. Those that
+// started with the cluster are included from the start.
 func (i *instance) members() []Member {
 	i.cluster.lock.Lock()
 	defer i.cluster.lock.Unlock()
@@ -195,8 +196,8 @@
 // ownerlessTime is how long an engine has no owner after the death of its owner.
 const ownerlessTime = 4 * time.Second
 
-// owner returns the instance that owns an engine, or nil. The owner changes only when
-// it dies.
+// owner returns the instance that owns an engine, or nil if there is none. The owner
+// changes only when it dies, after ownerlessTime.
 func (cl *cluster) owner(engine string) *instance {
 	n, err := strconv.Atoi(engine)
 	if err != nil {
@@ -337,7 +338,8 @@
 }
 
 // crash breaks off all calls of the engine. The engine is up again, without adapters,
-// after two seconds. A canceled call does not crash it.
+// after two seconds. A canceled call does not crash it, and neither does one that began
+// before the last crash: of is the engine's crashed channel at the call's start.
 func (e *fakeEngine) crash(ctx context.Context, of chan struct{}, body string) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
