--- a/snipecatalog/snipecatalog.go
+++ b/snipecatalog/snipecatalog.go
@@ -2,11 +2,11 @@
 // unchanged: routes by host and path prefix, the services behind them, the workspaces
 // that callers' keys belong to, and the newest version of each adapter.
 //
-// A Catalog is an immutable snapshot. A Keeper holds the one in effect.
+// A Catalog is an immutable snapshot. A Cache holds the one in force.
 //
 // Invariants:
 //
-//   - The catalog in effect is never replaced by one of a lower version.
+//   - The catalog in force is never replaced by one of a lower version.
 //   - An adapter's versions only increase. Each is stored with the time at which this
 //     instance learned of it, so that the grace period until requests require a version
 //     is counted for each version separately.
@@ -38,7 +38,7 @@
 // Route describes how requests for a host and a path prefix are handled.
 type Route struct {
 	Name string
-	// Host and Prefix select the route; the longest matching prefix wins.
+	// Host and Prefix select the route; among the prefixes of a path, the longest wins.
 	Host   string
 	Prefix string
 	// Repeat states whether a request may run more than once.
@@ -115,7 +115,7 @@
 	Engine *Engine
 }
 
-// Limits bounds what a caller may send.
+// Limits bounds what a caller may send, in bytes and in time.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -194,7 +194,7 @@
 	Learned time.Time
 }
 
-// Cache holds the catalog in effect and the adapters' versions. It is safe for concurrent
+// Cache holds the catalog in force and the adapters' versions. It is safe for concurrent
 // use.
 type Cache struct {
 	current atomic.Pointer[Catalog]
@@ -203,10 +203,10 @@
 	versions map[Adapter][]Announced // in ascending order
 }
 
-// Catalog returns the catalog in effect; nil before the first one is known.
+// Catalog returns the catalog in force; nil before the first one is known.
 func (k *Cache) Catalog() *Catalog { return k.current.Load() }
 
-// Adopt puts a catalog into effect and reports whether it did so: a catalog whose version is
+// Adopt puts a catalog in force and reports whether it did so: a catalog whose version is
 // not higher than the current one is ignored. The catalog must be indexed.
 func (k *Cache) Adopt(c *Catalog) bool {
 	for {
--- a/snipecatalog/workspace.go
+++ b/snipecatalog/workspace.go
@@ -30,7 +30,7 @@
 
 // Quota limits what a workspace may use on all instances together. The zero Quota is no limit.
 type Quota struct {
-	// PerSecond is the number of units that may be used in a second, Burst the number of unused
+	// PerSecond is the number of units that may be used in a second, 0 for no limit; Burst is the number of unused
 	// units that can accumulate.
 	PerSecond float64
 	Burst     float64
@@ -75,7 +75,8 @@
 
 func finiteNonNegative(f float64) bool { return f >= 0 && !math.IsInf(f, 1) }
 
-// RequiresKeys reports whether requests need a key, except for those of public routes.
+// RequiresKeys reports whether requests of routes that are not public need a key: whether any
+// workspace is declared.
 func (c *Catalog) RequiresKeys() bool { return len(c.Workspaces) > 0 }
 
 // Limited reports whether any workspace has a quota.
--- a/snipedirectory/snipedirectory.go
+++ b/snipedirectory/snipedirectory.go
@@ -1,15 +1,17 @@
 // Package snipedirectory tracks the upstreams that have registered themselves.
 //
-// A Snapshot is immutable. A Keeper applies the changes read from the registry, in the
-// order of the registry's positions.
+// A Snapshot is immutable. A Cache applies the changes read from the registry, in the order
+// in which the caller read them. A position is the registry's version, which grows with
+// every change of an entry.
 //
 // Invariants:
 //
 //   - An upstream that the registry marks as leaving or no longer lists gets no new work
-//     from the moment at which that was read; Keeper.Return makes an exception for entries
+//     from the moment at which that was read; Cache.LapseGrace makes an exception for entries
 //     that lapse during an outage of the registry. An upstream that has itself announced
 //     that it is leaving counts as leaving until another start of it is known, whatever
-//     the registry shows.
+//     the registry shows; the announcement may be dropped leavingRetention after it was
+//     last recorded.
 //   - Each start of an upstream is a separate upstream, even if the name and the address
 //     are the same: it holds none of the adapters of the previous start, and nothing that
 //     was learned about the previous start applies to it. Start times are compared for
@@ -47,12 +49,12 @@
 	// none.
 	Start int64
 	// Restarted reports whether an earlier start of the same name was known when this start
-	// appeared. The Keeper sets it.
+	// appeared. The Cache sets it.
 	Restarted bool
 	Service   string
 	Address   netip.AddrPort
 	// RankKey is the hash of the address, by which upstreams are ranked for an adapter. The
-	// Keeper sets it.
+	// Cache sets it.
 	RankKey uint64
 	// Domain is the upstream's failure domain.
 	Domain string
@@ -119,8 +121,8 @@
 	Whole    bool
 	Position uint64
 	Changed  []*Upstream
-	// Removed lists the names of upstreams whose entry was removed, Wrong those whose entry
-	// cannot be decoded.
+	// Removed lists the names of upstreams whose entry was removed, Undecodable those whose
+	// entry cannot be decoded.
 	Removed     []string
 	Undecodable []string
 }
@@ -129,9 +131,9 @@
 // is safe for concurrent use.
 type Cache struct {
 	// OnEvent, if not nil, is called for each upstream that appears, starts to leave or is gone.
-	// It is called with the Keeper's lock held.
+	// It is called with the Cache's lock held, so it must not call a method that takes the lock.
 	OnEvent func(u *Upstream, e Event)
-	// LapseGrace is how long, counted from the last call of Lost, missing entries are kept:
+	// LapseGrace is how long, counted from the last call of RegistryLost, missing entries are kept:
 	// entries lapse while an outage of the registry keeps the upstreams from renewing them.
 	LapseGrace time.Duration
 
@@ -139,7 +141,7 @@
 
 	lock       sync.Mutex           // guards the fields below
 	byName     map[string]*Upstream // the known upstreams
-	lastOutage time.Time            // when Lost was last called
+	lastOutage time.Time            // when RegistryLost was last called
 	lapsed     map[string]time.Time // when missing entries are removed, by name
 	// announcedLeaving holds the starts that have announced that they are leaving, and when
 	// that was recorded.
@@ -152,7 +154,7 @@
 // Event is a change of an upstream's state.
 type Event uint8
 
-// The events that are reported to Keeper.Seen.
+// The events that are reported to Cache.OnEvent.
 const (
 	Appeared Event = iota
 	Leaving
@@ -162,14 +164,16 @@
 // Snapshot returns the newest snapshot; nil before the registry has been read.
 func (k *Cache) Snapshot() *Snapshot { return k.current.Load() }
 
-// RegistryLost records that the registry could not be read.
+// RegistryLost records that the registry could not be read. LapseGrace is counted from the last
+// such call.
 func (k *Cache) RegistryLost() {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	k.lastOutage = time.Now()
 }
 
-// Apply applies a change and publishes the resulting snapshot.
+// Apply applies a change, removes the upstreams whose LapseGrace has passed, and publishes the
+// resulting snapshot. It modifies and keeps the upstreams in c.
 func (k *Cache) Apply(c Change) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -192,7 +196,8 @@
 }
 
 // MarkEnded records that a start is over although the registry still lists it, because the upstream
-// has restarted. The upstream is not used until its entry shows another start.
+// has restarted. The upstream is removed until its entry shows another start. An unknown id is
+// ignored.
 func (k *Cache) MarkEnded(id string) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -210,8 +215,8 @@
 	k.current.Store(b.snapshot(old.Position, old.Read))
 }
 
-// leavingRetention is how long a leaving start is remembered: its entry may be missing for a while
-// and come back.
+// leavingRetention is how long a leaving start is remembered at least: its entry may be missing for a
+// while and come back. Older announcements are dropped when the next one is recorded.
 const leavingRetention = 10 * time.Minute
 
 // MarkLeaving records that a start has itself announced that it is leaving, which the registry may not
@@ -264,7 +269,7 @@
 	return names
 }
 
-// put applies a decoded entry, unless End has recorded its start as over. The lock is held.
+// put applies a decoded entry, unless MarkEnded has recorded its start as over. The lock is held.
 func (k *Cache) put(b *builder, u *Upstream) {
 	if k.endedStarts[u.Name] == u.ID {
 		return
@@ -300,9 +305,10 @@
 	}
 }
 
-// removeOrLapse handles an upstream whose entry is gone. It removes the upstream, unless Lost
-// was called less than k.Return ago: entries lapse during an outage of the registry, and live
-// upstreams write them again. Such an upstream is kept until k.Return has passed. The lock is held.
+// removeOrLapse handles an upstream whose entry is gone. It removes the upstream, unless
+// RegistryLost was called less than k.LapseGrace ago: entries lapse during an outage of the registry, and live
+// upstreams write them again. Such an upstream is kept until
+// k.LapseGrace has passed. The lock is held.
 func (k *Cache) removeOrLapse(b *builder, name string) {
 	delete(k.endedStarts, name)
 	if k.byName[name] == nil {
@@ -320,7 +326,7 @@
 	}
 }
 
-// remove removes an upstream. The lock is held.
+// remove removes an upstream and reports it as gone. An unknown name is ignored. The lock is held.
 func (k *Cache) remove(b *builder, name string) {
 	delete(k.lapsed, name)
 	u := k.byName[name]
--- a/snipemirror/follow.go
+++ b/snipemirror/follow.go
@@ -15,14 +15,15 @@
 	// retryInterval is the time between two reads while the store does not answer.
 	retryInterval = 300 * time.Millisecond
 	// While the store does not answer, one of lostCycle reads goes to the store and the others
-	// go to other instances. rareCycle replaces lostCycle on an instance for which Rare
-	// reports true: there are many of these, and most receive rows again from the instances
+	// go to other instances. seldomCycle replaces lostCycle on an instance for which
+	// ReadsStoreSeldom reports true: there are many of these, and most receive rows again from the instances
 	// that read the store more often.
-	lostCycle, rareCycle = 2, 16
+	lostCycle, seldomCycle = 2, 16
 	// firstWait is the maximum wait for the first page from another instance, which may have
 	// started at the same time and may have read nothing yet.
 	firstWait = 500 * time.Millisecond
-	// HastenedInterval is the time between two reads of the store while Hasten returns true.
+	// HastenedInterval is the time between two reads of the store while ReadSooner
+	// returns true.
 	HastenedInterval = 300 * time.Millisecond
 	// failureExpiry is how long the next instance in rank is followed after a read of another
 	// instance's copy failed. It exceeds the time until every instance has detected that
@@ -51,7 +52,7 @@
 	// means no wait.
 	WaitForPeers func(ctx context.Context)
 	// ReadSooner reports whether the next read of the store follows after HastenedInterval if that
-	// is shorter than Pace. Nil means never.
+	// is shorter than MinInterval. Nil means never.
 	ReadSooner func() bool
 	// ReadsStoreSeldom reports whether this instance is one of many that read no store for others. While
 	// the store does not answer, such an instance reads the copies of other instances, and the
@@ -60,7 +61,7 @@
 	// Changed receives the changed rows of each read. It is also called with no rows for a
 	// read without changes.
 	Changed func(rows []Row, position uint64)
-	// StoreLost is called once when the store stops answering, and Back once when a page is read
+	// StoreLost is called once when the store stops answering, and StoreRestored once when a page is read
 	// again, from the store or from another instance.
 	StoreLost     func(err error)
 	StoreRestored func()
@@ -69,7 +70,7 @@
 	MinInterval time.Duration
 	Wait        time.Duration
 	// MaxAge returns the maximum age of another instance's copy; above it this instance reads
-	// the store itself. It exceeds Pace plus Wait, since a read that waits in vain can follow
+	// the store itself. It exceeds MinInterval plus Wait, since a read that waits in vain can follow
 	// the pause after a read that did not wait.
 	MaxAge func() time.Duration
 
@@ -85,14 +86,14 @@
 	readsSinceStore int  // reads since the last read of the store while lost is set
 }
 
-// Run follows the table until ctx ends.
+// Run reads the table continuously and applies its changes until ctx ends; it returns nil.
 func (f *Follower) Run(ctx context.Context) error {
 	if f.WaitForPeers != nil {
 		f.WaitForPeers(ctx)
 	}
 	for ctx.Err() == nil {
 		start := time.Now()
-		fromPeer, err := f.step(ctx)
+		fromPeer, err := f.readAndApply(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -106,7 +107,7 @@
 			f.storeNext = true
 			f.failuresExpire = time.Now().Add(failureExpiry)
 			pause = 0
-			if f.lost && f.rare() {
+			if f.lost && f.readsSeldom() {
 				pause = retryInterval
 			}
 		case err != nil:
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// interval returns the minimum time between two reads of the store.
+// interval returns the minimum time between the starts of two reads of the store.
 func (f *Follower) interval() time.Duration {
 	if f.ReadSooner != nil && f.ReadSooner() {
 		return min(f.MinInterval, HastenedInterval)
@@ -130,8 +131,9 @@
 	return f.MinInterval
 }
 
-// step reads and applies one page, and reports whether the read went to another instance.
-func (f *Follower) step(ctx context.Context) (fromPeer bool, err error) {
+// readAndApply reads and applies one page, and reports whether the read went to another
+// instance. If the page cannot be applied, the next read requests all rows, without an error.
+func (f *Follower) readAndApply(ctx context.Context) (fromPeer bool, err error) {
 	page, fromPeer, err := f.read(ctx)
 	if errors.Is(err, snipeplatform.ErrHistoryGone) {
 		f.needAll = true
@@ -216,8 +218,8 @@
 	if f.lost {
 		// Other instances are read in alternation with the store, which may answer them.
 		cycle := lostCycle
-		if f.rare() {
-			cycle = rareCycle
+		if f.readsSeldom() {
+			cycle = seldomCycle
 		}
 		if f.readsSinceStore++; f.readsSinceStore >= cycle {
 			f.readsSinceStore = 0
@@ -235,7 +237,7 @@
 	return f.PeerWatch(f.failures, false)
 }
 
-func (f *Follower) rare() bool { return f.ReadsStoreSeldom != nil && f.ReadsStoreSeldom() }
+func (f *Follower) readsSeldom() bool { return f.ReadsStoreSeldom != nil && f.ReadsStoreSeldom() }
 
 // setCancel sets the function that Interrupt calls; nil while no read of the store is in
 // progress.
@@ -245,8 +247,9 @@
 	f.cancel = cancel
 }
 
-// Interrupt ends a read of the store in progress. It is called when another component finds
-// that the store does not answer: a read that began earlier would wait for its full time.
+// Interrupt cancels the read of the store in progress, if any, which then counts as failed.
+// Reads of other instances' copies continue. Callers use it when another component finds that
+// the store does not answer: a read that began earlier would wait for its full time.
 func (f *Follower) Interrupt() {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -255,7 +258,8 @@
 	}
 }
 
-// storeFailed records a failed read of the store, and calls Lost for the first one.
+// storeFailed records a failed read of the store, and calls StoreLost unless the store was
+// lost before.
 func (f *Follower) storeFailed(err error) {
 	if !f.lost {
 		f.StoreLost(err)
--- a/snipemirror/snipemirror.go
+++ b/snipemirror/snipemirror.go
@@ -2,6 +2,9 @@
 // passes their changes on to other instances, so that a few instances read the
 // store and all instances have its rows.
 //
+// A position is the store's version up to which a copy contains all changes. A follower is an
+// instance that reads another instance's copy.
+//
 // Design. A Mirror holds the rows of one table with their versions, which one
 // counter of the store numbers. Rows that are read, from the store itself or from
 // another instance's mirror, are merged one by one: the higher version wins, whatever
@@ -9,7 +12,7 @@
 // instance, usually one in the same failure domain, or else from the store.
 //
 // A row that is rewritten without a change, such as a heartbeat, costs followers little:
-// nothing is sent if Same reports true, and otherwise its version without its value.
+// nothing is sent if Equivalent reports true, and otherwise its version without its value.
 //
 // Invariants:
 //
@@ -45,11 +48,11 @@
 	Unchanged bool
 }
 
-// entry is a row of a mirror.
+// entry is a row of a mirror with the versions that decide what followers receive.
 type entry struct {
 	Row
-	// changeVersion is the version of the last write that was a change: one that Same does
-	// not report as equal, or any write if Same is nil. valueVersion is the version of the
+	// changeVersion is the version of the last write that was a change: one whose value
+	// Equivalent does not report as equivalent, or any write if Equivalent is nil. valueVersion is the version of the
 	// last write that changed the bytes of the value.
 	changeVersion uint64
 	valueVersion  uint64
@@ -68,8 +71,9 @@
 	Age time.Duration
 }
 
-// tombstoneAge is how long tombstones are kept: longer than another instance may be behind
-// before it reads all rows.
+// tombstoneAge is the least time for which tombstones are kept. A follower whose position is
+// lower than a dropped tombstone's version receives all rows. Shorter: that happens to
+// followers that are only a little behind; longer: more tombstones are kept in memory.
 const tombstoneAge = time.Minute
 
 // Mirror is the copy of one table. Exported fields are set before the first call. The zero
@@ -106,14 +110,15 @@
 }
 
 // Age returns the time since the store was read, by this instance or by the one whose copy
-// was read.
+// was read; a huge duration if no page has been applied.
 func (m *Mirror) Age() time.Duration {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return time.Since(m.readAt)
 }
 
-// Counts returns the numbers of rows read and of rows changed so far.
+// Counts returns the numbers of rows in all pages applied so far, and of those that changed
+// this mirror, including the rows that a complete page no longer contained.
 func (m *Mirror) Counts() (read, changed uint64) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -121,7 +126,8 @@
 }
 
 // Rows returns the rows that were added or changed after a cursor, in the order of their keys,
-// and the cursor for the next call. Cursor 0 selects all rows. Removed rows are left out.
+// and the cursor for the next call. Cursor 0 selects all rows. Removed rows are left out. It
+// returns snipeplatform.ErrNotRead before the first page has been applied.
 func (m *Mirror) Rows(since uint64) (rows []Row, cursor uint64, err error) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -137,8 +143,8 @@
 	return rows, m.cursor, nil
 }
 
-// rowsAfter returns the rows that changed after a version. Followers have the values up to that
-// version, so older values are left out. The caller holds the lock.
+// rowsAfter returns the rows that changed after a version, with tombstones unless the version
+// is 0. Followers have the values up to that version, so older values are left out. The caller holds the lock.
 func (m *Mirror) rowsAfter(after uint64) []Row {
 	var rows []Row
 	for _, r := range m.rows {
@@ -172,7 +178,8 @@
 	return false
 }
 
-// Apply merges a page and returns the rows that changed in this mirror.
+// Apply merges a page, returns the rows that changed in this mirror, and ends the waits of
+// Watch. The page must not lack values; see LacksValues.
 func (m *Mirror) Apply(p Page) []Row {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -247,7 +254,8 @@
 	return missing
 }
 
-// prune deletes tombstones older than tombstoneAge. The caller holds the lock.
+// prune deletes tombstones older than tombstoneAge, and records that the changes up to their
+// versions are no longer known one by one. The caller holds the lock.
 func (m *Mirror) prune() {
 	for key, at := range m.removed {
 		if time.Since(at) < tombstoneAge {
@@ -260,7 +268,9 @@
 }
 
 // Watch returns the changes after a position, and waits up to wait for a newer position or for
-// the first page. It returns all rows if the changes are no longer known one by one.
+// the first page. It returns all rows if the changes are no longer known one by one. After the
+// wait it returns a page without rows, or snipeplatform.ErrNotRead if no page has been applied;
+// it returns ctx's error if ctx ends first.
 func (m *Mirror) Watch(ctx context.Context, after uint64, wait time.Duration) (Page, error) {
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
--- a/snipemirror/snipemirror_test.go
+++ b/snipemirror/snipemirror_test.go
@@ -106,7 +106,7 @@
 }
 
 // TestHeartbeats guards against heartbeats being passed on to followers. Thousands of upstreams
-// each rewrite their row every second; a rewrite that Same reports as equal must not be
+// each rewrite their row every second; a rewrite that Equivalent reports as equivalent must not be
 // returned by Watch or Rows.
 func TestHeartbeats(t *testing.T) {
 	m := snipemirror.New()
@@ -262,7 +262,7 @@
 	f()
 }
 
-// follow runs a follower in a synctest bubble, and counts the calls of its Lost and Back.
+// follow runs a follower in a synctest bubble, and counts the calls of its StoreLost and StoreRestored.
 func follow(t *testing.T, f *snipemirror.Follower) (lost, back *atomic.Int32) {
 	lost, back = new(atomic.Int32), new(atomic.Int32)
 	f.Mirror = snipemirror.New()
@@ -418,7 +418,7 @@
 	})
 }
 
-// TestRareStoreReads checks that an instance for which Rare reports true reads the store
+// TestRareStoreReads checks that an instance for which ReadsStoreSeldom reports true reads the store
 // seldom while it does not answer, and receives new rows from other instances.
 func TestRareStoreReads(t *testing.T) {
 	tests := map[string]struct {
