--- a/snipedirectory/snipedirectory_test.go
+++ b/snipedirectory/snipedirectory_test.go
@@ -46,7 +46,7 @@
 }
 
 // TestLapsedDuringOutage verifies that the upstreams of entries that lapsed during an outage of
-// the registry are kept until Return has passed, and removed if the entries have not come back.
+// the registry are kept until LapseGrace has passed, and removed if the entries have not come back.
 func TestLapsedDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := &snipedirectory.Cache{LapseGrace: 2 * time.Second}
@@ -80,7 +80,7 @@
 // start, and against the use of an upstream whose entry cannot be decoded.
 func TestStarts(t *testing.T) {
 	const appeared, gone = snipedirectory.Appeared, snipedirectory.Gone
-	wrong := func(names ...string) snipedirectory.Change { return snipedirectory.Change{Undecodable: names} }
+	undecodable := func(names ...string) snipedirectory.Change { return snipedirectory.Change{Undecodable: names} }
 	whole := func(c snipedirectory.Change) snipedirectory.Change {
 		c.Whole = true
 		return c
@@ -88,7 +88,7 @@
 	type events = map[string][]snipedirectory.Event
 	tests := map[string]struct {
 		changes []snipedirectory.Change
-		// ended is a start that is passed to End before the last change.
+		// ended is a start that is passed to MarkEnded before the last change.
 		ended  string
 		events events
 		// remaining lists the upstreams that are in the last snapshot, restarted those of them
@@ -101,15 +101,15 @@
 		"ClockBack": {[]snipedirectory.Change{changed(started("a", 9)), changed(started("a", 5))}, "", events{"a@9": {appeared, gone}, "a@5": {appeared}}, []string{"a@5"}, []string{"a@5"}},
 		"Untold":    {[]snipedirectory.Change{changed(started("a", 5)), changed(started("a", 0))}, "", events{"a@5": {appeared, gone}, "a": {appeared}}, []string{"a"}, []string{"a"}},
 		"InOnePage": {[]snipedirectory.Change{whole(changed(started("a", 5), started("b", 1))), whole(changed(started("a", 6), started("b", 1)))}, "", events{"a@5": {appeared, gone}, "a@6": {appeared}, "b@1": {appeared}}, []string{"a@6", "b@1"}, []string{"a@6"}},
-		"Wrong":     {[]snipedirectory.Change{changed(started("a", 5), started("b", 1)), wrong("a")}, "", events{"a@5": {appeared, gone}, "b@1": {appeared}}, []string{"b@1"}, nil},
+		"Wrong":     {[]snipedirectory.Change{changed(started("a", 5), started("b", 1)), undecodable("a")}, "", events{"a@5": {appeared, gone}, "b@1": {appeared}}, []string{"b@1"}, nil},
 		"WrongInWhole": {
-			[]snipedirectory.Change{changed(started("a", 5)), whole(wrong("a"))},
+			[]snipedirectory.Change{changed(started("a", 5)), whole(undecodable("a"))},
 			"",
 			events{"a@5": {appeared, gone}},
 			nil, nil,
 		},
-		"WrongAndBack": {[]snipedirectory.Change{changed(started("a", 5)), wrong("a"), changed(started("a", 5))}, "", events{"a@5": {appeared, gone, appeared}}, []string{"a@5"}, nil},
-		"WrongUnknown": {[]snipedirectory.Change{wrong("a")}, "", events{}, nil, nil},
+		"WrongAndBack": {[]snipedirectory.Change{changed(started("a", 5)), undecodable("a"), changed(started("a", 5))}, "", events{"a@5": {appeared, gone, appeared}}, []string{"a@5"}, nil},
+		"WrongUnknown": {[]snipedirectory.Change{undecodable("a")}, "", events{}, nil, nil},
 		"Ended":        {[]snipedirectory.Change{changed(started("a", 5)), changed(started("a", 5))}, "a@5", events{"a@5": {appeared, gone}}, nil, nil},
 		"EndedInWhole": {[]snipedirectory.Change{changed(started("a", 5)), whole(changed(started("a", 5)))}, "a@5", events{"a@5": {appeared, gone}}, nil, nil},
 		"EndedAndNew":  {[]snipedirectory.Change{changed(started("a", 5)), changed(started("a", 6))}, "a@5", events{"a@5": {appeared, gone}, "a@6": {appeared}}, []string{"a@6"}, []string{"a@6"}},
