--- a/snipetree/across.go
+++ b/snipetree/across.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// checkCrossBranch checks an edit against all other branches at a revision that is at
-// most the one in effect here. An edit is refused if it refers to something that another
-// branch does not declare, or removes something that another branch refers to.
+// checkCrossBranch checks an edit against the other branches of the snapshot in force here,
+// whose revision must be at least the given one; at revision 0 there are no branches. An edit
+// is refused if it refers to something that another branch does not declare, removes something
+// that another branch refers to, or declares a key of another team.
 func (s *Store) checkCrossBranch(revision uint64, name string, d *document) error {
 	t := s.Current()
 	if t == nil || revision == 0 {
--- a/snipetree/document.go
+++ b/snipetree/document.go
@@ -17,9 +17,10 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// Rows of the tree. The revision row is small because it is read in every poll. The head
-// row names the document of each branch. Documents are immutable and stored under their
-// hashes. The history has a row for each version of a branch.
+// Rows of the tree. A revision is the number of edits accepted so far, of all branches. The
+// revision row is small because it is read in every poll. The head row names the document of each
+// branch. Documents are immutable and stored under their hashes. The history has a row for each
+// version of a branch.
 const (
 	partition          = "Settings"
 	revisionSort       = "Revision"
@@ -72,6 +73,7 @@
 	return c
 }
 
+// decodeHead decodes the data of the head row.
 func decodeHead(data []byte) (head, error) {
 	var h head
 	if err := json.Unmarshal(data, &h); err != nil {
@@ -90,7 +92,7 @@
 	decodeErr error
 }
 
-// compress compresses a document and returns the result and its hash.
+// compress compresses a document and returns the result and the hash of the compressed form.
 func compress(data []byte) (compressed []byte, hash string, err error) {
 	var b bytes.Buffer
 	w, err := gzip.NewWriterLevel(&b, gzip.BestCompression)
@@ -111,6 +113,7 @@
 	return base64.RawURLEncoding.EncodeToString(sum[:])
 }
 
+// decompress returns a document's text, cut off at maxDocument.
 func decompress(compressed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
@@ -168,7 +171,8 @@
 	return nil
 }
 
-// readDocument reads a document from the table.
+// readDocument reads a document from the table. If the parts do not match the hash, it returns
+// an error that wraps snipeplatform.ErrUnavailable; a document that cannot be decoded is no error.
 func (s *Store) readDocument(ctx context.Context, name string, ref branchRef) (*document, error) {
 	var compressed []byte
 	for n := range min(ref.Parts, maxParts) {
--- a/snipetree/edit.go
+++ b/snipetree/edit.go
@@ -48,7 +48,7 @@
 	return s.ApplyEdit(ctx, Edit{ID: s.Operation(), Team: team, Expect: expect, Document: data})
 }
 
-// ApplyEdit makes an edit and returns the new revision. ErrInvalid and ErrConflict mean
+// ApplyEdit makes an edit and returns the revision that it created. ErrInvalid and ErrConflict mean
 // that the edit was not accepted. snipeplatform.ErrUnknown means that the edit may have
 // been accepted or may still be; sending it again returns the outcome.
 func (s *Store) ApplyEdit(ctx context.Context, e Edit) (uint64, error) {
@@ -95,6 +95,8 @@
 	}
 }
 
+// checkBranch decodes the document of a team's branch, or of the platform's if team is empty, and
+// checks it without regard to other branches.
 func checkBranch(team string, data []byte) error {
 	if team == "" {
 		p := &Platform{}
@@ -125,7 +127,7 @@
 	}
 	last := h.Branches[name]
 	if last.Version == ref.Version && last.Edit == ref.Edit {
-		// This edit is already in effect; only its reply was lost.
+		// This edit is already in force; only its reply was lost.
 		return last.Revision, s.catchUp(ctx, h)
 	}
 	if last.Version > ref.Version {
@@ -155,7 +157,7 @@
 	return revision, nil
 }
 
-// activateAccepted puts an edit that this instance accepted into effect here before it
+// activateAccepted puts in force here an edit that this instance accepted, before it
 // announces the revision, so that other instances can fetch it from this instance if the
 // table fails.
 func (s *Store) activateAccepted(old head, name string, ref branchRef, revision uint64, d *document) {
@@ -175,7 +177,8 @@
 	}
 }
 
-// catchUp makes sure that the revision of a head, or a higher one, is in effect here.
+// catchUp reads the documents that this instance lacks until the revision of a head, or a
+// higher one, is in force here. It does nothing for revision 0.
 func (s *Store) catchUp(ctx context.Context, h head) error {
 	if h.Revision == 0 || s.revision() >= h.Revision {
 		return nil
@@ -230,7 +233,8 @@
 	return teamOf(name)
 }
 
-// History returns the accepted edits of a branch, the most recent one first.
+// History returns the accepted edits of a branch, the most recent one first; an empty team
+// stands for the platform's branch.
 func (s *Store) History(ctx context.Context, team string) ([]Entry, error) {
 	rows, err := s.Table.List(ctx, historyPrefix+branchName(team))
 	if err != nil {
@@ -247,7 +251,7 @@
 	return all, nil
 }
 
-// historyEntry returns the history entry of a version of a branch.
+// historyEntry returns the history entry of a version of a branch, or ErrUnknownVersion.
 func (s *Store) historyEntry(ctx context.Context, name string, version uint64) (Entry, error) {
 	var e Entry
 	row, err := s.Table.Get(ctx, historyKey(name, version))
@@ -263,7 +267,8 @@
 	return e, nil
 }
 
-// Document returns the document of a version of the branch.
+// Document returns the document of a version of the branch; an empty team stands for the
+// platform's branch. It returns ErrUnknownVersion if the history lacks the version.
 func (s *Store) Document(ctx context.Context, team string, version uint64) ([]byte, error) {
 	name := branchName(team)
 	e, err := s.historyEntry(ctx, name, version)
--- a/snipetree/feed.go
+++ b/snipetree/feed.go
@@ -55,7 +55,7 @@
 }
 
 // headFromReport returns the head at the revision of the revision row, derived from the head
-// in effect and the row's report; false if the report does not cover all edits in between.
+// in force and the row's report; false if the report does not cover all edits in between.
 func (s *Store) headFromReport(row snipeplatform.Row) (head, bool) {
 	var r report
 	if err := json.Unmarshal(row.Data, &r); err != nil {
--- a/snipetree/fleet_test.go
+++ b/snipetree/fleet_test.go
@@ -18,7 +18,7 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// maxPropagationTime is the time within which a change must be in effect everywhere.
+// maxPropagationTime is the time within which a change must be in force everywhere.
 const maxPropagationTime = 19 * time.Second
 
 // fleet is a group of instances with one table and a network between peers.
@@ -334,7 +334,7 @@
 	})
 }
 
-// TestLowerRevision guards against a lower revision that is put into effect because a stale table
+// TestLowerRevision guards against a lower revision that is put in force because a stale table
 // or a peer returned it.
 func TestLowerRevision(t *testing.T) {
 	tests := map[string]snipestand.TableFault{
--- a/snipetree/measure_test.go
+++ b/snipetree/measure_test.go
@@ -14,7 +14,7 @@
 	"snipepitch.example/snipepitch/snipeplatform"
 )
 
-// TestMeasure prints the time until an edit is in effect everywhere and the reads of the
+// TestMeasure prints the time until an edit is in force everywhere and the reads of the
 // settings.
 func TestMeasure(t *testing.T) {
 	fmt.Fprintln(os.Stdout, "Settings: | instances | in force everywhere, s | the same unannounced, s | table reads/s idle | read units/s idle |")
@@ -37,7 +37,7 @@
 	}
 }
 
-// propagationSeconds applies an edit and returns the seconds until it is in effect on all
+// propagationSeconds applies an edit and returns the seconds until it is in force on all
 // instances.
 func (f *fleet) propagationSeconds(version uint64) float64 {
 	revision, err := f.stores[0].Apply(f.t.Context(), "t", version, []byte(teamBranch))
--- a/snipetree/peers.go
+++ b/snipetree/peers.go
@@ -68,8 +68,9 @@
 	return out, nil
 }
 
-// refreshFromPeers puts the highest revision of some peers into effect. It reports whether
-// at least one peer answered whose revision, or a higher one, is now in effect here.
+// refreshFromPeers reads the heads of some peers, one after the other, and puts higher revisions in
+// force. It reports whether at least one peer answered whose revision, or a higher one, is now in
+// force here.
 func (s *Store) refreshFromPeers(ctx context.Context) bool {
 	if s.Peers == nil {
 		return false
@@ -93,7 +94,7 @@
 	return answered && s.Current() != nil
 }
 
-// applyHeadFromPeer puts a peer's head into effect. It requests the missing documents in
+// applyHeadFromPeer puts a peer's head in force. It requests the missing documents in
 // batches, and then each document that did not fit into an answer on its own.
 func (s *Store) applyHeadFromPeer(ctx context.Context, client snipeproto.Settings, address netip.AddrPort, data []byte) error {
 	h, err := decodeHead(data)
@@ -129,6 +130,8 @@
 	})
 }
 
+// fetchDocuments requests documents and adds the compressed ones that the peer sent to into, by
+// the hashes that the peer stated.
 func fetchDocuments(ctx context.Context, client snipeproto.Settings, hashes []string, into map[string][]byte) error {
 	out, err := client.GetDocuments(ctx, &snipeproto.GetDocumentsRequest{Hashes: hashes})
 	if err != nil {
--- a/snipetree/snipetree.go
+++ b/snipetree/snipetree.go
@@ -1,12 +1,12 @@
 // Package snipetree implements the settings tree: one platform branch, which the platform's
-// operators edit, and one branch for each team.
+// operators edit, and one branch for each team (a customer).
 //
 // A Tree is an immutable snapshot of one revision; it is built once, checked as a whole,
 // passed on and never changed. Revisions only increase: a Store never replaces its snapshot
 // by one of a lower revision, whatever the source. A branch is accepted whole or not at all:
 // its document is first stored under its hash (document.go), then one transaction writes the
 // head row, the revision row and the history (edit.go). Documents never change, so a stale
-// read can only return an old head, which is not put into effect. Instances that cannot read
+// read can only return an old head, which is not put in force. Instances that cannot read
 // the table fetch the head and the documents from each other (peers.go). An instance admits
 // calls only while its revision was confirmed within FreshFor (store.go).
 package snipetree
@@ -197,7 +197,8 @@
 	// Teams are the branches by the team's name.
 	Teams map[string]*Branch
 	// Undecodable holds the names of the branches whose stored document this instance
-	// cannot decode; their previous settings stay in effect.
+	// cannot decode; their previous settings stay in force, and a team's branch without
+	// previous settings is absent from Teams.
 	Undecodable []string
 	teamByKey   map[KeyHash]string
 }
@@ -235,7 +236,7 @@
 }
 
 // Deadline returns the team's deadline for calls of a class that state none, or fallback if the
-// team has not set one.
+// team is unknown or has not set one.
 func (t *Tree) Deadline(team string, c snipecall.Class, fallback time.Duration) time.Duration {
 	b, ok := t.Teams[team]
 	if !ok {
--- a/snipetree/store.go
+++ b/snipetree/store.go
@@ -18,7 +18,8 @@
 // Errors of the store.
 var (
 	// ErrConflict means that the edit was not accepted, because another edit came first: the
-	// branch is not at the expected version, or every attempt met a conflict.
+	// branch is not at the expected version, or every attempt met a
+	// conflict with another edit.
 	ErrConflict = errors.New("settings were edited by somebody else")
 	// ErrUnknownBranch means that the branch does not exist.
 	ErrUnknownBranch = errors.New("unknown branch")
@@ -27,9 +28,10 @@
 )
 
 // FreshFor is how long an instance may admit calls after the table or a peer last confirmed
-// that its settings are in effect. An instance that is cut off from both, or was frozen,
+// that its settings are in force, and after it learned of a higher revision that it has not
+// read since. An instance that is cut off from both, or was frozen,
 // admits no calls after that time until its settings are confirmed again. FreshFor is less
-// than the 19 s within which a change must be in effect everywhere.
+// than the 19 s within which a change must be in force everywhere.
 const FreshFor = 15 * time.Second
 
 const (
@@ -66,7 +68,7 @@
 	Jitter func(limit time.Duration) time.Duration
 
 	current atomic.Pointer[Tree]
-	// confirmedAt is the time at which the revision in effect was last confirmed, and
+	// confirmedAt is the time at which the revision in force was last confirmed, and
 	// behindSince the time since which a higher one is known, in nanoseconds since start; 0
 	// if there is no such time.
 	start       time.Time
@@ -81,10 +83,10 @@
 	docs map[string]*document
 }
 
-// Current returns the snapshot in effect; nil before the first read.
+// Current returns the snapshot in force; nil before the first read.
 func (s *Store) Current() *Tree { return s.current.Load() }
 
-// Admitting returns the snapshot in effect for new calls; nil if the instance may not admit
+// Admitting returns the snapshot in force for new calls; nil if the instance may not admit
 // calls: before the first read, while it is cut off, and after it was frozen.
 func (s *Store) Admitting() *Tree {
 	if !s.Fresh() {
@@ -93,7 +95,7 @@
 	return s.Current()
 }
 
-// Fresh reports whether the revision in effect was confirmed within FreshFor and no higher
+// Fresh reports whether the revision in force was confirmed within FreshFor and no higher
 // revision has been known for that long.
 func (s *Store) Fresh() bool {
 	now := s.now()
@@ -110,7 +112,9 @@
 	return int64(time.Since(s.start)) + 1
 }
 
-// Run follows the settings until ctx ends.
+// Run refreshes the settings until ctx ends, and then returns nil: once every Poll on average,
+// sooner after the announcement of a higher revision, and at every tick while Fresh reports
+// false. Errors are logged.
 func (s *Store) Run(ctx context.Context) error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -142,6 +146,7 @@
 	return b
 }
 
+// jitter returns a random duration up to limit, or half of limit if Jitter is nil.
 func (s *Store) jitter(limit time.Duration) time.Duration {
 	if s.Jitter == nil {
 		return limit / 2
@@ -171,7 +176,7 @@
 	}
 }
 
-// Refresh puts the highest revision in the table into effect. It also asks some peers if
+// Refresh reads the highest revision in the table and puts it in force. It also asks some peers if
 // the table cannot be read, if a higher revision was announced than the table returned, and
 // if this instance admits no calls because it has just started, or was cut off or frozen.
 // It returns snipeplatform.ErrNotFound while there are no settings.
@@ -193,7 +198,7 @@
 }
 
 // confirm records that a refresh which began at startedAt has confirmed the revision in
-// effect, and whether a higher revision is known. An instance that admits no calls starts to
+// force, and whether a higher revision is known. An instance that admits no calls starts to
 // admit them only at the highest revision that it knows of.
 func (s *Store) confirm(startedAt int64, admitting bool) {
 	if s.announcedRevision() <= s.revision() {
@@ -241,7 +246,7 @@
 // documentReader reads the document of one branch.
 type documentReader func(ctx context.Context, name string, ref branchRef) (*document, error)
 
-// applyHead reads the missing documents of a head and then puts it into effect.
+// applyHead reads the missing documents of a head and then puts it in force.
 func (s *Store) applyHead(ctx context.Context, h head, read documentReader) error {
 	if s.Current() != nil && h.Revision <= s.revision() {
 		return nil
@@ -288,9 +293,9 @@
 	return docs, missing
 }
 
-// activate puts a head into effect unless its revision or a higher one already is. A branch
-// whose document cannot be decoded keeps its previous settings. If this is the platform's
-// branch and there is no previous snapshot, activate fails.
+// activate puts a head in force unless its revision or a higher one already is. A branch
+// whose document cannot be decoded keeps its previous settings, and is left out if it has none. If
+// the branch is the platform's and there is no previous snapshot, activate fails.
 func (s *Store) activate(h head, docs map[string]*document) error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -338,14 +343,15 @@
 	return true
 }
 
-// BranchVersion returns the version of a team's branch in the head in effect; 0 if there is
-// no such branch. An empty team stands for the platform's branch.
+// BranchVersion returns the version of a team's branch in the head in force, which is the number
+// of its edits; 0 if there is no such branch. An empty team stands for the platform's branch.
 func (s *Store) BranchVersion(team string) uint64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.head.Branches[branchName(team)].Version
 }
 
+// encodedHead returns the revision of the head in force and the encoded head.
 func (s *Store) encodedHead() (uint64, []byte, error) {
 	s.lock.Lock()
 	h := s.head
--- a/snipetree/store_test.go
+++ b/snipetree/store_test.go
@@ -192,7 +192,7 @@
 				}
 				_, err = newStore(table).ApplyEdit(t.Context(), edit)
 				must.ErrorIs(t, err, tc.resendErr)
-				// Late writes take effect now, if they still can.
+				// Late writes are applied now, if they still can be.
 				time.Sleep(2 * time.Hour)
 				must.Eq(t, tc.revision, revisionOf(t, table))
 			})
