--- a/snipeupstream/exchange.go
+++ b/snipeupstream/exchange.go
@@ -47,8 +47,9 @@
 }
 
 // Begin sends r with client and waits for the response's header. The exchange
-// ends with r's context, or when a silence exceeds its limit. After an error
-// the exchange need not be closed.
+// ends with r's context, or when a silence exceeds its limit. The exchange is
+// never nil: after an error it states MaybeSent, Reused and Silent, and need
+// not be closed.
 func Begin(client *http.Client, r *http.Request, l SilenceLimit) (*Exchange, error) {
 	x := &Exchange{}
 	// The connection outlives the call, so that the end of the body can be read.
@@ -96,7 +97,8 @@
 // Silent reports whether the exchange was ended because a silence exceeded its limit.
 func (x *Exchange) Silent() bool { return x.silent.Load() }
 
-// release stops the silence timer and the effect of the request's context.
+// release stops the silence timer, and the end of the request's context no longer ends the
+// exchange.
 func (x *Exchange) release() {
 	x.detachContext()
 	x.silenceTimer.Stop()
@@ -111,7 +113,9 @@
 }
 
 // Finish is called when the last event of the answer has arrived. It reads the
-// end of the body in the background, so that the connection can be reused.
+// end of the body in the background, so that the connection can be reused. If
+// more than drainBytes are left, or the end does not arrive within
+// drainTimeout, the connection is closed instead.
 func (x *Exchange) Finish() {
 	x.release()
 	go func() {
--- a/snipeupstream/report.go
+++ b/snipeupstream/report.go
@@ -35,11 +35,12 @@
 type Report struct {
 	// Started is the start time of the engine's process; zero if it is not reported.
 	Started time.Time
-	// Running and Waiting are the numbers of calls in the batch and in the queue.
+	// Running and Waiting are the numbers of calls in the batch and in the queue; zero if the
+	// metrics lack them.
 	Running, Waiting int
 	// BusyKnown reports that the metrics list the aliases with calls.
 	BusyKnown bool
-	// Busy holds the aliases with running or waiting calls.
+	// Busy holds the aliases with running or waiting calls; nil if BusyKnown is false.
 	Busy map[string]bool
 }
 
--- a/snipeupstream/service.go
+++ b/snipeupstream/service.go
@@ -26,14 +26,16 @@
 	// each call and sends calls that may not be repeated, so that none of them
 	// is sent on a reused connection that has gone silent.
 	Pooled, Fresh *http.Client
-	// Progress is the longest silence of a reused connection before the call is
-	// sent again on a new one, where it may take as long as its deadline
-	// allows. It is also the longest silence within an answer. Zero means no
+	// Progress is the longest silence of a reused connection before a call that
+	// may be repeated is sent again on a new one, where it may take as long as
+	// its deadline allows. It is also the longest silence within an answer. Zero means no
 	// bound.
 	Progress time.Duration
 }
 
-// Call executes c and passes the whole answer to sink as one chunk. Errors are
+// Call executes c and passes the whole answer, whatever its status, to sink as
+// one chunk. A call that may be repeated is sent a second time if a reused
+// connection was silent for Progress. Errors are
 // CallErrors, except an error of sink.
 func (s *Service) Call(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	if !c.Idempotent {
--- a/snipeupstream/snipeupstream.go
+++ b/snipeupstream/snipeupstream.go
@@ -81,13 +81,15 @@
 	Path string `json:"lora_path,omitempty"`
 }
 
-// Load orders the engine to load an adapter under an alias.
+// Load orders the engine to load an adapter under an alias, from a path in the weight store, and
+// waits for the engine's answer. Errors of the connection and of the engine wrap one of the
+// errors of orders.
 func (e *Engine) Load(ctx context.Context, alias, path string, fence uint64) error {
 	return e.order(ctx, "/v1/load_lora_adapter", order{Name: alias, Path: path}, fence)
 }
 
-// Unload orders the engine to unload an alias. An alias that the engine does not
-// have is no error.
+// Unload orders the engine to unload an alias, and waits for the engine's answer. An
+// alias that the engine does not have is no error; other errors are as for Load.
 func (e *Engine) Unload(ctx context.Context, alias string, fence uint64) error {
 	err := e.order(ctx, "/v1/unload_lora_adapter", order{Name: alias}, fence)
 	if errors.Is(err, ErrNotResident) {
@@ -96,7 +98,7 @@
 	return err
 }
 
-// order sends an order with a fencing number, and returns one of the errors of
+// order sends an order with a fencing number once, and returns one of the errors of
 // orders according to the engine's answer.
 func (e *Engine) order(ctx context.Context, path string, o order, fence uint64) error {
 	body, err := json.Marshal(o)
@@ -156,7 +158,9 @@
 }
 
 // Call executes c under the alias, which must belong to the call's adapter, and
-// passes the answer to sink. Errors are CallErrors or ErrNotResident.
+// passes the answer to sink: each chunk of a stream, or one chunk with the whole answer. Errors
+// are CallErrors, ErrNotResident, or the error of sink, which ends the call. After an error, a
+// request to cancel the answer is sent in the background if its identifier is known.
 func (e *Engine) Call(ctx context.Context, c *snipecall.Call, alias string, sink snipecall.Sink) error {
 	if !strings.HasPrefix(alias, c.Adapter.String()+"#") {
 		return snipeerror.New(snipeerror.ErrMismatch, snipeerror.NotRun, "alias "+strconv.Quote(alias)+" for "+c.Adapter.String())
