--- a/snipepeer/reach.go
+++ b/snipepeer/reach.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// holdOff is how long an instance is not used after it was not reached.
+// holdOff is how long an instance is not used after it was not reached. Shorter: more calls are
+// tried at an unreachable instance; longer: an instance that is reachable again is used later.
 const holdOff = time.Second
 
 // Reach records the instances that were not reached recently, so that not every
--- a/snipepeer/server.go
+++ b/snipepeer/server.go
@@ -44,7 +44,7 @@
 	ResumeWindow time.Duration
 	// WriteTimeout bounds one write to a connection that is not read.
 	WriteTimeout time.Duration
-	// MaxBody bounds the body of a call in bytes, and MaxCalls the calls in flight.
+	// MaxBody bounds the body of a call in bytes, and MaxCalls the peers' calls in flight.
 	MaxBody  int64
 	MaxCalls int
 
@@ -91,7 +91,7 @@
 		snipeerror.From(err).Write(w, "")
 		return
 	}
-	// The call continues without a connection for up to Window.
+	// The call continues without a connection for up to ResumeWindow.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(r.Context()), c.Deadline)
 	defer cancel()
 	s := &session{call: c, cancel: cancel, window: h.ResumeWindow, done: make(chan struct{})}
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// end closes a session and removes it after the window, or at once if too many
+// end closes a session and removes it after ResumeWindow, or at once if too many
 // sessions are kept.
 func (h *Handler) end(id string, s *session) {
 	s.close()
@@ -195,7 +195,7 @@
 	}
 }
 
-// cancel cancels the call of a hop.
+// cancel cancels the call of a hop; the status is 404 if the hop is unknown.
 func (h *Handler) cancel(w http.ResponseWriter, id string) {
 	if s := h.find(id); s != nil {
 		s.cancel()
@@ -204,8 +204,9 @@
 	w.WriteHeader(http.StatusNotFound)
 }
 
-// DecodeCall returns a call's fields and the time left from a hop's headers. Errors
-// wrap ErrBadCall.
+// DecodeCall returns a call's fields other than the body, and the time left until its
+// deadline, which may be negative, from a hop's headers. The call's Deadline is by the
+// sender's clock: the caller replaces it. Errors wrap ErrBadCall.
 func DecodeCall(header http.Header) (*snipecall.Call, time.Duration, error) {
 	c := &snipecall.Call{}
 	if err := json.Unmarshal([]byte(header.Get(callHeader)), c); err != nil {
--- a/snipepeer/session.go
+++ b/snipepeer/session.go
@@ -60,7 +60,7 @@
 type session struct {
 	call   *snipecall.Call
 	cancel context.CancelFunc
-	window time.Duration
+	window time.Duration // how long the call continues without a connection
 	done   chan struct{} // closed when the call has ended
 
 	current atomic.Pointer[connection] // the attached connection; changed under lock
@@ -75,7 +75,9 @@
 }
 
 // attach makes out the hop's connection and writes the events after a number to
-// it. It reports false, with nothing written, if these are no longer kept.
+// it. A connection that was attached is replaced, and a write that is blocked on it
+// fails. attach reports false, with nothing written to out, if the events are no
+// longer kept or the number exceeds that of the last event.
 func (s *session) attach(out *connection, after uint64) bool {
 	if old := s.current.Load(); old != nil {
 		// A blocked write to the old connection may hold the lock.
@@ -114,7 +116,7 @@
 		return
 	}
 	if err := out.write(data); err != nil {
-		s.release()
+		s.detachCurrent()
 		return
 	}
 	s.sent = max(s.sent, number)
@@ -125,13 +127,13 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if s.current.Load() == out {
-		s.release()
+		s.detachCurrent()
 	}
 }
 
-// release detaches the current connection and starts the window, after which the
+// detachCurrent detaches the current connection and starts the window, after which the
 // call is canceled. The caller holds the lock.
-func (s *session) release() {
+func (s *session) detachCurrent() {
 	s.current.Store(nil)
 	if !s.ended && s.windowTimer == nil {
 		s.windowTimer = time.AfterFunc(s.window, s.cancel)
@@ -174,7 +176,7 @@
 	return func() { close(done) }
 }
 
-// sendChunk is the call's sink.
+// sendChunk is the call's sink: it sends a chunk of a stream, or a whole answer, as one event.
 func (s *session) sendChunk(c snipecall.Chunk) error {
 	if c.ContentType != "" || c.Status != 0 {
 		data, err := json.Marshal(wholePayload{Status: c.Status, ContentType: c.ContentType, Data: c.Data})
@@ -196,7 +198,8 @@
 	_ = s.send(eventFailure, f.Encode(s.call.ID), true)
 }
 
-// send numbers an event, buffers it for a resume and writes it.
+// send numbers an event, buffers it for a resume and writes it. After the last event it does
+// nothing. It returns errBehind if events that were never written would have to be dropped.
 func (s *session) send(name string, data []byte, last bool) error {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/snipepeer/snipepeer.go
+++ b/snipepeer/snipepeer.go
@@ -114,7 +114,7 @@
 }
 
 // Forward executes c on the instance at address and passes the answer to sink. If it
-// fails before the owner has ended the hop, it cancels the hop.
+// fails before the owner has ended the hop, it cancels the hop in the background.
 func (p *Client) Forward(ctx context.Context, address netip.AddrPort, c *snipecall.Call, sink snipecall.Sink) error {
 	h := &hop{client: p, address: address, call: c, sink: sink, id: rand.Text()}
 	err := h.run(ctx)
@@ -183,7 +183,8 @@
 	// net/http must not send a call a second time by itself.
 	r.GetBody = nil
 	r.Header.Set(callHeader, string(fields))
-	// The clocks of instances differ, so the time left is sent and not the deadline.
+	// The clocks of instances differ, so the time left is sent, and the owner computes the
+	// deadline from it; the deadline among the call's fields is not used.
 	r.Header.Set(waitHeader, strconv.FormatInt(time.Until(h.call.Deadline).Milliseconds(), 10))
 	return r, nil
 }
@@ -207,7 +208,7 @@
 		if err != nil {
 			return
 		}
-		// If the request fails, the owner cancels the call when the window ends.
+		// If the request fails, the owner cancels the call when its ResumeWindow ends.
 		if response, err := p.Fresh.Do(r); err == nil {
 			_ = response.Body.Close()
 		}
