--- a/snipeconfig/snipeconfig.go
+++ b/snipeconfig/snipeconfig.go
@@ -39,18 +39,22 @@
 	PeersAnnounced netip.AddrPort `json:",omitzero"`
 	// PeerSecret is the shared secret by which an instance authenticates to its peers.
 	PeerSecret string
-	// BootstrapKeyHash is the SHA-256 hash of the key that may write the platform branch
-	// while the branch declares no operators.
+	// BootstrapKeyHash is the SHA-256 hash of the key that has an operator's rights to all
+	// branches while the platform branch declares no operators or has not been read yet.
 	BootstrapKeyHash snipetree.KeyHash
 	// Platform holds the addresses and credentials of the platform's services.
 	Platform Platform
-	// Lease is the duration of the instance's lease, Renew the time between its renewals.
+	// Lease is the duration of the instance's lease, at least three times Renew, which is the
+	// time between its renewals.
 	Lease snipejson.Duration
 	Renew snipejson.Duration
-	// Poll is the time between two reads of the revision of the settings tree.
+	// Poll is the average time between two reads of the revision of the settings tree. An
+	// announced revision is read sooner.
 	Poll snipejson.Duration
-	// Progress is the longest time between two chunks of an answer before its connection is
-	// aborted.
+	// Progress is the longest time before the header of an engine's or another instance's
+	// answer, and between two chunks of any answer, after
+	// which its connection is aborted. It also bounds a write to another instance, and
+	// twice Progress is how long a forwarded call continues without a connection.
 	Progress snipejson.Duration
 	// FirstChunk is the longest time that an engine may queue a call: the time from the header
 	// of its answer to the first chunk.
@@ -70,7 +74,8 @@
 	StopTimeout snipejson.Duration
 	// MaxBody bounds a call's body in bytes.
 	MaxBody int64
-	// MaxCalls limits the calls in flight on this instance.
+	// MaxCalls limits the callers' calls in flight on this instance, and separately those that
+	// other instances have forwarded to it.
 	MaxCalls int
 	// MaxConnections limits the open connections of the callers' listener, and separately
 	// those of the peers' listener.
@@ -92,7 +97,8 @@
 	Timeout snipejson.Duration
 }
 
-// Default returns the values used for fields that a file leaves out.
+// Default returns the values used for fields that a file leaves out. Fields without a value here
+// have no default.
 func Default() Config {
 	seconds := func(n int) snipejson.Duration { return snipejson.Duration(time.Duration(n) * time.Second) }
 	return Config{
@@ -103,7 +109,8 @@
 	}
 }
 
-// Announced returns the address that is announced to other instances.
+// Announced returns the address that is announced to other instances: PeersAnnounced if it is
+// set, and otherwise Peers.
 func (c Config) Announced() netip.AddrPort {
 	if c.PeersAnnounced.IsValid() {
 		return c.PeersAnnounced
@@ -223,7 +230,8 @@
 	return nil
 }
 
-// CheckFiles checks the certificate files that the settings name.
+// CheckFiles checks the certificate files that the settings name. Errors wrap ErrInvalid and
+// name the field.
 func (c Config) CheckFiles() error {
 	for _, l := range []struct {
 		field string
