--- a/snipeconfig/snipeconfig_test.go
+++ b/snipeconfig/snipeconfig_test.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// FuzzDecode verifies that settings that are accepted are accepted again after they are encoded.
+// FuzzDecode verifies that settings that are accepted are accepted again after they are encoded,
+// and that every refusal wraps ErrInvalid.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{validFile, `{}`, `[]`, `{"Callers":7}`, `{"Lease":"-1s"}`, strings.Replace(validFile, "127.0.0.1:1", "[::1%eth0]:1", 1)} {
 		f.Add([]byte(seed))
--- a/snipemirror/follow.go
+++ b/snipemirror/follow.go
@@ -16,8 +16,8 @@
 	retryInterval = 300 * time.Millisecond
 	// While the store does not answer, one of lostCycle reads goes to the store and the others
 	// go to other instances. seldomCycle replaces lostCycle on an instance for which
-	// ReadsStoreSeldom reports true: there are many of these, and most receive rows again from the instances
-	// that read the store more often.
+	// ReadsStoreSeldom reports true: there are many of these, and most receive rows again
+	// from the instances that read the store more often.
 	lostCycle, seldomCycle = 2, 16
 	// firstWait is the maximum wait for the first page from another instance, which may have
 	// started at the same time and may have read nothing yet.
@@ -25,14 +25,14 @@
 	// HastenedInterval is the time between two reads of the store while ReadSooner
 	// returns true.
 	HastenedInterval = 300 * time.Millisecond
-	// failureExpiry is how long the next instance in rank is followed after a read of another
-	// instance's copy failed. It exceeds the time until every instance has detected that
-	// another instance is gone.
+	// failureExpiry is how long after the last failed read of another instance's copy the next
+	// instance in rank is read instead of the first. It exceeds the time until every instance
+	// has detected that another instance is gone.
 	failureExpiry = 6 * time.Second
 )
 
 // Source reads a table: Read returns all rows, and Watch returns the changes after a position
-// and waits for one up to the given time. An error that wraps snipeplatform.ErrHistory means
+// and waits for one up to the given time. An error that wraps snipeplatform.ErrHistoryGone means
 // that all rows must be read.
 type Source struct {
 	Read  func(ctx context.Context) (Page, error)
@@ -45,8 +45,10 @@
 	// Store reads the store.
 	Store Source
 	// PeerWatch returns a function that reads the copy of another instance, or false if this
-	// instance must read the store itself. Its arguments are the number of consecutive
-	// failures of other instances, and whether the store does not answer this instance.
+	// instance must read the store itself. Its arguments are the number of recent
+	// failures to read other instances, by which it selects the next instance in rank, and
+	// whether the store does not answer this instance. The number returns to 0 failureExpiry
+	// after the last failure, and when a page is read while the store is lost.
 	PeerWatch func(failures int, lost bool) (watchFunc, bool)
 	// WaitForPeers waits, before the first read, until it is known whose copy can be followed. Nil
 	// means no wait.
@@ -54,9 +56,9 @@
 	// ReadSooner reports whether the next read of the store follows after HastenedInterval if that
 	// is shorter than MinInterval. Nil means never.
 	ReadSooner func() bool
-	// ReadsStoreSeldom reports whether this instance is one of many that read no store for others. While
-	// the store does not answer, such an instance reads the copies of other instances, and the
-	// store itself seldom. Nil means never.
+	// ReadsStoreSeldom reports whether this instance is one of many whose copies no other
+	// instances depend on. While the store does not answer, such an instance reads the copies
+	// of other instances, and the store only in one of seldomCycle reads. Nil means never.
 	ReadsStoreSeldom func() bool
 	// Changed receives the changed rows of each read. It is also called with no rows for a
 	// read without changes.
--- a/snipepeer/fuzz_test.go
+++ b/snipepeer/fuzz_test.go
@@ -13,8 +13,9 @@
 	"snipepitch.example/snipepitch/snipestream"
 )
 
-// FuzzDecodeCall checks that, whatever a peer sends, an accepted call is one that an
-// instance could have sent.
+// FuzzDecodeCall checks that, whatever a peer sends, an accepted call has a known
+// class, an upstream, a method, a path, an adapter of its own team or none, and a time left
+// within maxTimeLeft; every refusal wraps ErrBadCall.
 func FuzzDecodeCall(f *testing.F) {
 	good := `{"ID":"c","Team":"ash","Class":"Bulk","Adapter":"ash/plume@2","Upstream":"engine-1","Method":"POST","Path":"/v1/completions"}`
 	f.Add(good, "1000")
--- a/snipepeer/snipepeer_test.go
+++ b/snipepeer/snipepeer_test.go
@@ -293,8 +293,8 @@
 	})
 }
 
-// TestBoundedMemory checks that a hop whose events are not read ends when the events
-// exceed maxBuffered.
+// TestBoundedMemory checks that sending an event of a hop without a connection fails once
+// the buffered events exceed maxBuffered.
 func TestBoundedMemory(t *testing.T) {
 	s := &session{call: newCall(), cancel: func() {}, window: time.Hour, done: make(chan struct{})}
 	defer s.close()
--- a/snipeupstream/engine_test.go
+++ b/snipeupstream/engine_test.go
@@ -387,7 +387,8 @@
 	}
 }
 
-// TestWholeAnswer checks that the whole answer contains everything that the stream contains.
+// TestWholeAnswer checks that the whole answer contains the text, log probabilities, usage and
+// tool calls of the stream's chunks.
 func TestWholeAnswer(t *testing.T) {
 	cases := map[string]struct {
 		chat   bool
