--- a/snipeinstance/health.go
+++ b/snipeinstance/health.go
@@ -32,8 +32,8 @@
 	tracker  *snipehealth.Tracker
 	// execute executes a call at its upstream and records the outcome in tracker.
 	execute func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
-	// versions holds the version of the last merged digest by origin and key. Only the goroutine of
-	// loop accesses it.
+	// versions holds the version of the last merged announcement (snipemember.Digest) by origin and
+	// key. Only the goroutine of loop accesses it.
 	versions map[string]uint64
 }
 
@@ -70,7 +70,8 @@
 	h.instance.members.Announce(healthTopic, name, data, healthTTL)
 }
 
-// loop merges the announcements of other instances and probes upstreams that are out.
+// loop merges the announcements of other instances, probes upstreams that are out and renews the
+// announcements of owned engines that are out. It returns when ctx ends.
 func (h *health) loop(ctx context.Context) error {
 	return snipetime.Every(ctx, healthInterval, h.step)
 }
@@ -105,7 +106,8 @@
 	h.versions = versions
 }
 
-// declared reports whether the settings in force contain an upstream.
+// declared reports whether the settings in force contain an upstream, as an engine or as an upstream
+// of a plain service.
 func (h *health) declared(name string) bool {
 	p := h.instance.settings.Current().Platform
 	if _, ok := p.Engines[name]; ok {
@@ -128,8 +130,8 @@
 // belongs to a plain service.
 func (h *health) shouldProbe(name string) bool { return h.owns(name) || h.isService(name) }
 
-// probe checks that an upstream is up: an engine must list its aliases, an upstream of a plain
-// service must accept a connection.
+// probe checks that an upstream is up: an engine must answer a request for its aliases, an upstream
+// of a plain service must accept a connection.
 func (h *health) probe(ctx context.Context, name string) error {
 	settings, ok := h.instance.settings.Current().Platform.Engines[name]
 	if ok {
--- a/snipeinstance/limits.go
+++ b/snipeinstance/limits.go
@@ -51,8 +51,9 @@
 	return t.Platform.Limits[team]
 }
 
-// admit counts a call against the bound of this instance and the limits of its team. The caller
-// calls the returned function when the call ends.
+// admit refuses a call if more than MaxCalls calls are in flight on this instance, and otherwise
+// counts it against the limits of its team. The caller calls the returned function when the call
+// ends.
 func (l *limits) admit(c *snipecall.Call) (func(), error) {
 	i := l.instance
 	if i.callers.InFlight() > int64(i.Config.MaxCalls) {
@@ -61,7 +62,8 @@
 	return l.teams.Admit(c)
 }
 
-// queue returns the queue of the call's upstream, where this instance executes calls.
+// queue returns this instance's queue for the call's upstream and creates it if there is none. It
+// sets the size of the queue to the batch size in force.
 func (l *limits) queue(c *snipecall.Call) *snipelimit.Queue {
 	batch := l.instance.settings.Current().Platform.Engines[c.Upstream].Batch
 	l.lock.Lock()
@@ -71,7 +73,7 @@
 		q = snipelimit.NewQueue(batch)
 		l.queues[c.Upstream] = q
 	}
-	// An accepted change of the batch size takes effect with the next call.
+	// A change of the batch size applies from the next call on.
 	q.Resize(batch)
 	return q
 }
@@ -106,7 +108,7 @@
 }
 
 // loop exchanges demands with other instances and drops the queues of upstreams that are no longer
-// in the settings.
+// in the settings, until ctx ends.
 func (l *limits) loop(ctx context.Context) error {
 	return snipetime.Every(ctx, demandInterval, func(context.Context) { l.step() })
 }
--- a/snipeinstance/listen.go
+++ b/snipeinstance/listen.go
@@ -58,8 +58,8 @@
 	return len(line), nil
 }
 
-// boundedListener counts its open connections and those that serve a request (active), and closes
-// new connections that are far over the limit.
+// boundedListener counts its open connections and those that serve a request (active). It closes a
+// new connection at once if more than limit/refusalDivisor+1 connections over the limit are open.
 type boundedListener struct {
 	net.Listener
 	limit  int64
@@ -113,7 +113,8 @@
 	}
 }
 
-// unwrapConn returns the counted connection, below TLS if there is any.
+// unwrapConn returns the counted connection that c is or that TLS on c uses, and false if there is
+// none.
 func unwrapConn(c net.Conn) (*boundedConn, bool) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
--- a/snipeinstance/members.go
+++ b/snipeinstance/members.go
@@ -35,7 +35,8 @@
 
 // seeds returns the instances that the platform lists. While no other instance is known it adds
 // those that have lease rows. If other instances are known but the platform lists none, it returns
-// those that have lease rows, read every rowSeedInterval.
+// those that have lease rows; it reads these rows at most once in rowSeedInterval and returns the
+// result of the last read in between. It returns an error only if no seed is found.
 func (i *Instance) seeds(ctx context.Context, table snipeplatform.Table) ([]snipemember.Seed, error) {
 	var all []snipemember.Seed
 	var listed error
@@ -72,8 +73,8 @@
 	claimsTimeout = 5 * time.Second
 )
 
-// finish waits for the claim rows that are still being written after the calls have ended, then
-// announces to the other members that this instance has left.
+// finish waits for the claim rows that are still being written after the calls have ended, but at
+// most claimsTimeout. It then announces to some other members that this instance has left.
 func (i *Instance) finish(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
--- a/snipeinstance/quarantine.go
+++ b/snipeinstance/quarantine.go
@@ -30,7 +30,8 @@
 	// longer than an update takes to reach every instance and an attempt takes to move to a new
 	// coordinator.
 	settleTime = 3 * time.Second
-	// lingerTime bounds how long an upstream keeps executing a call that was abandoned.
+	// lingerTime is the assumed upper bound of the time for which an upstream keeps executing a call
+	// that was abandoned.
 	lingerTime = 5 * time.Second
 	// mergeInterval is the time between two polls of announced crash records.
 	mergeInterval = 200 * time.Millisecond
@@ -39,7 +40,8 @@
 )
 
 // quarantine connects the quarantine guard to the membership, the owners and the upstreams of this
-// instance.
+// instance. A crash record belongs to a fingerprint, the hash of a call's team, target and body; the
+// call is a suspect after it was in flight at an upstream that crashed.
 type quarantine struct {
 	instance *Instance
 	guard    *snipequarantine.Guard
@@ -49,8 +51,8 @@
 	view    *snipelease.View
 	listed  time.Time // when members was computed
 	members []snipequarantine.Member
-	// versions holds the version of the last merged digest by origin and key. Only the goroutine of
-	// loop accesses it.
+	// versions holds the version of the last merged announcement (snipemember.Digest) by origin and
+	// key. Only the goroutine of loop accesses it.
 	versions map[string]uint64
 }
 
@@ -73,7 +75,9 @@
 	i.quarantine = q
 }
 
-// liveMembers returns the live instances that take part in the quarantine, including this one.
+// liveMembers returns the instances in the view of the lease holder that the membership does not
+// consider dead, and always this one. The result is reused for membersMaxAge while the view stays
+// the same.
 func (q *quarantine) liveMembers() []snipequarantine.Member {
 	v := q.instance.holder.View()
 	q.lock.Lock()
--- a/snipeinstance/replicas.go
+++ b/snipeinstance/replicas.go
@@ -16,16 +16,18 @@
 	// replicasInterval is the time between two polls of the calls in flight and of the
 	// announcements of all instances.
 	replicasInterval = time.Second
-	// replicasTTL is how long an announcement is valid, replicasRepeat the time after which it is
-	// repeated.
+	// replicasTTL is how long an announcement is valid, and how long the decision for an idle adapter
+	// is kept. replicasRepeat is the time after which a number above 1 is announced again.
 	replicasTTL    = 30 * time.Second
 	replicasRepeat = 10 * time.Second
 	// keyBase is the numeric base of an announcement's key, the hash of the adapter.
 	keyBase = 36
 )
 
-// replicas holds the number of engines that hold each hot adapter. The owner of an adapter's home
-// engine decides the number and announces it; all instances route by the announced number.
+// replicas holds, for each adapter that is in such demand that one engine does not suffice, the
+// number of engines among which its calls are distributed. The owner of the adapter's home engine,
+// the one that ranks first for it, decides the number and announces it; all instances route by the
+// announced number.
 type replicas struct {
 	counts atomic.Pointer[map[uint64]int] // by the adapter's hash; the map is immutable
 
@@ -42,7 +44,8 @@
 	activeAt    time.Time // last time with a call in flight or more than one replica
 }
 
-// count returns the announced number of engines that hold an adapter, or 0 if none is announced.
+// count returns the announced number of engines for an adapter, or 0 if no number above 1 is
+// announced.
 func (r *replicas) count(key uint64) int {
 	if m := r.counts.Load(); m != nil {
 		return (*m)[key]
@@ -57,8 +60,10 @@
 	})
 }
 
-// decideReplicas updates the decisions for the adapters whose home engine this instance owns, and
-// announces those that have changed or must be repeated.
+// decideReplicas updates the decisions for the adapters whose home engine this instance owns. It
+// drops those of adapters that have been idle for longer than replicasTTL, and announces the others
+// when their number has changed or, if it is above 1, every replicasRepeat. It does nothing while no
+// settings are in force.
 func (i *Instance) decideReplicas(now time.Time) {
 	r := &i.replicas
 	t := i.settings.Current()
@@ -112,7 +117,8 @@
 	h.decision.Step(now, inFlight, batch)
 }
 
-// mergeReplicas collects the announcements of all instances. If two instances announce a number for
+// mergeReplicas replaces the counts by those in the valid announcements of all instances; numbers
+// below 2 are left out. If two instances announce a number for
 // the same adapter, as happens after its home engine has changed owners, the higher one applies.
 func (i *Instance) mergeReplicas() {
 	counts := map[uint64]int{}
--- a/snipeinstance/routes.go
+++ b/snipeinstance/routes.go
@@ -33,7 +33,8 @@
 	buffers sync.Pool  // of *[]sniperoute.Candidate
 }
 
-// prepared returns routes for the current settings and owners.
+// prepared returns routes for the current settings and owners, which are at most routesMaxAge old. It
+// prepares new ones if necessary; settings must be in force.
 func (i *Instance) prepared() *routes {
 	t, v := i.settings.Current(), i.holder.View()
 	r := i.router.current.Load()
@@ -72,8 +73,8 @@
 	return r
 }
 
-// candidates copies the candidates of a call into a buffer and excludes those in failed. The caller
-// returns the buffer to the pool.
+// candidates copies the candidates of a call into a buffer and marks those in failed as excluded.
+// The caller returns the buffer to the pool.
 func (i *Instance) candidates(c *snipecall.Call, failed []string) *[]sniperoute.Candidate {
 	r := i.prepared()
 	from := r.engines[c.Base]
--- a/snipeinstance/settings.go
+++ b/snipeinstance/settings.go
@@ -23,7 +23,7 @@
 func (i *Instance) buildSettings(table snipeplatform.Table) {
 	i.settings = &snipetree.Store{
 		Table: table, Poll: i.Config.Poll.Value(), Log: i.Log, Operation: rand.Text,
-		Peers: i.randomPeers, HTTP: i.members.HTTP, AnnouncedRevision: i.noticedRevision,
+		Peers: i.randomPeers, HTTP: i.members.HTTP, AnnouncedRevision: i.announcedRevision,
 		Announce: func(revision uint64) {
 			i.members.Announce(settingsTopic, revisionKey, binary.AppendUvarint(nil, revision), revisionTTL)
 		},
@@ -33,8 +33,9 @@
 	}
 }
 
-// noticedRevision returns the highest revision that any instance announced.
-func (i *Instance) noticedRevision() uint64 {
+// announcedRevision returns the highest revision that any instance announced, or 0 if there is no
+// announcement.
+func (i *Instance) announcedRevision() uint64 {
 	var highest uint64
 	for _, d := range i.members.Digests(settingsTopic) {
 		if n, size := binary.Uvarint(d.Data); size > 0 {
--- a/snipeinstance/snipeinstance.go
+++ b/snipeinstance/snipeinstance.go
@@ -233,7 +233,8 @@
 const noUpstreamRetryAfter = 2 * time.Second
 
 // choose returns the upstream for the next attempt of a call. It excludes the upstreams in failed,
-// unhealthy ones and, for a suspect, all but the isolation upstream.
+// unhealthy ones and, for a suspect, all but the isolation upstream. It returns ErrNoUpstream if
+// none is left.
 func (i *Instance) choose(c *snipecall.Call, failed []string) (string, error) {
 	buffer := i.candidates(c, failed)
 	defer i.router.buffers.Put(buffer)
--- a/snipeinstance/stop.go
+++ b/snipeinstance/stop.go
@@ -71,7 +71,8 @@
 }
 
 // run carries out the stop. It returns nil when the stop has completed, when the handover has timed
-// out, or when ctx has ended.
+// out, or when ctx has ended; ErrForced after a second signal; ErrStopTimeout when the limit has
+// expired.
 func (s *stop) run(ctx context.Context) error {
 	s.log.Log(snipelog.Stopping, nil)
 	s.unready()
@@ -123,7 +124,9 @@
 	}
 }
 
-// waitStop waits for a signal or a drain order and carries out the stop.
+// waitStop waits for a signal or a drain order and carries out the stop. Unless the stop was forced,
+// it then waits for the claim rows and announces that this instance has left. It returns nil when
+// ctx ends first.
 func (i *Instance) waitStop(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -151,8 +154,8 @@
 	i.holder.Leave()
 }
 
-// watchReady turns readiness on once settings are in force and the holder has a view of the
-// instances and owners.
+// watchReady turns readiness on once settings are in force and the lease holder has a view of the
+// instances and owners, unless a stop has begun. It returns when ctx ends.
 func (i *Instance) watchReady(ctx context.Context) error {
 	t := time.NewTicker(stopPoll)
 	defer t.Stop()
--- a/snipeinstance/weights.go
+++ b/snipeinstance/weights.go
@@ -19,8 +19,9 @@
 // for the weight store.
 const weightQueueKey = "WeightQueue"
 
-// buildWeights creates this instance's queue for the weight store, which is used while it is the
-// holder, and the client that requests permits from the current holder.
+// buildWeights creates this instance's queue for the weight store, which other instances use while
+// this instance ranks first, and the client that requests permits to load from the instance that
+// holds the queue.
 func (i *Instance) buildWeights() {
 	c := i.Config
 	i.weights = &snipeweight.Queue{Limits: i.weightLimits}
@@ -39,8 +40,8 @@
 	return server.PathPrefix(), snipepeer.Authorized(i.Config.PeerSecret, server)
 }
 
-// weightHolders returns the live instances that are not leaving, and always this one. They are in
-// the order of their rank as the queue's holder.
+// weightHolders returns the clients of the queues of all live instances that are not leaving, and
+// always of this one. They are sorted by rank: the first one should hold the queue.
 func (i *Instance) weightHolders(client snipeproto.HTTPClient) []snipeweight.Holder {
 	key := sniperoute.Hash(weightQueueKey)
 	members := slices.DeleteFunc(i.members.Members(), func(m snipemember.Member) bool {
@@ -68,7 +69,8 @@
 
 // weightLimits returns the weight store's budget. While the membership lists fewer live instances
 // than there are instances with leases, as in a network partition, it returns the proportional
-// share of the budget.
+// share of the budget, and at least one concurrent load. It returns zeros while no settings are in
+// force.
 func (i *Instance) weightLimits() (perSecond float64, concurrent int) {
 	t := i.settings.Current()
 	if t == nil {
