--- a/snipecert/snipecert.go
+++ b/snipecert/snipecert.go
@@ -2,8 +2,7 @@
 // reloads them from their files without a restart.
 //
 // The files are read at an interval and not on a signal: the tools that renew
-// certificates have no reference to the process, and the daemon uses its signals for
-// stopping. Invariants:
+// certificates have no reference to the process, which uses its signals for stopping. Invariants:
 //
 //   - The certificate and the key in use matched, and the certificate had not expired,
 //     when they were read.
@@ -26,11 +25,11 @@
 	"snipepitch.example/snipepitch/snipelog"
 )
 
-// ErrInvalid is wrapped by every error of Files.Check and Keeper.Load.
+// ErrInvalid is wrapped by every error of Files.Check and Reloader.Load.
 var ErrInvalid = errors.New("invalid certificate settings")
 
 // ErrUntrusted is returned for a peer that presents no certificate, or one that no
-// trusted authority has signed.
+// trusted authority has signed. Without an authority file every peer is untrusted.
 var ErrUntrusted = errors.New("untrusted certificate")
 
 // maxFileSize bounds the size of a file in bytes.
@@ -203,7 +202,8 @@
 
 // Dialer returns a Dial that uses TLS on the connections of d. It presents the current
 // certificate, and requires a certificate of the other side that the authority has
-// signed. It does not check the name in that certificate: instances are identified by
+// signed. A failed handshake is returned as a net.OpError with Op "dial", like a failed
+// connect. The Dial does not check the name in that certificate: instances are identified by
 // addresses, which change whenever an instance is replaced, and the authority signs
 // certificates of instances only.
 func (k *Reloader) Dialer(d Dial) Dial {
--- a/snipecert/snipecert_test.go
+++ b/snipecert/snipecert_test.go
@@ -71,6 +71,7 @@
 	return f, key
 }
 
+// TestCheck checks which files are rejected, and that the error contains the name of the field.
 func TestCheck(t *testing.T) {
 	a := newAuthority(t)
 	cases := map[string]struct {
--- a/snipeerror/snipeerror_test.go
+++ b/snipeerror/snipeerror_test.go
@@ -37,8 +37,8 @@
 	})
 }
 
-// TestReasonUnchangedByForwarding checks that the reason of a failure stays the same when several instances
-// forward it. Encoding Error() as the reason would add a prefix at each instance.
+// TestReasonUnchangedByForwarding checks that the reason of a failure stays the same when several
+// instances forward it. Encoding Error() as the reason would add a prefix at each instance.
 func TestReasonUnchangedByForwarding(t *testing.T) {
 	e := New(ErrOverloaded, NotRun, "queue is full")
 	for range 3 {
--- a/snipeinstance/health.go
+++ b/snipeinstance/health.go
@@ -106,8 +106,8 @@
 	h.versions = versions
 }
 
-// declared reports whether the settings in force contain an upstream, as an engine or as an upstream
-// of a plain service.
+// declared reports whether the settings in force contain an upstream, as an engine or as an
+// upstream of a plain service.
 func (h *health) declared(name string) bool {
 	p := h.instance.settings.Current().Platform
 	if _, ok := p.Engines[name]; ok {
--- a/snipeinstance/listen_test.go
+++ b/snipeinstance/listen_test.go
@@ -78,8 +78,9 @@
 	})
 }
 
-// TestShutdownSendsWrittenAnswer guards against a planned stop that cuts off an answer: the handler has
-// written it, but the bytes are sent only when the handler returns. A forced stop does not wait.
+// TestShutdownSendsWrittenAnswer guards against a planned stop that cuts off an answer: the handler
+// has written it, but the bytes are sent only when the handler returns. A forced stop does not
+// wait.
 func TestShutdownSendsWrittenAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		cause    error
@@ -120,8 +121,8 @@
 	}
 }
 
-// TestShutdownIgnoresConnectionsWithoutRequest guards against a stop that is delayed by connections without a
-// request, which a balancer opens in advance.
+// TestShutdownIgnoresConnectionsWithoutRequest guards against a stop that is delayed by connections
+// without a request, which a balancer opens in advance.
 func TestShutdownIgnoresConnectionsWithoutRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &snipestand.Network{}
--- a/snipeinstance/quarantine.go
+++ b/snipeinstance/quarantine.go
@@ -40,8 +40,8 @@
 )
 
 // quarantine connects the quarantine guard to the membership, the owners and the upstreams of this
-// instance. A crash record belongs to a fingerprint, the hash of a call's team, target and body; the
-// call is a suspect after it was in flight at an upstream that crashed.
+// instance. A crash record belongs to a fingerprint, the hash of a call's team, target and body;
+// the call is a suspect after it was in flight at an upstream that crashed.
 type quarantine struct {
 	instance *Instance
 	guard    *snipequarantine.Guard
--- a/snipeinstance/replicas.go
+++ b/snipeinstance/replicas.go
@@ -62,8 +62,8 @@
 
 // decideReplicas updates the decisions for the adapters whose home engine this instance owns. It
 // drops those of adapters that have been idle for longer than replicasTTL, and announces the others
-// when their number has changed or, if it is above 1, every replicasRepeat. It does nothing while no
-// settings are in force.
+// when their number has changed or, if it is above 1, every replicasRepeat. It does nothing while
+// no settings are in force.
 func (i *Instance) decideReplicas(now time.Time) {
 	r := &i.replicas
 	t := i.settings.Current()
--- a/snipeinstance/routes.go
+++ b/snipeinstance/routes.go
@@ -33,8 +33,8 @@
 	buffers sync.Pool  // of *[]sniperoute.Candidate
 }
 
-// prepared returns routes for the current settings and owners, which are at most routesMaxAge old. It
-// prepares new ones if necessary; settings must be in force.
+// prepared returns routes for the current settings and owners, which are at most routesMaxAge old.
+// It prepares new ones if necessary; settings must be in force.
 func (i *Instance) prepared() *routes {
 	t, v := i.settings.Current(), i.holder.View()
 	r := i.router.current.Load()
--- a/snipeinstance/snipeinstance.go
+++ b/snipeinstance/snipeinstance.go
@@ -46,11 +46,18 @@
 )
 
 const (
+	// leaseMargin is the time that an instance waits beyond the duration of a lease before it takes
+	// over the engines of the lease.
 	leaseMargin = 2 * time.Second
+	// maxHeader bounds the request line and the header of a call in bytes, bodyTimeout the time in
+	// which the body of a call must arrive.
 	maxHeader   = 32 << 10
 	bodyTimeout = 30 * time.Second
-	peerBeat    = time.Second
-	stopPoll    = 50 * time.Millisecond
+	// peerBeat is the time between two heartbeats while a call that a peer has forwarded is executed.
+	peerBeat = time.Second
+	// stopPoll is the time between two checks whether the instance is ready, or whether a stop or the
+	// shutdown of a server has completed.
+	stopPoll = 50 * time.Millisecond
 )
 
 // Instance is one running instance. Exported fields are set before Run.
--- a/snipeinstance/stop.go
+++ b/snipeinstance/stop.go
@@ -124,9 +124,9 @@
 	}
 }
 
-// waitStop waits for a signal or a drain order and carries out the stop. Unless the stop was forced,
-// it then waits for the claim rows and announces that this instance has left. It returns nil when
-// ctx ends first.
+// waitStop waits for a signal or a drain order and carries out the stop. Unless the stop was
+// forced, it then waits for the claim rows and announces that this instance has left. It returns
+// nil when ctx ends first.
 func (i *Instance) waitStop(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
--- a/snipeinstance/stop_test.go
+++ b/snipeinstance/stop_test.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestKeptConnectionsAreClosedDuringStop guards against a balancer that keeps its connections to a stopping
-// instance: answers during a stop carry "Connection: close".
+// TestKeptConnectionsAreClosedDuringStop guards against a balancer that keeps its connections to a
+// stopping instance: answers during a stop carry "Connection: close".
 func TestKeptConnectionsAreClosedDuringStop(t *testing.T) {
 	var p phase
 	h := p.closeWhenStopping(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
--- a/snipelink/snipelink.go
+++ b/snipelink/snipelink.go
@@ -179,9 +179,9 @@
 	return n, err
 }
 
-// Close returns the connection to the pool if it can be reused after a complete
-// answer. Otherwise Close closes the connection, which ends the request at the
-// upstream.
+// Close returns the connection to the pool if the body was read to its end, the context
+// of Send has not ended, the answer allows reuse and no bytes are left to read.
+// Otherwise Close closes the connection, which ends the request at the upstream.
 func (a *Answer) Close() {
 	if !a.stop() || !a.complete || a.Response.Close || a.connection.reader.Buffered() > 0 {
 		_ = a.connection.conn.Close()
@@ -201,7 +201,7 @@
 }
 
 // take returns a connection that can be reused, or a new one if there is none or
-// fresh is set.
+// fresh is set. It closes the idle connections that it finds expired or closed.
 func (p *Pool) take(ctx context.Context, address netip.AddrPort, fresh bool) (c *connection, reused bool, err error) {
 	for !fresh {
 		c := p.pop(address)
@@ -222,8 +222,8 @@
 	return &connection{conn: conn, reader: bufio.NewReader(conn), address: address}, false, nil
 }
 
-// pop removes and returns the connection that was returned to the pool last; nil
-// when there is none.
+// pop removes and returns the connection that was added to the pool last; nil when there
+// is none.
 func (p *Pool) pop(address netip.AddrPort) *connection {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -236,8 +236,8 @@
 	return c
 }
 
-// put adds an idle connection. If the upstream has Kept of them already, the oldest
-// one is closed.
+// put adds an idle connection. If the upstream has MaxIdle of them already, the one that
+// was added first is closed.
 func (p *Pool) put(c *connection) {
 	_ = c.conn.SetDeadline(time.Time{})
 	p.lock.Lock()
--- a/snipelink/snipelink_test.go
+++ b/snipelink/snipelink_test.go
@@ -137,9 +137,9 @@
 	}
 }
 
-// TestNoRetryOnReusedConnection checks that a request is not sent again when the upstream reads it from a reused
-// connection and closes the connection without an answer. The error must not be ErrNotSent, since
-// the caller would then send the request again and it could run twice.
+// TestNoRetryOnReusedConnection checks that a request is not sent again when the upstream reads it
+// from a reused connection and closes the connection without an answer. The error must not be
+// ErrNotSent, since the caller would then send the request again and it could run twice.
 func TestNoRetryOnReusedConnection(t *testing.T) {
 	u := newUpstream(t, goodAnswer, "")
 	p := newPool()
@@ -233,7 +233,7 @@
 	must.Error(t, <-closed)
 }
 
-// TestSweep checks that expired connections, and those to an upstream that is gone, are not reused.
+// TestSweep checks that an expired connection is not reused after a call of Sweep or Forget.
 func TestSweep(t *testing.T) {
 	for name, end := range map[string]func(p *snipelink.Pool, u *upstream){
 		"Sweep":  func(p *snipelink.Pool, _ *upstream) { p.Sweep() },
--- a/snipelog/buffer_test.go
+++ b/snipelog/buffer_test.go
@@ -21,8 +21,8 @@
 	return len(p), nil
 }
 
-// TestBlockedLogReader guards against a log whose reader has stopped blocking calls or the end of the
-// process.
+// TestBlockedLogReader guards against a log whose reader has stopped blocking calls or the end of
+// the process.
 func TestBlockedLogReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := blockedWriter{make(chan struct{})}
--- a/snipemeter/snipemeter.go
+++ b/snipemeter/snipemeter.go
@@ -27,6 +27,10 @@
 
 // Names of the histograms per team and class. All values are in seconds.
 const (
+	// CallDuration is the time from the arrival of a call to its end, FirstChunk the time from its
+	// arrival to the first chunk of its answer, and LoadStall the time that a call waits until its
+	// engine holds its adapter. The gateway passes the name of the route as team, and the outcome of the
+	// request as class.
 	CallDuration = "snipepitch_call_duration_seconds"
 	FirstChunk   = "snipepitch_first_chunk_seconds"
 	LoadStall    = "snipepitch_load_stall_seconds"
--- a/snipeoperator/adapters.go
+++ b/snipeoperator/adapters.go
@@ -12,7 +12,9 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// ListAdapters implements snipeproto.Operator.
+// ListAdapters implements snipeproto.Operator. It returns the adapters that engines hold, as far as
+// the operator may see them. Those on engines whose owner did not answer are missing; Silent names
+// these owners.
 func (s *Server) ListAdapters(ctx context.Context, r *snipeproto.ListAdaptersRequest) (*snipeproto.ListAdaptersResponse, error) {
 	o, err := s.operator(ctx)
 	if err != nil {
--- a/snipeoperator/apply.go
+++ b/snipeoperator/apply.go
@@ -12,7 +12,8 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// ApplySettings implements snipeproto.Operator.
+// ApplySettings implements snipeproto.Operator. It replaces the document of one branch if the
+// branch still has the expected version.
 func (s *Server) ApplySettings(ctx context.Context, r *snipeproto.ApplySettingsRequest) (*snipeproto.ApplySettingsResponse, error) {
 	if err := s.authorize(ctx, r.GetTeam()); err != nil {
 		return nil, err
--- a/snipeoperator/drain.go
+++ b/snipeoperator/drain.go
@@ -8,7 +8,8 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// Drain implements snipeproto.Operator.
+// Drain implements snipeproto.Operator. It starts a graceful stop of the named instance, or of this
+// one if no name is given, and does not wait for its end.
 func (s *Server) Drain(ctx context.Context, r *snipeproto.DrainRequest) (*snipeproto.DrainResponse, error) {
 	if err := s.authorize(ctx, ""); err != nil {
 		return nil, err
--- a/snipeoperator/engines.go
+++ b/snipeoperator/engines.go
@@ -16,7 +16,8 @@
 	return o.Platform || slices.Contains(o.Teams, team)
 }
 
-// ListEngines implements snipeproto.Operator.
+// ListEngines implements snipeproto.Operator. It returns all engines in the settings. An engine
+// whose owner did not answer has neither adapters nor calls in flight; Silent names these owners.
 func (s *Server) ListEngines(ctx context.Context, _ *snipeproto.ListEnginesRequest) (*snipeproto.ListEnginesResponse, error) {
 	o, err := s.operator(ctx)
 	if err != nil {
--- a/snipeoperator/gather.go
+++ b/snipeoperator/gather.go
@@ -31,6 +31,7 @@
 }
 
 // gather requests the status of the named instances in the view, or of all of them if names is nil.
+// It returns after at most gatherTimeout; instances that have not answered by then count as silent.
 func (s *Server) gather(ctx context.Context, names map[string]bool) gathered {
 	ctx, cancel := context.WithTimeout(ctx, gatherTimeout)
 	defer cancel()
--- a/snipeoperator/history.go
+++ b/snipeoperator/history.go
@@ -10,7 +10,8 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// GetHistory implements snipeproto.Operator.
+// GetHistory implements snipeproto.Operator. It returns the accepted edits of a branch without
+// their documents.
 func (s *Server) GetHistory(ctx context.Context, r *snipeproto.GetHistoryRequest) (*snipeproto.GetHistoryResponse, error) {
 	if err := s.authorize(ctx, r.GetTeam()); err != nil {
 		return nil, err
--- a/snipeoperator/instances.go
+++ b/snipeoperator/instances.go
@@ -8,7 +8,8 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// ListInstances implements snipeproto.Operator.
+// ListInstances implements snipeproto.Operator. It returns the instances in this instance's view.
+// If the request demands it, each instance is asked for its current revision.
 func (s *Server) ListInstances(ctx context.Context, r *snipeproto.ListInstancesRequest) (*snipeproto.ListInstancesResponse, error) {
 	if _, err := s.operator(ctx); err != nil {
 		return nil, err
--- a/snipeoperator/leases.go
+++ b/snipeoperator/leases.go
@@ -8,7 +8,8 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// ListLeases implements snipeproto.Operator.
+// ListLeases implements snipeproto.Operator. It returns the instances in this instance's view with
+// the engines that each of them owns.
 func (s *Server) ListLeases(ctx context.Context, _ *snipeproto.ListLeasesRequest) (*snipeproto.ListLeasesResponse, error) {
 	if _, err := s.operator(ctx); err != nil {
 		return nil, err
--- a/snipeoperator/show.go
+++ b/snipeoperator/show.go
@@ -11,7 +11,9 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// GetSettings implements snipeproto.Operator.
+// GetSettings implements snipeproto.Operator. It returns the document of a branch in force, or of
+// the version that the request names. The answer has no document if the branch does not exist or no
+// settings are in force.
 func (s *Server) GetSettings(ctx context.Context, r *snipeproto.GetSettingsRequest) (*snipeproto.GetSettingsResponse, error) {
 	if err := s.authorize(ctx, r.GetTeam()); err != nil {
 		return nil, err
@@ -46,7 +48,8 @@
 	return out, nil
 }
 
-// branch returns the tree in force and the version of a branch in the same tree. If the version
+// branch returns the tree in force, nil if there is none, and the version of a branch in the same
+// tree. If the version
 // were newer than the document, an operator could overwrite an edit that the document does not
 // contain.
 func (s *Server) branch(team string) (*snipetree.Tree, uint64) {
--- a/snipeoperator/snipeoperator.go
+++ b/snipeoperator/snipeoperator.go
@@ -1,11 +1,11 @@
 // Package snipeoperator implements the Twirp service for operators that snipectl calls. Each
 // command has its own file.
 //
-// An operator sends a key as a bearer token; the settings tree defines which branches the key may
-// read and edit. Rights are checked first, against the tree in force on the called instance. State
-// that only other instances have is requested from them over the peers' listener (gather.go), with
-// a bounded number of requests at once and a timeout for each. The answer to the operator names the
-// instances that did not answer.
+// An operator sends a key as a bearer token; the settings tree defines which branches (the settings
+// of the platform, or those of one team) the key may read and edit. Rights are checked first,
+// against the tree in force on the called instance. State that only other instances have is
+// requested from them over the peers' listener (gather.go), with a bounded number of requests at
+// once and a timeout for each. The answer to the operator names the instances that did not answer.
 package snipeoperator
 
 import (
@@ -21,8 +21,7 @@
 	"snipepitch.example/snipepitch/snipetree"
 )
 
-// Server implements snipeproto.Operator. Exported fields are set before the
-// first request.
+// Server implements snipeproto.Operator. Exported fields are set before the first request.
 type Server struct {
 	// Settings is the settings store of this instance.
 	Settings *snipetree.Store
@@ -52,7 +51,9 @@
 // PathPrefix is the path prefix at which Handler is mounted.
 const PathPrefix = snipeproto.OperatorPathPrefix
 
-// operator returns the rights of the request's operator key, or an Unauthenticated error.
+// operator returns the rights of the request's operator key, or an Unauthenticated error if the key
+// is unknown. While no settings are in force or they declare no operators, only the bootstrap key
+// is known.
 func (s *Server) operator(ctx context.Context) (snipetree.Operator, error) {
 	key, _ := ctx.Value(keyContext{}).(string)
 	hash := snipetree.HashKey(key)
--- a/snipeoperator/status.go
+++ b/snipeoperator/status.go
@@ -12,8 +12,9 @@
 // StatusPathPrefix is the path prefix at which the status service for peers is mounted.
 const StatusPathPrefix = snipeproto.StatusPathPrefix
 
-// LocalStatus provides the state that only this instance has. It implements snipeproto.Status for peers;
-// the peers' listener checks the peer secret. Exported fields are set before the first request.
+// LocalStatus provides the state that only this instance has. It implements snipeproto.Status for
+// other instances; the peers' listener checks the peer secret. Exported fields are set before the
+// first request.
 type LocalStatus struct {
 	// Name is the instance's name.
 	Name string
@@ -27,7 +28,8 @@
 	Drain func()
 }
 
-// Describe implements snipeproto.Status.
+// Describe implements snipeproto.Status. It returns the settings revision in force and the state of
+// each engine that this instance owns.
 func (o *LocalStatus) Describe(context.Context, *snipeproto.DescribeRequest) (*snipeproto.DescribeResponse, error) {
 	out := &snipeproto.DescribeResponse{Name: o.Name, Revision: o.Revision()}
 	for engine, owner := range o.View().Owners {
@@ -45,7 +47,7 @@
 	return out, nil
 }
 
-// Stop implements snipeproto.Status.
+// Stop implements snipeproto.Status. It starts a graceful stop and returns at once.
 func (o *LocalStatus) Stop(context.Context, *snipeproto.StopRequest) (*snipeproto.StopResponse, error) {
 	o.Drain()
 	return &snipeproto.StopResponse{}, nil
--- a/snipeoperator/upstreams.go
+++ b/snipeoperator/upstreams.go
@@ -12,7 +12,8 @@
 // plain service as kind.
 const kindEngine = "Engine"
 
-// ListUpstreams implements snipeproto.Operator.
+// ListUpstreams implements snipeproto.Operator. It returns the engines and the upstreams of plain
+// services in the settings in force.
 func (s *Server) ListUpstreams(ctx context.Context, _ *snipeproto.ListUpstreamsRequest) (*snipeproto.ListUpstreamsResponse, error) {
 	if _, err := s.operator(ctx); err != nil {
 		return nil, err
--- a/snipeplatform/guard.go
+++ b/snipeplatform/guard.go
@@ -42,10 +42,10 @@
 	Share func() float64
 
 	lock     sync.Mutex // guards the fields below
-	tokens   float64
-	refilled time.Time
-	failures int
-	probed   time.Time
+	tokens   float64    // requests of the share that have not been used
+	refilled time.Time  // last time when tokens was updated
+	failures int        // consecutive failures of requests of all priorities
+	probed   time.Time  // last time when a probe was admitted
 }
 
 // For returns the table for requests of the given priority. Requests that are not admitted fail
@@ -78,8 +78,8 @@
 	return v, err
 }
 
-// admit takes a token for a request, or returns an error that wraps ErrUnavailable. Leases and
-// settings are always admitted.
+// admit takes a token for a request, or returns an error that wraps ErrUnavailable; it never waits.
+// Leases and settings are always admitted, and take a token if there is one.
 func (g *Guard) admit(p Priority) error {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -112,7 +112,8 @@
 	return nil
 }
 
-// recordResult counts consecutive failures of requests.
+// recordResult counts consecutive requests that failed with ErrUnavailable or ErrUnknown. Any other
+// result, such as ErrConflict, shows that the table answers and resets the count.
 func (g *Guard) recordResult(err error) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
--- a/snipeplatform/outcome_test.go
+++ b/snipeplatform/outcome_test.go
@@ -118,7 +118,8 @@
 }
 
 // TestGuard checks that leases are always admitted, that claims and sweeps are admitted within the
-// share of the instance, and that while the table is down they are admitted only as probes.
+// share of the instance, and that while the table is down they are admitted only as probes. No
+// request waits.
 func TestGuard(t *testing.T) {
 	tests := map[string]struct {
 		share float64
--- a/snipeplatform/snipeplatform.go
+++ b/snipeplatform/snipeplatform.go
@@ -23,19 +23,20 @@
 	ErrNotFound = errors.New("row not found")
 	// ErrConflict is returned if a condition of a write did not hold. Nothing was written.
 	ErrConflict = errors.New("write conflict")
-	// ErrUnavailable is returned if a read failed, or if the service did not accept a write.
-	// Nothing was written.
+	// ErrUnavailable is returned if a read failed, or if the service did not accept a write, in
+	// which case nothing was written.
 	ErrUnavailable = errors.New("table service unavailable")
 	// ErrNotRead is returned if the table has not been read yet.
 	ErrNotRead = errors.New("table not read yet")
-	// ErrHistoryGone is returned if the changes after the requested position are no longer kept.
+	// ErrHistoryGone is returned if the service no longer keeps the changes after the requested
+	// position, which is the number of a transaction.
 	ErrHistoryGone = errors.New("history is gone")
 	// ErrUnknown is returned if the outcome of a write is unknown. It may have taken effect.
 	ErrUnknown = errors.New("write outcome unknown")
 )
 
-// IsDefinite reports whether err, the result of a write, is a definite answer of the table: the write
-// was done, or a condition did not hold.
+// IsDefinite reports whether err, the result of a write, is a definite answer of the table: the
+// write was done, or a condition did not hold.
 func IsDefinite(err error) bool { return err == nil || errors.Is(err, ErrConflict) }
 
 // Key identifies a row.
--- a/snipepolicy/policy_test.go
+++ b/snipepolicy/policy_test.go
@@ -62,8 +62,9 @@
 	return names, all
 }
 
-// TestCurrentPolicy guards against a change that makes the current policy too slow: on the steady trace its
-// sum of stalls must be below a third of the naive baseline's, and it must answer more tokens.
+// TestCurrentPolicy guards against a change that lets calls wait too long for their adapters under
+// the current policy: on the steady trace its sum of stalls must be below a third of the naive
+// baseline's, and it must answer more tokens.
 func TestCurrentPolicy(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
--- a/snipepolicy/previous.go
+++ b/snipepolicy/previous.go
@@ -33,7 +33,7 @@
 }
 
 // acquire waits until a slot holds the adapter, loading it if necessary, and returns the function
-// that ends its use.
+// that ends its use. It fails if a load for which it waits fails, or if ctx ends.
 func (s *previousSlots) acquire(ctx context.Context, a snipecall.Adapter) (func(), error) {
 	for {
 		e, wait := s.find(a)
--- a/snipepolicy/result.go
+++ b/snipepolicy/result.go
@@ -9,9 +9,9 @@
 	"snipepitch.example/snipepitch/snipecall"
 )
 
-// result holds the measurements of one run. The stall of a call that was refused or timed out is
-// counted as its whole deadline; calls for adapters that cannot be loaded are not counted if they
-// are not served.
+// result holds the measurements of one run. A stall is the time that a call waits until its engine
+// holds its adapter. The stall of a call that was refused or timed out is counted as its whole
+// deadline; calls for adapters that cannot be loaded are not counted if they are not served.
 type result struct {
 	stalls     [snipecall.Classes][]time.Duration
 	lostCalls  [snipecall.Classes]int
--- a/snipepolicy/snipepolicy.go
+++ b/snipepolicy/snipepolicy.go
@@ -6,7 +6,7 @@
 // cluster: an instance consists only of its permits in the queue for the weight store. The same
 // seed gives the same trace. The current policy is compared with a naive baseline, the previous
 // version (previous.go), a clairvoyant policy on the same trace and budget, and the current policy
-// with each mechanism switched off. Only make bench-policy uses this package.
+// with one mechanism at a time switched off. Only make bench-policy uses this package.
 package snipepolicy
 
 import (
@@ -27,7 +27,7 @@
 
 const (
 	hopTime          = time.Millisecond // one way between two instances
-	replicasInterval = time.Second      // between two updates of the replicas of adapters
+	replicasInterval = time.Second      // between two updates of the number of engines for each adapter
 	// maxAttempts bounds the attempts of a call whose adapter is missing at the engine.
 	maxAttempts = 3
 )
@@ -183,8 +183,8 @@
 	}}
 }
 
-// holder returns a queue's holder whose answers take the time of a hop in each direction. It
-// removes what the policy switches off from the requests.
+// holder returns a client of a queue whose requests and answers take hopTime each. It removes from
+// the requests what the policy switches off.
 func (sm *simulation) holder(q *snipeweight.Queue) snipeweight.Holder {
 	h := snipeweight.Local("holder", q)
 	ask := h.Ask
@@ -223,7 +223,7 @@
 	return sm.trace.fails[n]
 }
 
-// route returns the index of the engine for the next call of an adapter.
+// route returns the index of the engine for the next call of an adapter, and counts the call.
 func (sm *simulation) route(a snipecall.Adapter) int {
 	if sm.policy.clairvoyant {
 		return 0
@@ -242,8 +242,10 @@
 	return sniperoute.PickReplica(sniperoute.AdapterHash(a), sniperoute.Hash(strconv.Itoa(sm.routed)), count, sm.candidates)
 }
 
-// updateReplicas updates the number of replicas of each adapter, as its home decides, until stop is
-// closed. All instances use the new number at once.
+// updateReplicas updates the number of engines among which the calls for each adapter are
+// distributed (its replicas), as the adapter's home, the engine that ranks first for it, decides.
+// It returns when stop is closed, and changes nothing if the policy has no replicas. All instances
+// use the new number at once.
 func (sm *simulation) updateReplicas(stop <-chan struct{}) {
 	t := time.NewTicker(replicasInterval)
 	defer t.Stop()
@@ -278,7 +280,8 @@
 	r.Step(time.Now(), inFlight, sm.deployment.batch)
 }
 
-// execute simulates one call.
+// execute simulates one call and records its stall, the time until its engine holds the adapter, or
+// that the call was lost.
 func (sm *simulation) execute(c call) {
 	a := adapterName(c.adapter)
 	ctx, cancel := context.WithTimeout(context.Background(), deadlines[c.class])
--- a/snipestream/snipestream.go
+++ b/snipestream/snipestream.go
@@ -57,8 +57,8 @@
 }
 
 // Read returns the next event, whose data is empty if it has no data field. It returns
-// io.EOF if the stream ended between two events, and io.ErrUnexpectedEOF if the stream
-// ended inside an event.
+// io.EOF if the stream ended between two events, io.ErrUnexpectedEOF if the stream ended
+// inside an event, and ErrTooLong or ErrBadID for an event that it does not accept.
 func (r *Reader) Read() (Event, error) {
 	var e Event
 	r.data = r.data[:0]
@@ -144,8 +144,9 @@
 	return nil
 }
 
-// Append appends the encoding of e to buffer and returns the extended buffer. Data
-// that contains line feeds is written as several data fields.
+// Append appends the encoding of e to buffer and returns the extended buffer. A zero ID
+// and an empty name are left out. Data that contains line feeds is written as several
+// data fields, and empty data as one empty field.
 func Append(buffer []byte, e Event) []byte {
 	if e.ID > 0 {
 		buffer = append(buffer, "id: "...)
