--- a/snipeinstance/listen.go
+++ b/snipeinstance/listen.go
@@ -32,7 +32,7 @@
 	overloadedRetryAfter = time.Second
 )
 
-// listener is one of the instance's listeners.
+// listener holds the settings of the listener for callers, operators or peers.
 type listener struct {
 	name    string
 	address netip.AddrPort
@@ -152,7 +152,8 @@
 	})
 }
 
-// server is the HTTP server of one listener.
+// server is the HTTP server of one listener. The field listener is the one that it serves, with TLS
+// if there is a certificate; connections counts the connections below it.
 type server struct {
 	http        *http.Server
 	listener    net.Listener
--- a/snipeinstance/stop.go
+++ b/snipeinstance/stop.go
@@ -21,8 +21,8 @@
 	ErrStopTimeout = errors.New("calls were cut at the end of StopTimeout")
 )
 
-// phase is the phase of the instance's life: starting, ready, stopping. It never goes back, so
-// readiness stays off once a stop has begun.
+// phase is the phase of the instance's life: starting, ready, stopping. The phase never goes back,
+// so readiness stays off once a stop has begun.
 type phase struct{ value atomic.Int32 }
 
 const (
--- a/snipepolicy/previous.go
+++ b/snipepolicy/previous.go
@@ -145,7 +145,8 @@
 	}
 }
 
-// previousBudget is an instance's fixed share of the store's budget.
+// previousBudget is an instance's fixed share of the store's budget: its loads per second and, by
+// the capacity of running, its concurrent loads.
 type previousBudget struct {
 	perSecond float64
 	running   chan struct{}
--- a/snipepolicy/trace.go
+++ b/snipepolicy/trace.go
@@ -17,7 +17,7 @@
 	driftPerHour    = 0.35 // fraction of the adapters that become active or idle in an hour
 	stormFactor     = 4    // rate of the team that causes the storm, as a multiple of its usual rate
 	hotFactor       = 1.0  // extra rate for the hot adapter, as a multiple of the usual total
-	failingFraction = 0.03 // fraction of the adapters whose loads fail in scenario fails
+	failingFraction = 0.03 // upper bound of the fraction of adapters whose loads fail in scenario fails
 )
 
 // deadlines is the deadline of a call by class.
@@ -65,7 +65,10 @@
 	},
 }
 
-// scenario names the change of load or the fault that happens during a trace.
+// scenario names the change of load or the fault that happens during a trace. In shift, all
+// popularities are drawn again at half time; in drift, adapters swap their popularity all the time; in
+// restart, an engine restarts at half time; in storm, team 0 sends extra calls in the middle third; in
+// fails, the loads of some adapters fail; in hot, adapter 0 gets extra calls in the middle third.
 type scenario string
 
 const (
@@ -132,7 +135,8 @@
 	return t
 }
 
-// extraRate returns the calls per second in addition to the usual rate.
+// extraRate returns the calls per second in addition to the usual rate: 0 except in the middle third
+// of the trace in the scenarios storm and hot.
 func (d deployment) extraRate(s scenario, at time.Duration) float64 {
 	if at <= traceLength/3 || at >= 2*traceLength/3 {
 		return 0
--- a/snipetime/snipetime_test.go
+++ b/snipetime/snipetime_test.go
@@ -11,6 +11,8 @@
 	"snipepitch.example/snipepitch/snipetime"
 )
 
+// TestSleep checks that Sleep waits for the whole duration, and returns false when its context ends
+// first.
 func TestSleep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -22,6 +24,7 @@
 	})
 }
 
+// TestEvery checks the number of calls until the context ends, the first of them after one interval.
 func TestEvery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 10500*time.Millisecond)
