--- a/snipeinstance/listen.go
+++ b/snipeinstance/listen.go
@@ -32,7 +32,7 @@
 	overloadedRetryAfter = time.Second
 )
 
-// listener is one of the instance's listeners.
+// listener holds the settings of the listener for callers, operators or peers.
 type listener struct {
 	name    string
 	address netip.AddrPort
@@ -58,8 +58,8 @@
 	return len(line), nil
 }
 
-// boundedListener counts its open connections and those that serve a request (active), and closes
-// new connections that are far over the limit.
+// boundedListener counts its open connections and those that serve a request (active). It closes a
+// new connection at once if more than limit/refusalDivisor+1 connections over the limit are open.
 type boundedListener struct {
 	net.Listener
 	limit  int64
@@ -113,7 +113,8 @@
 	}
 }
 
-// unwrapConn returns the counted connection, below TLS if there is any.
+// unwrapConn returns the counted connection that c is or that TLS on c uses, and false if there is
+// none.
 func unwrapConn(c net.Conn) (*boundedConn, bool) {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
@@ -151,7 +152,8 @@
 	})
 }
 
-// server is the HTTP server of one listener.
+// server is the HTTP server of one listener. The field listener is the one that it serves, with TLS
+// if there is a certificate; connections counts the connections below it.
 type server struct {
 	http        *http.Server
 	listener    net.Listener
--- a/snipepolicy/previous.go
+++ b/snipepolicy/previous.go
@@ -33,7 +33,7 @@
 }
 
 // acquire waits until a slot holds the adapter, loading it if necessary, and returns the function
-// that ends its use.
+// that ends its use. It fails if a load for which it waits fails, or if ctx ends.
 func (s *previousSlots) acquire(ctx context.Context, a snipecall.Adapter) (func(), error) {
 	for {
 		e, wait := s.find(a)
@@ -145,7 +145,8 @@
 	}
 }
 
-// previousBudget is an instance's fixed share of the store's budget.
+// previousBudget is an instance's fixed share of the store's budget: its loads per second and, by
+// the capacity of running, its concurrent loads.
 type previousBudget struct {
 	perSecond float64
 	running   chan struct{}
