--- a/snipecaller/model.go
+++ b/snipecaller/model.go
@@ -52,7 +52,8 @@
 	return m, err
 }
 
-// setField checks one field of the body and stores it if snipecaller needs it.
+// setField checks one field of the body and stores it if snipecaller needs it. A field
+// with the value null counts as absent.
 func (m *modelBody) setField(name string, value gjson.Result) error {
 	if value.Type == gjson.Null {
 		return nil
@@ -102,7 +103,9 @@
 	return nil
 }
 
-// readModel fills in the adapter fields of a model call from its body.
+// readModel fills in the adapter, its base model, its path in the weight store and the
+// Stream field of a model call from the body. It refuses an adapter that the team does
+// not have.
 func readModel(c *snipecall.Call, tree *snipetree.Tree) error {
 	m, err := parseModelBody(c.Body)
 	if err != nil {
--- a/snipecaller/reply.go
+++ b/snipecaller/reply.go
@@ -32,7 +32,9 @@
 // started reports whether a part of the answer has been sent.
 func (o *reply) started() bool { return o.sequence > 0 }
 
-// chunk sends the next chunk. It refuses a chunk that is out of order.
+// chunk sends the next chunk, before the first one also the header of the answer. It
+// refuses a chunk that is out of order, that follows the last one, or that comes from
+// another adapter than the call's. It returns errCallerGone if the chunk cannot be sent.
 func (o *reply) chunk(c snipecall.Chunk) error {
 	if o.ended || c.Sequence != o.sequence+1 {
 		return snipeerror.New(snipeerror.ErrIncomplete, snipeerror.MayHaveRun,
@@ -63,8 +65,9 @@
 }
 
 // checkAdapter refuses a chunk that comes from another adapter than the call's.
-// The instance that called the engine has made the same check; this one also
-// covers the hop between instances.
+// The instance that called the engine has made the same check; this check also
+// covers the transfer between instances. The end mark of a stream names no model
+// and is not checked.
 func (o *reply) checkAdapter(c snipecall.Chunk) error {
 	if o.call.Adapter.IsZero() || c.Last && c.Status == 0 {
 		return nil
@@ -92,7 +95,7 @@
 }
 
 // fail sends the failure as the whole answer, or as the last event if a part
-// of the answer has been sent.
+// of the answer has been sent. It does nothing if the answer has ended.
 func (o *reply) fail(f *snipeerror.CallError, id string) {
 	if o.ended {
 		return
--- a/snipecaller/snipecaller.go
+++ b/snipecaller/snipecaller.go
@@ -45,10 +45,10 @@
 	servicesPrefix = "/services/"
 	// maxKeyBytes bounds the length of a call's idempotency key.
 	maxKeyBytes = 256
-	// DefaultTimeout is the deadline of a call when neither the call nor the
-	// team's settings state one.
+	// DefaultTimeout is the time from the arrival of a call to its deadline when
+	// neither the call nor the team's settings state one.
 	DefaultTimeout = 60 * time.Second
-	// MaxTimeout bounds the deadline that a call may state.
+	// MaxTimeout bounds the time that a call may state in TimeoutHeader.
 	MaxTimeout = 30 * time.Minute
 )
 
@@ -58,7 +58,8 @@
 	Tree func() *snipetree.Tree
 	// Serve executes an admitted call with its retries.
 	Serve func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
-	// Admit counts a call against its team's limits until release is called.
+	// Admit counts a call against its team's limits until release is called. It
+	// returns an error if the limits do not admit the call.
 	Admit func(c *snipecall.Call) (release func(), err error)
 	// NewID returns an identifier for a call.
 	NewID func() string
@@ -76,10 +77,11 @@
 	inFlight atomic.Int64
 }
 
-// Stop makes the server refuse new calls.
+// Stop makes the server refuse new calls with ErrStopping. Calls in flight go on.
 func (s *Server) Stop() { s.stopping.Store(true) }
 
-// InFlight returns the number of calls that have no final answer yet.
+// InFlight returns the number of requests to the API's routes whose handling has not
+// ended, including requests that are about to be refused.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
 // Handler returns the routes of the callers' API.
@@ -161,7 +163,8 @@
 	return snipeerror.New(kind, snipeerror.NotRun, reason)
 }
 
-// headerSize returns the bytes of a request's line and header.
+// headerSize returns the bytes of a request's URI and host and of the names and values
+// in its header, without separators.
 func headerSize(r *http.Request) int {
 	n := len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
@@ -279,7 +282,8 @@
 	return true
 }
 
-// readService fills in the service and path of a service call from its URL.
+// readService fills in the service and path of a service call from its URL. It refuses
+// a service that the team does not have.
 func readService(c *snipecall.Call, r *http.Request, tree *snipetree.Tree) error {
 	name, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), servicesPrefix), "/")
 	for _, s := range tree.Teams[c.Team].Services {
