--- a/snipestory/cause.go
+++ b/snipestory/cause.go
@@ -54,7 +54,8 @@
 const failureWindow = 4 * time.Second
 
 // evictionWindow is the time before the arrival of a request in which an eviction can explain that
-// the engine did not hold the adapter. All instances know of an older eviction.
+// the engine did not hold the adapter. An older eviction is known to all instances and
+// does not explain it.
 const evictionWindow = 4 * time.Second
 
 // explain returns the cause of the outcome of a request and the lines that support it.
@@ -238,7 +239,8 @@
 }
 
 // upstreamFailures returns the lines that report that the last upstream that was tried became
-// suspect or ended, within the given time of the end of the request.
+// suspect or ended, at most the given time before or after the end of the request. It returns nil
+// if no upstream was tried.
 func (s *Story) upstreamFailures(within time.Duration) []Line {
 	if len(s.End.Tried) == 0 {
 		return nil
--- a/snipestory/read.go
+++ b/snipestory/read.go
@@ -29,8 +29,9 @@
 // NewLog returns an empty log for the request with the given identifier.
 func NewLog(id string) *Log { return &Log{id: id} }
 
-// Read reads lines until r ends. Lines that are not log lines of an instance are counted and
-// skipped, since other programs may write to the same file.
+// Read reads lines until r ends, and returns an error if r fails. It skips lines that are too long
+// or not log lines of an instance, since other programs may write to the same file, and counts them
+// in Skipped. Empty lines are not counted.
 func (l *Log) Read(r io.Reader) error {
 	lines := bufio.NewReaderSize(r, maxLine)
 	for {
--- a/snipestory/snipestory.go
+++ b/snipestory/snipestory.go
@@ -4,14 +4,17 @@
 // Design. Lines are read once, in any order and from any number of files. The package keeps the
 // lines of the request itself and the lines that report a change of an instance's state (read.go).
 // It drops the lines of other requests as it reads them, so that memory grows with the number of
-// changes and not with the traffic. Tell sorts the lines that concern the request by time and
+// changes and not with the traffic. Reconstruct sorts the lines that concern the request by time and
 // derives a Cause (cause.go).
 //
 // Invariants:
 //
-//   - A cause comes with the lines that support it. Without such lines the cause is Unknown.
-//   - Clocks of instances may differ, so lines of different instances are compared with a
-//     tolerance of clockSlack.
+//   - The cause of a request whose end is logged comes with at least the line of the end, except
+//     AdapterWait, which comes with the results of loads and may have none. If the end is not
+//     logged, the cause is Unknown.
+//   - Clocks of instances may differ. The time range in which changes are kept is therefore
+//     extended by clockSlack at its end; its beginning and the narrower windows of cause.go
+//     have no such tolerance.
 package snipestory
 
 import (
@@ -26,7 +29,7 @@
 	// windowBefore is the time before the arrival of a request in which changes can explain its
 	// outcome: all instances know of an eviction after two seconds, and an outage is logged once.
 	windowBefore = 10 * time.Second
-	// clockSlack is the maximum difference between the clocks of two instances.
+	// clockSlack is the assumed maximum difference between the clocks of two instances.
 	clockSlack = 300 * time.Millisecond
 	// windowAfter is the time after the end of a request in which changes can explain its outcome:
 	// the end of an upstream is known only when its entry in the registry expires.
@@ -42,7 +45,7 @@
 	ID string
 	// Lines holds the lines of the request and the changes that concern it, in the order of time.
 	Lines []Line
-	// End is the line that reports the end of the request; nil if it is missing.
+	// End is the last line that reports an end of the request; nil if there is none.
 	End *Line
 	// Cause is the cause of the outcome.
 	Cause Cause
@@ -80,7 +83,8 @@
 
 func byTime(a, b Line) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) }
 
-// changeWindow returns the time range in which changes can explain the outcome of a request.
+// changeWindow returns the time range in which changes can explain the outcome of a request. The
+// lines of the request are sorted by time, and end is nil if its end is not logged.
 func changeWindow(requestLines []Line, end *Line) (from, to time.Time) {
 	from, to = requestLines[0].Time, requestLines[len(requestLines)-1].Time
 	if end != nil && end.arrival().Before(from) {
