--- a/snipestand/engine.go
+++ b/snipestand/engine.go
@@ -60,7 +60,8 @@
 // defaultTokens is the length of an answer when the request does not state one.
 const defaultTokens = 16
 
-// Handler returns the engine's routes.
+// Handler returns the engine's routes. It must be called once: it starts the engine without
+// adapters and answers.
 func (e *Engine) Handler() http.Handler {
 	e.started = time.Now()
 	e.loaded = map[string]string{}
@@ -98,9 +99,10 @@
 	Path string `json:"lora_path"`
 }
 
-// fenced reports whether the engine must refuse an order because of its fencing number. It records
-// the highest number received. A missing or invalid number counts as 0.
-func (e *Engine) fenced(r *http.Request) bool {
+// recordFence records the fencing number of an order if it is the highest received. It reports
+// whether the engine must refuse the order: the number is lower than an earlier one, and
+// ChecksFence is set. A missing or invalid number counts as 0.
+func (e *Engine) recordFence(r *http.Request) bool {
 	n, err := strconv.ParseUint(r.Header.Get("Fencing-Number"), 10, 64)
 	if err != nil {
 		n = 0
@@ -114,27 +116,27 @@
 	return false
 }
 
-// readOrder reads an order. If the order is invalid or fenced, it answers with an error and reports
+// readOrder reads an order. If the order is invalid or its fencing number is refused, it answers with an error and reports
 // false.
 func (e *Engine) readOrder(w http.ResponseWriter, r *http.Request) (orderBody, bool) {
 	var o orderBody
 	if !readJSON(w, r, &o) {
 		return o, false
 	}
-	if e.fenced(r) {
+	if e.recordFence(r) {
 		http.Error(w, "old fencing number", http.StatusPreconditionFailed)
 		return o, false
 	}
 	return o, true
 }
 
-// load loads an adapter into a free slot.
+// load loads an adapter into a free slot. It answers 500 if the load fails, 400 if no slot is free.
 func (e *Engine) load(w http.ResponseWriter, r *http.Request) {
 	o, ok := e.readOrder(w, r)
 	if !ok {
 		return
 	}
-	if e.failLoad() {
+	if e.takeLoadFault() {
 		http.Error(w, "load failed", http.StatusInternalServerError)
 		return
 	}
@@ -151,8 +153,8 @@
 	e.loaded[o.Name] = o.Path
 }
 
-// failLoad reports whether the current load must fail, and counts it against FailLoads.
-func (e *Engine) failLoad() bool {
+// takeLoadFault reports whether the current load must fail, and counts it against FailLoads.
+func (e *Engine) takeLoadFault() bool {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	if e.fault.FailLoads == 0 {
@@ -162,7 +164,8 @@
 	return true
 }
 
-// fetchWeights fetches and discards the weights of an adapter from the weight store.
+// fetchWeights fetches and discards the weights of an adapter from the weight store. It does nothing
+// if the engine has no weight store.
 func (e *Engine) fetchWeights(ctx context.Context, path string) error {
 	if !e.Weights.IsValid() {
 		return nil
@@ -230,7 +233,8 @@
 	return tokens
 }
 
-// generate starts an answer and streams it.
+// generate starts an answer and streams it. The production goes on if the caller disconnects, so
+// that the answer can be resumed.
 func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
 	var c callBody
 	if !readJSON(w, r, &c) {
@@ -283,7 +287,8 @@
 	e.send(w, r, g, after, EngineFault{})
 }
 
-// send streams the chunks of an answer, starting after the first sent ones.
+// send streams the chunks of an answer, starting after the first sent ones, until the answer is
+// complete or canceled, the caller disconnects, or the fault interrupts the answer.
 func (e *Engine) send(w http.ResponseWriter, r *http.Request, g *generation, sent int, fault EngineFault) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
--- a/snipestand/executed.go
+++ b/snipestand/executed.go
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// Add records an execution that is about to begin. It returns an error if the file cannot be
-// written.
+// Add records an execution that is about to begin. If the file cannot be written, it returns an
+// error, and the execution is in the list in memory only.
 func (x *Executed) Add(e Execution) error {
 	x.lock.Lock()
 	defer x.lock.Unlock()
--- a/snipestand/leavingrule.go
+++ b/snipestand/leavingrule.go
@@ -7,7 +7,9 @@
 
 // LeavingBreaches returns a description of each request that reached a runner later than the bound
 // after an answer of the runner first announced to the sending instance that the runner is leaving.
-// The parameters sender and excused are those of LimitBreaches.
+// An excused request makes the time of its instance start anew, and a request whose answer does not
+// announce that the runner is leaving makes the times of all instances start anew. The parameters
+// sender and excused are those of LimitBreaches.
 func LeavingBreaches(all []Arrival, bound time.Duration, sender func(id string) string, excused func(instance string, at time.Time) bool) []string {
 	var breaches []string
 	announced := make(map[string]time.Time)
--- a/snipestand/peernetwork.go
+++ b/snipestand/peernetwork.go
@@ -18,7 +18,7 @@
 
 // Traffic counts the messages that one instance sent and received.
 type Traffic struct {
-	// Requests counts the requests that the instance sent or received.
+	// Requests counts the requests that the instance sent and the answers that it gave.
 	Requests int
 	// Bytes counts the bytes of requests and answers in their HTTP/1.1 encoding, without the
 	// headers of TCP and IP.
--- a/snipestand/plan.go
+++ b/snipestand/plan.go
@@ -29,7 +29,9 @@
 type PlanShape struct {
 	// Seed seeds the random source. The same parameters always give the same plan.
 	Seed uint64
-	// Faults is the number of faults. All of them have ended by Length.
+	// Faults is the number of faults. All of them end by Length, with two exceptions: a service
+	// that leaves does not return, and failing loads last until their number is used up or a later
+	// step replaces the faults of the engine.
 	Faults int
 	Length time.Duration
 	// Instances, Engines and Services are the numbers of processes of each kind.
--- a/snipestand/restrule_test.go
+++ b/snipestand/restrule_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestBackoffBreaches checks which requests RestBreaches counts: those of the refused instance, from
+// TestBackoffBreaches checks which requests BackoffBreaches counts: those of the refused instance, from
 // half a second after the refusal until the end of the backoff that it asked for.
 func TestBackoffBreaches(t *testing.T) {
 	const backoff = 3 * time.Second
--- a/snipestand/rowstore.go
+++ b/snipestand/rowstore.go
@@ -176,7 +176,8 @@
 	return storedPage{Rows: rows, Version: s.version, Now: time.Now().UnixMilli()}
 }
 
-// get answers with the rows of one part of a table whose keys are in a range, in the order of keys.
+// get answers with the rows of one part of a table (the second component of a row's name) whose keys
+// are at least "from" and below "to", in the order of keys. An empty "to" sets no upper bound.
 func (s *RowStore) get(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	s.lock.Lock()
@@ -200,7 +201,8 @@
 }
 
 // feed answers with the changes of a table after a version. If there are none, it waits for the
-// next change, at most for the time that the request states.
+// next change, at most for the time that the request states. It answers 410 at once if the changes
+// after that version have been discarded; see Compact.
 func (s *RowStore) feed(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, err := strconv.ParseUint(q.Get("after"), 10, 64)
--- a/snipestand/runner.go
+++ b/snipestand/runner.go
@@ -15,8 +15,8 @@
 // Runner emulates an upstream of the co-operative platform: a model engine, or a plain service if
 // Model is empty. It registers itself in the platform's store.
 type Runner struct {
-	// ID identifies this start of the runner, Service names the service that it serves, and Address
-	// is the address at which it is reached.
+	// ID identifies the runner; Restart keeps it. Service names the service that the runner serves,
+	// and Address is the address at which it is reached.
 	ID      string
 	Service string
 	Address string
@@ -24,7 +24,7 @@
 	// Model is the base model that the runner holds, Slots the number of adapters that it can hold.
 	Model string
 	Slots int
-	// LoadDuration is the time that a load of an adapter or of the base model takes. Event is the time
+	// LoadDuration is the time that a load of an adapter or of the base model takes. EventInterval is the time
 	// between two events of an answer, Events the number of events of an answer.
 	LoadDuration  time.Duration
 	EventInterval time.Duration
@@ -135,7 +135,8 @@
 	return slices.Clone(r.accepted), r.overcommits
 }
 
-// Drain makes the runner's registry entry state that the runner is draining.
+// Drain makes the runner's registry entry state, from the next heartbeat on, that the runner is
+// draining.
 func (r *Runner) Drain() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -143,7 +144,9 @@
 }
 
 // Restart emulates a restart of the runner under the same identifier: it holds no adapters and
-// no base model, counts its orders from zero, and announces neither a limit nor that it is leaving.
+// no base model, drops the loads in progress, counts its orders from zero, and announces neither a
+// limit nor that it is leaving. Draining, backoff, newest versions and the records of requests and
+// orders stay.
 func (r *Runner) Restart() {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -207,8 +210,9 @@
 	return []map[string]any{{"name": r.Model, "version": 1, "adapters": r.adapterNames()}}
 }
 
-// Handler returns the handler of the runner's calls. It answers 421 to a request for another start
-// of the runner.
+// Handler returns the handler of the runner's calls. It must be called once, before the first
+// request: it discards held adapters and the counts of runs. The handler answers 421 to a request
+// that names another identifier than ID.
 func (r *Runner) Handler() http.Handler {
 	r.lock.Lock()
 	r.held, r.loading, r.runCounts = map[string]int64{}, map[string]int64{}, map[string]int{}
--- a/snipestand/runnerfault.go
+++ b/snipestand/runnerfault.go
@@ -24,7 +24,7 @@
 	// RunnerLosesOrders executes orders and closes the connection without an answer.
 	RunnerLosesOrders
 	// RunnerLateOrders closes the connection without an answer and executes the order after the
-	// delay Runner.Late.
+	// delay Runner.LateOrderDelay.
 	RunnerLateOrders
 )
 
@@ -43,7 +43,9 @@
 	f.fault, f.left = fault, n
 }
 
-// next returns the fault of the next request or order, and counts it.
+// next returns the fault that affects the next request, or the next order if order is set, and
+// counts it against the number that Set states. It returns RunnerNoFault if f is nil, the number is
+// used up, or the fault affects the other kind.
 func (f *RunnerFaults) next(order bool) RunnerFault {
 	if f == nil {
 		return RunnerNoFault
--- a/snipestand/table.go
+++ b/snipestand/table.go
@@ -16,15 +16,17 @@
 type TableFault struct {
 	// Down refuses every request.
 	Down bool
-	// DownPartition refuses requests to partitions whose names have this prefix.
+	// DownPartition refuses requests to partitions whose names have this prefix. The partition of a
+	// write is that of its first change.
 	DownPartition string
-	// Flap refuses requests during every other interval of this length.
+	// Flap refuses requests during every other interval of this length, counted from NewTable.
 	Flap time.Duration
 	// RefuseEvery refuses every n-th request, as a throttled table does; 0 refuses none.
 	RefuseEvery int
 	// Delay is added to every request.
 	Delay time.Duration
-	// Stale makes reads return the rows as they were this long ago.
+	// Stale makes reads return the rows as they were this long ago, as far as the table keeps
+	// earlier versions; see maxHistory. List omits rows that have been deleted since.
 	Stale time.Duration
 	// LoseReplies is the number of writes, from the next one on, that take effect without a reply.
 	LoseReplies int
@@ -37,7 +39,8 @@
 }
 
 // Counts holds the numbers of requests and the capacity units that they consume. A read unit is 4
-// KiB and a write unit 1 KiB. Writes, which are all transactions, consume twice the units.
+// KiB and a write unit 1 KiB. Writes, which are all transactions, consume twice the units. Requests
+// that a fault refuses are not counted.
 type Counts struct {
 	Reads, Writes         int
 	ReadUnits, WriteUnits int
@@ -192,7 +195,7 @@
 	return rows, nil
 }
 
-// Write implements snipeplatform.Table.
+// Write implements snipeplatform.Table. An operation that has already taken effect changes nothing.
 func (t *Table) Write(ctx context.Context, operation string, changes []snipeplatform.Change) error {
 	if err := t.applyFaults(ctx, changes[0].Partition); err != nil {
 		return err
--- a/snipestand/weights.go
+++ b/snipestand/weights.go
@@ -7,7 +7,7 @@
 )
 
 // Weights emulates the weight store. A load takes Duration at full speed. It takes longer if more
-// than Concurrent loads run at once, or if loads begin at a higher rate than PerSecond. Exported
+// than Concurrent loads run when it begins, or if loads begin at a higher rate than PerSecond. Exported
 // fields must be set before the first request.
 type Weights struct {
 	PerSecond  float64
