--- a/snipesoak/caller.go
+++ b/snipesoak/caller.go
@@ -62,7 +62,8 @@
 
 var client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callerCount, DisableCompression: true}}
 
-// send sends a request, checks its answer and reports whether it was served.
+// send sends a request, checks its answer and reports whether it was served, that is answered in
+// full with status 200. A request without an answer leaves no outcome for the audit.
 func (s *Soak) send(ctx context.Context, i *instance, k requestKind, r *random.Rand, unknownKey bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -149,7 +150,8 @@
 	return b.String()
 }
 
-// audit checks which requests the upstreams have run and which orders they have received.
+// audit checks which of the answered requests the upstreams have run, and which requests and orders
+// each upstream has received. Whether a request without an answer ran twice is not checked.
 func (s *Soak) audit() {
 	ran := map[string]int{}
 	for _, r := range s.runners {
@@ -188,8 +190,8 @@
 }
 
 // auditOrders checks that no more adapters were ordered than fit, that fencing numbers do not
-// fall, and that instances did not alternate in sending orders to an engine. Orders of a process
-// that has just been resumed do not count.
+// fall, and that an instance which orders again after another instance does so at least orderGap
+// after its own last order. Orders of a process that has just been resumed are not checked.
 func (s *Soak) auditOrders(engine string, r *runner) {
 	orders, overfull := r.AcceptedOrders()
 	if overfull > 0 {
--- a/snipesoak/instance.go
+++ b/snipesoak/instance.go
@@ -79,7 +79,8 @@
 	return nil, errors.New("no free port was found")
 }
 
-// start writes the settings file and starts the process, which appends to the instance's log.
+// start writes the settings file and starts the process, which appends to the instance's log. It
+// does not wait until the instance is ready.
 func (i *instance) start() error {
 	settings := snipeentry.Settings{
 		Name: i.name, Domain: "here", Callers: i.callers, Ready: i.ready, Peers: i.peers, Metrics: i.metrics,
@@ -137,7 +138,7 @@
 	i.wait()
 }
 
-// wait waits for the end of the process.
+// wait blocks until the process has ended. It returns at once if no process has been started.
 func (i *instance) wait() {
 	i.lock.Lock()
 	ended := i.ended
--- a/snipesoak/signal.go
+++ b/snipesoak/signal.go
@@ -60,7 +60,7 @@
 const disturbanceGrace = 3 * time.Second
 
 // disturb begins a disturbance of an instance or an upstream. The returned function ends and
-// records it.
+// records the disturbance; until then disturbed does not report it.
 func (s *Soak) disturb(name string) (end func()) {
 	begin := time.Now()
 	return func() {
