--- a/snipereplay/audit.go
+++ b/snipereplay/audit.go
@@ -73,7 +73,7 @@
 	return list, json.NewDecoder(response.Body).Decode(list)
 }
 
-// Check adds to the results the breaches that the record of executions shows.
+// Check adds to the results the breaches that the records of executions show.
 func (a *Audit) Check(results []Result) {
 	for n := range results {
 		a.check(&results[n])
--- a/snipereplay/caller.go
+++ b/snipereplay/caller.go
@@ -57,8 +57,8 @@
 
 // mayRetry reports whether a caller may send the call again after t.
 func (p *Replay) mayRetry(r snipetrace.Record, t Try) bool {
-	// A refusal of the key as a duplicate without a Retry-After means that its
-	// call may have run and will never be answered.
+	// A refusal of the key as a duplicate without a Retry-After means that the
+	// call that first used the key may have run and will never be answered.
 	keySpent := t.Code == codeDuplicate && t.RetryAfter == 0
 	if isFinal(t.Code) || keySpent {
 		return false
@@ -161,7 +161,8 @@
 	return t
 }
 
-// send sends the call of a record to the next instance in the list.
+// send sends the call of a record to the next instance in the list, which all calls
+// go through together.
 func (p *Replay) send(ctx context.Context, r snipetrace.Record) (*http.Response, error) {
 	entry := p.Entries[p.next.Add(1)%uint64(len(p.Entries))]
 	path, body := "/services/"+r.Service+"/order", []byte(r.Prompt)
--- a/snipereplay/report.go
+++ b/snipereplay/report.go
@@ -21,12 +21,12 @@
 	Group
 	// Calls is the number of answered calls.
 	Calls int
-	// First holds the times to the first bytes of the answer, Total those to the
-	// whole answer.
+	// First holds the times to the header of the first answer with status 200, Total
+	// the times to the whole answer; see Result.
 	First, Total Quantiles
 }
 
-// Quantiles of durations.
+// Quantiles holds the median, the 95th and 99th percentiles and the maximum of durations.
 type Quantiles struct {
 	Median, P95, P99, Max snipejson.Duration
 }
--- a/snipereplay/snipereplay.go
+++ b/snipereplay/snipereplay.go
@@ -8,8 +8,9 @@
 // is safe. The checks have two parts. judge.go checks each answer as it arrives.
 // audit.go checks, after the run, what services and engines have recorded: at most
 // one execution of a call that is not idempotent, exactly one when it was answered,
-// and none of a request that was refused as not run. Whatever cannot be checked
-// counts as a breach.
+// and none of a request that was refused as not run. An answer that does not arrive
+// completely is a failed try and no breach, unless Replay.Planned is set. A record of
+// executions that cannot be read or is incomplete is an error; see ErrAudit.
 package snipereplay
 
 import (
@@ -72,8 +73,9 @@
 	Refused string
 	// Breaches describes the promises that were broken.
 	Breaches []string
-	// Duration is the time to the final answer, FirstChunk to the first bytes
-	// of the answer.
+	// Duration is the time from the start of the call to its final answer or
+	// failure, FirstChunk the time to the header of the first answer with status
+	// 200, even if that answer is incomplete; 0 if there is none.
 	Duration   time.Duration
 	FirstChunk time.Duration
 	// Tries are all attempts to send the call.
@@ -101,7 +103,7 @@
 	// sent.
 	MaxInFlight int64
 
-	// next selects the entry of the next try.
+	// next selects the entry of the next try, over all calls.
 	next     atomic.Uint64
 	inFlight atomic.Int64
 }
