--- a/snipetrace/generate.go
+++ b/snipetrace/generate.go
@@ -49,9 +49,10 @@
 	Adapters int
 	// Service is a plain service that receives serviceShare of the calls. Empty means none.
 	Service string
-	// Crashes is the number of additional calls, evenly over Length, that crash engines.
+	// Crashes is the number of additional calls, evenly over Length, that crash engines. The trace
+	// has fewer if Crashes is not below Calls, since at most one follows each other call.
 	Crashes int
-	// Timeout is the deadline of each call.
+	// Timeout is the time from the start of each call to its deadline.
 	Timeout time.Duration
 }
 
--- a/snipetrace/snipetrace.go
+++ b/snipetrace/snipetrace.go
@@ -42,7 +42,7 @@
 	// Key is the request key. A call that has none and is not idempotent is never repeated once it
 	// may have run.
 	Key string `json:",omitempty"`
-	// Timeout is the caller's deadline.
+	// Timeout is the time from the start of the call to the caller's deadline.
 	Timeout snipejson.Duration
 	// Path is the expected outcome of a model call: the path in the weight store of the adapter
 	// that must answer. It is empty if Code is set.
@@ -55,7 +55,7 @@
 	Code string `json:",omitempty"`
 }
 
-// MaxCrashes is the number of engines that one call may crash.
+// MaxCrashes is the largest number of engines that one call may crash.
 const MaxCrashes = 2
 
 // Repeatable reports whether the call may be executed more than once.
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// Read reads a whole trace. An invalid line is reported with its number and ErrBadRecord.
+// Read reads a whole trace. It returns an error that wraps ErrBadRecord and states the number of the
+// line if a line is invalid, or repeats the body of an earlier service call.
 func Read(r io.Reader) ([]Record, error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLine)
