--- a/snipecapacity/snipecapacity.go
+++ b/snipecapacity/snipecapacity.go
@@ -102,7 +102,8 @@
 	Over []string `json:",omitempty"`
 }
 
-// Line is a fitted line. Spread is its largest absolute residual.
+// Line is a line fitted to measured points. Spread is the largest absolute difference
+// between a point and the line.
 type Line struct {
 	Intercept, Slope, Spread float64
 }
@@ -148,7 +149,8 @@
 	return l, nil
 }
 
-// Decode reads and checks the inputs.
+// Decode reads the inputs and checks the measurements and the terms of the roles. Its errors wrap
+// ErrInvalid. Sweeps are checked only when they are rendered.
 func Decode(data []byte) (*Inputs, error) {
 	in := &Inputs{}
 	if err := snipejson.Decode(data, in); err != nil {
--- a/snipecapacity/sweep.go
+++ b/snipecapacity/sweep.go
@@ -65,7 +65,7 @@
 )
 
 // ParseSweep reads a sweep from the benchmark's output and skips all other lines. Command
-// and Date are left to the caller.
+// and Date are left to the caller. It returns ErrInvalid if the output has no table.
 func ParseSweep(r io.Reader) (*Sweep, error) {
 	s := &Sweep{}
 	var sizes []int
