--- a/cmd/snipectl/apply.go
+++ b/cmd/snipectl/apply.go
@@ -17,7 +17,8 @@
 // waitInterval is the time between two polls of the instances' revisions.
 const waitInterval = 250 * time.Millisecond
 
-// prepareApply declares the flags of apply.
+// prepareApply declares the flags of apply and returns its action, which replaces the
+// document of a branch.
 func prepareApply(f *flag.FlagSet) action {
 	team := f.String("team", "", "the branch; the platform's when empty")
 	version := f.Uint64("version", 0, "version that the branch must have, as show prints it; 0 for a new branch")
@@ -91,12 +92,13 @@
 // edit is an accepted edit as -json prints it.
 type edit struct {
 	Revision uint64
-	// InForce is set if the revision is in force on every live instance.
+	// InForce is set if -wait was given and every live instance has the revision in
+	// force. Without -wait it is false and states nothing.
 	InForce bool
 }
 
 // waitInForce waits until the revision is in force on every live instance, and
-// returns errNotInForce after limit. It requests the revisions from the instances
+// returns errNotInForce after limit. Failed polls are repeated. It requests the revisions from the instances
 // themselves, because the revisions in their lease rows may be older.
 func (c *client) waitInForce(ctx context.Context, revision uint64, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
--- a/cmd/snipectl/diff.go
+++ b/cmd/snipectl/diff.go
@@ -20,7 +20,8 @@
 	Teams             []string        `json:",omitempty"`
 }
 
-// prepareDiff declares the flags of diff.
+// prepareDiff declares the flags of diff and returns its action, which returns
+// errDiffers if the branch in force differs from the input.
 func prepareDiff(f *flag.FlagSet) action {
 	team := f.String("team", "", "the branch; the platform's when empty")
 	return func(ctx context.Context, c *client, arguments []string) error {
--- a/cmd/snipectl/drain.go
+++ b/cmd/snipectl/drain.go
@@ -6,7 +6,8 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// drain stops the named instance gracefully, or the called one without a name.
+// drain makes the named instance stop gracefully, or without a name the instance that
+// the client calls.
 func drain(ctx context.Context, c *client, arguments []string) error {
 	name, err := optionalArgument(arguments)
 	if err != nil {
--- a/cmd/snipectl/history.go
+++ b/cmd/snipectl/history.go
@@ -32,7 +32,8 @@
 	return c.printTable("VERSION\tREVISION\tACCEPTED", rows)
 }
 
-// prepareRollback declares the flags of rollback.
+// prepareRollback declares the flags of rollback and returns its action, which sends
+// the edit only once, also if its outcome is unknown.
 func prepareRollback(f *flag.FlagSet) action {
 	team := f.String("team", "", "the branch; the platform's when empty")
 	version := f.Uint64("version", 0, "version that the branch must have, as show prints it")
--- a/cmd/snipectl/watch.go
+++ b/cmd/snipectl/watch.go
@@ -15,7 +15,8 @@
 	Changes           []difference
 }
 
-// prepareWatch declares the flags of watch.
+// prepareWatch declares the flags of watch and returns its action, which polls the
+// branch until ctx ends or -count changes are printed.
 func prepareWatch(f *flag.FlagSet) action {
 	interval := f.Duration("interval", time.Second, "`time` between two looks")
 	count := f.Int("count", 0, "end after so many changes; 0 for never")
@@ -54,7 +55,7 @@
 }
 
 // poll prints the change since the previous poll. The first poll prints the whole
-// branch as a change from an empty one.
+// branch as a change from an empty one, or nothing if the branch has never been edited.
 func (w *watch) poll(ctx context.Context) error {
 	out, err := w.client.operator.GetSettings(ctx, &snipeproto.GetSettingsRequest{Team: w.team})
 	if err != nil {
--- a/cmd/snipereplay/main.go
+++ b/cmd/snipereplay/main.go
@@ -99,7 +99,7 @@
 	return snipetrace.Read(f)
 }
 
-// finish prints an error and returns the exit code: exitUsage for an error, else 0.
+// finish returns the exit code: exitUsage after printing a non-nil error, else 0.
 func finish(err error) int {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "snipereplay:", err)
--- a/cmd/snipereplay/run.go
+++ b/cmd/snipereplay/run.go
@@ -113,7 +113,8 @@
 }
 
 // audit adds to the results the breaches that the records of the upstreams show. It
-// first pauses for -settle, so that late executions are in the records.
+// first pauses for -settle, so that late executions are in the records. Without
+// upstreams it checks nothing.
 func (r *runner) audit(upstreams []netip.AddrPort, results []snipereplay.Result) error {
 	time.Sleep(r.settle)
 	ctx, cancel := context.WithTimeout(context.Background(), auditTimeout)
--- a/cmd/snipesoak/main.go
+++ b/cmd/snipesoak/main.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// runSeed runs the soak with one seed, prints the result, and reports whether no promise
-// was broken.
+// runSeed runs the soak with one seed, prints the result, and reports whether the run
+// succeeded and no promise was broken. It removes the logs of such a run.
 func runSeed(seed uint64, program, logs string, length time.Duration, instances int) bool {
 	folder, err := os.MkdirTemp(logs, fmt.Sprintf("soak-%d-", seed))
 	if err != nil {
