--- a/snipestory/line.go
+++ b/snipestory/line.go
@@ -20,19 +20,24 @@
 	Error    string
 
 	// Fields of requests.
-	Request      string
-	Route        string
-	Service      string
-	Outcome      string
-	Status       int
-	Adapter      string
-	Version      int64
-	Tried        []string
-	Ran          int
-	After        string
+	Request string
+	Route   string
+	Service string
+	Outcome string
+	Status  int
+	Adapter string
+	Version int64
+	// Tried holds the upstreams that the request was sent to, in order, and Ran is the number of
+	// attempts that may have run it. After is the error after which the request was sent again.
+	Tried []string
+	Ran   int
+	After string
+	// Busy is the estimated share of occupied slots at the last upstream when it was chosen, from 0
+	// to 1. Holders is the number of usable upstreams that it was chosen from.
 	Busy         float64
 	Holders      int
 	PromptTokens int
+	// DirectoryAge is the age of the directory of upstreams in milliseconds.
 	DirectoryAge int64
 	// Workspace is the workspace of the request according to version Catalog of the catalog. Asked
 	// is the number of units that the request counts against the quota of the workspace.
@@ -43,17 +48,22 @@
 	// PauseTargetMilliseconds its target for the longest pause in the answer.
 	TargetMilliseconds      int64
 	PauseTargetMilliseconds int64
-	WaitedMilliseconds      int64
-	FirstMilliseconds       int64
-	PauseMilliseconds       int64
-	Milliseconds            int64
+	// WaitedMilliseconds is the time that the request waited for its adapter, FirstMilliseconds the
+	// time from its arrival until the answer began, PauseMilliseconds the longest pause in the
+	// answer, and Milliseconds the time from its arrival to its end. In the line of a load,
+	// Milliseconds is the duration of the load.
+	WaitedMilliseconds int64
+	FirstMilliseconds  int64
+	PauseMilliseconds  int64
+	Milliseconds       int64
 
 	// Fields of engines and upstreams.
 	Engine   string
 	Upstream string
 	Action   string
 	Reply    string
-	Queued   int64
+	// Queued is the time that a load waited in the queue until it was started, in milliseconds.
+	Queued int64
 
 	// Raw is the unchanged text of the line.
 	Raw string `json:"-"`
