--- a/snipecaller/snipecaller_test.go
+++ b/snipecaller/snipecaller_test.go
@@ -134,7 +134,7 @@
 }
 
 // TestStreamEnds guards against streams without a proper end: after a failure,
-// a gap, a duplicate or another adapter's chunk the caller gets one typed error
+// a missing or repeated chunk or another adapter's chunk the caller gets one typed error
 // event, otherwise the end mark, and no chunk of another adapter.
 func TestStreamEnds(t *testing.T) {
 	chunk := func(n uint64, model string) snipecall.Chunk {
@@ -185,7 +185,8 @@
 	}
 }
 
-// TestNoKeyInLog guards against API keys and prompts in the log of failed calls.
+// TestNoKeyInLog guards against API keys and prompts in the log of failed calls, and
+// against API keys in their answers.
 func TestNoKeyInLog(t *testing.T) {
 	var log strings.Builder
 	s := newServer(func(context.Context, *snipecall.Call, snipecall.Sink) error {
--- a/snipestand/cutter_test.go
+++ b/snipestand/cutter_test.go
@@ -46,8 +46,9 @@
 	must.Eq(t, b, got[0])
 }
 
-// TestCutter checks the effect of each mode on connections: a cut holds bytes back and does not
-// lose them, stale connections stay silent while new ones work, and refused connections are closed.
+// TestCutter checks that a cut does not lose bytes, that new connections work after the open ones
+// have become stale, that refused connections are closed, and that unknown links and modes are
+// refused. It does not check that a cut or stale connection is silent.
 func TestCutter(t *testing.T) {
 	c := &snipestand.Cutter{Links: []snipestand.Link{{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Target: echo(t)}}}
 	must.NoError(t, c.Listen())
--- a/snipestand/restrule_test.go
+++ b/snipestand/restrule_test.go
@@ -9,7 +9,8 @@
 )
 
 // TestBackoffBreaches checks which requests BackoffBreaches counts: those of the refused instance, from
-// half a second after the refusal until the end of the backoff that it asked for.
+// half a second after the refusal until the end of the backoff that the refusal requested. Two of
+// them are allowed, and excused requests do not count.
 func TestBackoffBreaches(t *testing.T) {
 	const backoff = 3 * time.Second
 	// at returns a refused request of instance a, and requests that an instance sends at the given
