--- a/snipestand/restrule_test.go
+++ b/snipestand/restrule_test.go
@@ -8,8 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestBackoffBreaches checks which requests RestBreaches counts: those of the refused instance, from
-// half a second after the refusal until the end of the backoff that it asked for.
+// TestBackoffBreaches checks which requests BackoffBreaches counts: those of the refused instance, from
+// half a second after the refusal until the end of the backoff that the refusal requested. Two of
+// them are allowed, and excused requests do not count.
 func TestBackoffBreaches(t *testing.T) {
 	const backoff = 3 * time.Second
 	// at returns a refused request of instance a, and requests that an instance sends at the given
