--- a/snipeentry/keys_test.go
+++ b/snipeentry/keys_test.go
@@ -216,7 +216,7 @@
 }
 
 // TestQuota checks that requests above a workspace's quota are refused with a Retry-After header,
-// that the executed requests stay near the quota on two instances together, neither far above nor
+// that the requests executed by two instances together stay near the quota, neither far above nor
 // far below, and that another workspace is not affected.
 func TestQuota(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
--- a/snipeentry/near.go
+++ b/snipeentry/near.go
@@ -66,9 +66,10 @@
 	ownershipCopyAges = maxCopyAges{Direct: 2500 * time.Millisecond, First: 2 * time.Second, Others: 2500 * time.Millisecond}
 )
 
-// singleReaderStaleness is the least time within which changes must be known at which a single
-// instance reads the store for all failure domains. If changes must be known sooner, each domain
-// has its own reader, since tableCopyAges guarantees only three seconds with a single reader.
+// singleReaderStaleness is compared with the time within which the settings demand that changes are
+// known (Settings.maxStaleness). If they allow this time or more, one instance reads the store for
+// all failure domains. If they demand less, each domain has its own reader, because tableCopyAges
+// guarantees only three seconds with a single reader.
 const singleReaderStaleness = 3 * time.Second
 
 // singleReader reports whether a single instance reads the store for all failure domains.
--- a/snipeentry/peers.go
+++ b/snipeentry/peers.go
@@ -20,8 +20,8 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// peerServer serves the requests of other instances for adapters, for the loads of engines, and
-// with signals of upstreams.
+// peerServer serves the requests of other instances: to load adapters, to record the use of engines,
+// to return the loads of engines, and to merge the signals of upstreams.
 type peerServer struct {
 	controller *snipeadapter.Controller
 	// replicas returns the engines, other than the given one, that have recently loaded an adapter
@@ -38,7 +38,7 @@
 
 // newEvictions returns the recent evictions that have not been reported to an instance yet, and
 // marks them as reported. Evictions in an answer that is lost are not reported again: the registry
-// shows them a second later.
+// entries of the engines show them a second later.
 func (s *peerServer) newEvictions(instance string) []snipeadapter.Eviction {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -123,9 +123,11 @@
 	// orderDenied holds the engines whose owners have answered that they have no right to order
 	// them, and until when these engines are avoided.
 	orderDenied map[netip.AddrPort]time.Time
-	// loadsFailures is how many instances, in order of rank, have recently failed to answer
-	// requests for loads. loadsFailedAt is the time of the last such failure.
-	// firstLoadsReaderLost is set from the first failure until the domain's first instance answers.
+	// loadsFailures is the number of consecutive failed requests for the engines' loads (the work
+	// in flight at each engine, see loads.go). It is the rank of the instance of this failure
+	// domain to ask next, and may exceed the number of the domain's instances. loadsFailedAt is the
+	// time of the last failure. firstLoadsReaderLost is set from the first failure until the
+	// instance of rank 0 answers.
 	loadsFailures        int
 	loadsFailedAt        time.Time
 	firstLoadsReaderLost bool
