--- a/snipeentry/budget.go
+++ b/snipeentry/budget.go
@@ -11,7 +11,7 @@
 	// retrySafetyFactor is a safety factor: the fraction of the allowed retries that the instances
 	// use. The remainder covers errors in the number of instances while some start or end, and
 	// retries that ended instances sent within the window. It does not cover a kill of all
-	// instances at once: their successors may then spend the slack a second time.
+	// instances at once: their successors may then spend the slack (see retryBudgets) again.
 	retrySafetyFactor = 0.85
 	// minSharingInstances is the least number of instances among which a limit on all instances
 	// together is divided. An instance that has just started may know no others yet.
@@ -19,8 +19,8 @@
 )
 
 // retryBudgets holds a separate retry budget for each service: a sliding window that limits the
-// retries. In each window, all instances together may send a number of retries for each request,
-// plus a slack. An instance counts its own requests and uses an equal part of the slack.
+// retries. In each window, all instances together may send share retries for each request, and
+// slack retries in addition. An instance counts its own requests and uses an equal part of slack.
 type retryBudgets struct {
 	share     float64       // retries for each request
 	slack     float64       // retries of all instances together beyond share
--- a/snipeentry/loads.go
+++ b/snipeentry/loads.go
@@ -11,28 +11,30 @@
 )
 
 // An engine's load is the weight of all requests in flight there. The instances report their parts
-// to the engine's owner, which adds them up. With few instances, each instance receives the loads
-// in the answers to its own reports to the owners. With hundreds, each instance uses few engines a
-// second, and asking all owners would need a message between each pair of instances. Then the first
-// instance of each failure domain in the order of readers gathers the loads: it asks the owners,
-// and the other instances of the domain ask that instance.
+// to the engine's owner, which adds them up. With fewer than minGatherInstances instances, each
+// instance receives the loads in the answers to its own reports to the owners. With more, each
+// instance uses only a few of the engines each second, and if all instances asked all owners, there
+// would be a message between each pair of instances. Then one instance of each failure domain
+// gathers the loads: the first by rank that is neither leaving nor on standby (see readers). It
+// asks the owners, and the other instances of the domain ask that instance.
 
 const (
-	// minGatherInstances is the least number of live instances at which the first instance of each
-	// domain gathers the loads.
+	// minGatherInstances is the least number of live instances at which the first instance by
+	// rank of each domain gathers the loads.
 	minGatherInstances = 32
-	// loadsInterval is the time between two polls of the loads of all engines. An engine receives
-	// one or two requests in this time.
+	// loadsInterval is the time between two requests of an instance for the loads of all engines.
+	// An engine receives one or two requests of callers in this time.
 	loadsInterval = 160 * time.Millisecond
 	// loadsTimeout bounds one request for loads. A later answer is of no use.
 	loadsTimeout = 150 * time.Millisecond
 )
 
-// gathersLoads reports whether the first instance of each domain gathers the loads.
+// gathersLoads reports whether one instance of each domain gathers the loads.
 func (i *Instance) gathersLoads() bool { return i.instances() >= minGatherInstances }
 
-// updateLoads requests the loads of all engines, from their owners or from the instance that has
-// gathered them, and does not wait for the answers. It does nothing if loads are not gathered.
+// updateLoads requests the loads of all engines and does not wait for the answers. The instance that
+// gathers the loads for its domain requests them from the engines' owners, any other instance from
+// that instance. updateLoads does nothing if there are fewer than minGatherInstances instances.
 func (i *Instance) updateLoads(ctx context.Context) {
 	if !i.gathersLoads() {
 		return
@@ -47,7 +49,8 @@
 }
 
 // requestOwnerLoads sends an empty report to each other owner that has not answered within the last
-// half of loadsInterval. The answers contain the loads; requestOwnerLoads does not wait for them.
+// half of loadsInterval. The answers contain the loads of the owners' engines. requestOwnerLoads does
+// not wait for the answers.
 func (i *Instance) requestOwnerLoads(ctx context.Context) {
 	since := time.Now().Add(-loadsInterval / 2)
 	for _, owner := range i.holder.View().OtherOwners {
@@ -98,13 +101,13 @@
 	return answer, nil
 }
 
-// loadsRetryPause is how long after the last failure an instance other than the first in rank is
-// asked for loads, before the first is asked again.
+// loadsRetryPause is the time after the last failed request for loads after which the first
+// instance by rank is asked again. Until then, instances of lower rank are asked in its place.
 const loadsRetryPause = 3 * time.Second
 
 // loadsReaderRank returns the rank, from 0, of the instance to ask for loads: the number of
-// instances that failed one after the other, or 0 again if the last failure was loadsRetryPause
-// ago. The rank may exceed the number of the domain's instances.
+// consecutive failed requests, or 0 again if the last failure was at least loadsRetryPause ago. The
+// rank may exceed the number of the domain's instances; the caller then starts over at the first.
 func (p *peers) loadsReaderRank() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -115,8 +118,8 @@
 }
 
 // noteLoadsAnswer records whether the instance with the given rank answered the request for loads.
-// It returns true for the first failure, and for the first answer of the domain's first instance
-// after failures, so that each loss and each return is logged once.
+// It returns true for the first failure, and for the first answer of the instance of rank 0 after
+// failures, so that each loss and each return is logged once.
 func (p *peers) noteLoadsAnswer(rank int, ok bool) (changed bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/snipeentry/near.go
+++ b/snipeentry/near.go
@@ -14,9 +14,9 @@
 // take. It may be short because both instances are usually in one failure domain.
 const copyReadSlack = 200 * time.Millisecond
 
-// peerCopy returns a function that reads another instance's copy of a table. The other instance is
-// the first reader of this failure domain, or after each of failures consecutive failures the next
-// reader in rank. If this instance is itself the first reader of its domain, the other instance is
+// peerCopy returns a function that reads another instance's copy of a table. A reader is an instance
+// whose copy may be read (see readers). The other instance is the first reader by rank of this
+// failure domain, and after each of failures consecutive failures the next one by rank. If this instance is itself the first reader of its domain, the other instance is
 // the global reader. If lost is set, because the store does not answer this instance, the other
 // instance may be of any domain. peerCopy returns false if this instance should read the store
 // itself.
@@ -47,19 +47,21 @@
 // too old, so that the store is read instead. Each age exceeds the sum of the wait and the interval
 // of a read, because a copy gets as old as that sum without any failure.
 type maxCopyAges struct {
-	// Direct applies if the first instance of each failure domain reads the store, and the other
-	// instances of the domain read that instance's copy. If a single instance reads the store for
-	// all domains, First applies to the first instance of each domain, which reads the single
-	// reader's copy, and Others to the instances that read a first instance's copy. Others is
-	// longer, so that after the loss of the single reader only the first instances read the store,
-	// and not all.
+	// Direct applies if the first instance by rank of each failure domain reads the store, and the
+	// other instances of the domain read that instance's copy.
+	//
+	// First and Others apply if a single instance reads the store for all domains. First applies to
+	// the first instance by rank of each domain, which reads the single reader's copy. Others
+	// applies to the other instances of the domain, which read the first instance's copy. Others is
+	// longer than First, so that after the loss of the single reader only the first instances read
+	// the store.
 	Direct, First, Others time.Duration
 }
 
 var (
-	// tableCopyAges apply to the operators' declarations and to the registry. They are short enough
-	// that each change is known in time even if the reader loses the store at the worst moment:
-	// within two seconds, or within three where a single instance reads the store for all domains.
+	// tableCopyAges apply to the operators' declarations and to the registry. Even if
+	// the instance that reads the store loses it at the worst moment, each change is known within
+	// two seconds, or within three if a single instance reads the store for all domains.
 	tableCopyAges = maxCopyAges{Direct: 1400 * time.Millisecond, First: 1500 * time.Millisecond, Others: 2100 * time.Millisecond}
 	// ownershipCopyAges apply to the ownership rows. These copies may be older, because the loss of
 	// an instance is detected no sooner than the instance's lease ends.
@@ -88,8 +90,8 @@
 }
 
 // globalReader returns the instance that alone reads the store for all failure domains: the highest
-// in rank that is neither leaving nor on standby. The first instance of every other domain reads
-// that instance's copy. globalReader returns false if each domain has its own reader, if this
+// in rank that is neither leaving nor on standby. The first instance by rank of every other domain
+// reads that instance's copy. globalReader returns false if each domain has its own reader, if this
 // instance is the global reader, or if none is known.
 func (i *Instance) globalReader() (netip.AddrPort, bool) {
 	if !i.singleReader() {
--- a/snipeentry/near_test.go
+++ b/snipeentry/near_test.go
@@ -25,7 +25,7 @@
 	for n := range readers {
 		readers[n] = peer(n)
 	}
-	for own := range count + 1 { // the last one is not a reader
+	for own := range count + 1 { // the last instance is not among the readers
 		for failures := range 2 * count {
 			followed, ok := followedReader(readers, peer(own), failures, false)
 			must.Eq(t, failures < min(own, count), ok)
--- a/snipeentry/reader_test.go
+++ b/snipeentry/reader_test.go
@@ -23,12 +23,13 @@
 const (
 	domains   = 5
 	perDomain = 60
-	// sampleInterval selects one of so many weak instances for the check, since all weak instances
-	// are alike.
+	// sampleInterval selects every 13th instance with low Power for the check, since all such
+	// instances behave alike.
 	sampleInterval = 13
 )
 
-// member returns one of three hundred instances. The first three of each domain are strong.
+// member returns one of three hundred instances. The first three of each domain have
+// a high Power, so that they rank above the others.
 func member(n int) snipeowner.Instance {
 	m := snipeowner.Instance{
 		Name: fmt.Sprint("i", n), Incarnation: "1", Domain: fmt.Sprint("d", n%domains), Power: 0.2,
@@ -83,8 +84,9 @@
 func TestOneReader(t *testing.T) {
 	tests := map[string]struct {
 		maxStaleness time.Duration
-		// readers is the number of instances that read the store, first the number of instances
-		// that detect the loss of a reader first.
+		// readers is the number of instances that read the store. first is the number of checked
+		// instances to which tableCopyAges.First applies: they detect the loss of the single reader
+		// before the others do.
 		readers, first int
 	}{"OneForAll": {4 * time.Second, 1, domains}, "OneADomain": {2 * time.Second, domains, 0}}
 	rows := memberRows(t)
@@ -131,7 +133,7 @@
 			f := newFollower(others, first.Mirror, tableCopyAges.Others)
 			go func() { _ = f.Run(ctx) }()
 		}
-		// The root's copy is never renewed from the store again.
+		// The copy of the lost single reader (root) is never renewed.
 		time.Sleep(5 * time.Second)
 		must.Positive(t, store.calls.Load())
 		must.Eq(t, 0, others.calls.Load())
@@ -140,7 +142,7 @@
 	})
 }
 
-// countedStore is a store with a new version each second, which counts the calls of watch.
+// countedStore is a store whose position advances each second. It counts the calls of watch.
 type countedStore struct{ calls atomic.Int32 }
 
 func (s *countedStore) read(context.Context) (snipemirror.Page, error) {
@@ -153,7 +155,8 @@
 	return snipemirror.Page{Position: uint64(time.Now().Unix())}, nil
 }
 
-// newFollower returns a follower that follows m until a read fails, and then reads the store.
+// newFollower returns a follower that follows m until a read fails or the copy
+// is older than age, and then reads the store.
 func newFollower(s *countedStore, m *snipemirror.Mirror, age time.Duration) *snipemirror.Follower {
 	return &snipemirror.Follower{
 		Mirror: snipemirror.New(), Store: snipemirror.Source{Read: s.read, Watch: s.watch},
--- a/snipeentry/relay_test.go
+++ b/snipeentry/relay_test.go
@@ -33,7 +33,8 @@
 // storeTimeout bounds a call to the store, as the store's client does.
 const storeTimeout = 1200 * time.Millisecond
 
-// rowStore is a store of one row, which counts the writes and the calls.
+// rowStore is a store of one row. It counts the writes that take effect, and the calls by the address of
+// the instance that makes them.
 type rowStore struct {
 	version uint64
 	writes  int
--- a/snipeentry/settings.go
+++ b/snipeentry/settings.go
@@ -45,8 +45,8 @@
 	// started, so for an engine that it has not owned since, it counts the time from its start.
 	OrderGap snipejson.Duration
 	// RetryShare is the number of retries that all instances together may send for each request of
-	// a service, between 0 and 1. RetrySlack is the number of retries for each service that they
-	// may send within RetrySpan beyond that.
+	// a service, between 0 and 1. RetrySlack is the number of retries for each service that all
+	// instances together may send within RetrySpan in addition.
 	RetryShare float64
 	RetrySlack float64
 	// RetrySpan is the length of the window over which requests and retries are counted;
@@ -67,7 +67,7 @@
 	// Both are DefaultMaxStaleness if the file does not set them.
 	DrainTime snipejson.Duration
 	ApplyTime snipejson.Duration
-	// Power is the share of a core that the process gets on its machine. Tasks that a few instances
+	// Power is the fraction of a core that the process gets on its machine. Tasks that a few instances
 	// do for all go to the instances with the most power; instances with 0 come last.
 	Power float64
 	// MemoryBytes is the memory that the process may use; 0 sets no limit.
