--- a/snipeentry/loads.go
+++ b/snipeentry/loads.go
@@ -19,8 +19,8 @@
 // asks the owners, and the other instances of the domain ask that instance.
 
 const (
-	// minGatherInstances is the least number of live instances at which the first instance by
-	// rank of each domain gathers the loads.
+	// minGatherInstances is the least number of live instances at which the first instance by rank
+	// of each domain gathers the loads.
 	minGatherInstances = 32
 	// loadsInterval is the time between two requests of an instance for the loads of all engines.
 	// An engine receives one or two requests of callers in this time.
@@ -32,9 +32,10 @@
 // gathersLoads reports whether one instance of each domain gathers the loads.
 func (i *Instance) gathersLoads() bool { return i.instances() >= minGatherInstances }
 
-// updateLoads requests the loads of all engines and does not wait for the answers. The instance that
-// gathers the loads for its domain requests them from the engines' owners, any other instance from
-// that instance. updateLoads does nothing if there are fewer than minGatherInstances instances.
+// updateLoads requests the loads of all engines and does not wait for the answers. The instance
+// that gathers the loads for its domain requests them from the engines' owners, any other instance
+// from that instance. updateLoads does nothing if there are fewer than minGatherInstances
+// instances.
 func (i *Instance) updateLoads(ctx context.Context) {
 	if !i.gathersLoads() {
 		return
@@ -49,8 +50,8 @@
 }
 
 // requestOwnerLoads sends an empty report to each other owner that has not answered within the last
-// half of loadsInterval. The answers contain the loads of the owners' engines. requestOwnerLoads does
-// not wait for the answers.
+// half of loadsInterval. The answers contain the loads of the owners' engines. requestOwnerLoads
+// does not wait for the answers.
 func (i *Instance) requestOwnerLoads(ctx context.Context) {
 	since := time.Now().Add(-loadsInterval / 2)
 	for _, owner := range i.holder.View().OtherOwners {
--- a/snipeentry/near.go
+++ b/snipeentry/near.go
@@ -14,12 +14,12 @@
 // take. It may be short because both instances are usually in one failure domain.
 const copyReadSlack = 200 * time.Millisecond
 
-// peerCopy returns a function that reads another instance's copy of a table. A reader is an instance
-// whose copy may be read (see readers). The other instance is the first reader by rank of this
-// failure domain, and after each of failures consecutive failures the next one by rank. If this instance is itself the first reader of its domain, the other instance is
-// the global reader. If lost is set, because the store does not answer this instance, the other
-// instance may be of any domain. peerCopy returns false if this instance should read the store
-// itself.
+// peerCopy returns a function that reads another instance's copy of a table. A reader is an
+// instance whose copy may be read (see readers). The other instance is the first reader by rank of
+// this failure domain, and after each of failures consecutive failures the next one by rank. If
+// this instance is itself the first reader of its domain, the other instance is the global reader.
+// If lost is set, because the store does not answer this instance, the other instance may be of any
+// domain. peerCopy returns false if this instance should read the store itself.
 func (i *Instance) peerCopy(table string, failures int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
 	readers := i.readers(lost)
 	reader, ok := followedReader(readers, i.Settings.Peers, failures, lost)
@@ -59,9 +59,9 @@
 }
 
 var (
-	// tableCopyAges apply to the operators' declarations and to the registry. Even if
-	// the instance that reads the store loses it at the worst moment, each change is known within
-	// two seconds, or within three if a single instance reads the store for all domains.
+	// tableCopyAges apply to the operators' declarations and to the registry. Even if the instance
+	// that reads the store loses it at the worst moment, each change is known within two seconds,
+	// or within three if a single instance reads the store for all domains.
 	tableCopyAges = maxCopyAges{Direct: 1400 * time.Millisecond, First: 1500 * time.Millisecond, Others: 2100 * time.Millisecond}
 	// ownershipCopyAges apply to the ownership rows. These copies may be older, because the loss of
 	// an instance is detected no sooner than the instance's lease ends.
--- a/snipeentry/peers.go
+++ b/snipeentry/peers.go
@@ -20,8 +20,8 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// peerServer serves the requests of other instances: to load adapters, to record the use of engines,
-// to return the loads of engines, and to merge the signals of upstreams.
+// peerServer serves the requests of other instances: to load adapters, to record the use of
+// engines, to return the loads of engines, and to merge the signals of upstreams.
 type peerServer struct {
 	controller *snipeadapter.Controller
 	// replicas returns the engines, other than the given one, that have recently loaded an adapter
--- a/snipeentry/reader_test.go
+++ b/snipeentry/reader_test.go
@@ -28,8 +28,8 @@
 	sampleInterval = 13
 )
 
-// member returns one of three hundred instances. The first three of each domain have
-// a high Power, so that they rank above the others.
+// member returns one of three hundred instances. The first three of each domain have a high Power,
+// so that they rank above the others.
 func member(n int) snipeowner.Instance {
 	m := snipeowner.Instance{
 		Name: fmt.Sprint("i", n), Incarnation: "1", Domain: fmt.Sprint("d", n%domains), Power: 0.2,
@@ -155,8 +155,8 @@
 	return snipemirror.Page{Position: uint64(time.Now().Unix())}, nil
 }
 
-// newFollower returns a follower that follows m until a read fails or the copy
-// is older than age, and then reads the store.
+// newFollower returns a follower that follows m until a read fails or the copy is older than age,
+// and then reads the store.
 func newFollower(s *countedStore, m *snipemirror.Mirror, age time.Duration) *snipemirror.Follower {
 	return &snipemirror.Follower{
 		Mirror: snipemirror.New(), Store: snipemirror.Source{Read: s.read, Watch: s.watch},
--- a/snipeentry/relay.go
+++ b/snipeentry/relay.go
@@ -69,8 +69,9 @@
 
 // Write makes all changes or none. It tries the store first. If the store gives no definite answer
 // and this instance owns engines, Write then tries other instances. While the store is lost, it
-// tries the other instances first for most writes (see decideDirectFirst). Write returns as soon as an attempt has a definite outcome (done, or a condition did not
-// hold), and otherwise the error of the attempt at the store.
+// tries the other instances first for most writes (see decideDirectFirst). Write returns as soon as
+// an attempt has a definite outcome (done, or a condition did not hold), and otherwise the error of
+// the attempt at the store.
 func (r *relay) Write(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 	if r.Owns() && !r.decideDirectFirst() {
 		version, err := r.writeByPeer(ctx, operation, changes)
--- a/snipeentry/relay_test.go
+++ b/snipeentry/relay_test.go
@@ -33,8 +33,8 @@
 // storeTimeout bounds a call to the store, as the store's client does.
 const storeTimeout = 1200 * time.Millisecond
 
-// rowStore is a store of one row. It counts the writes that take effect, and the calls by the address of
-// the instance that makes them.
+// rowStore is a store of one row. It counts the writes that take effect, and the calls by the
+// address of the instance that makes them.
 type rowStore struct {
 	version uint64
 	writes  int
--- a/snipeentry/report.go
+++ b/snipeentry/report.go
@@ -15,8 +15,8 @@
 // owner, and does not wait for the answers. It reports the engines whose use has changed, and from
 // time to time those with requests in flight. Uses of engines that are gone or have no owner are
 // dropped. A lost report is not repeated, but requests in flight are reported again as long as they
-// run. If the loads are not gathered (see loads.go), an empty report is also sent to at most one owner
-// that has not answered within ownerStaleAfter.
+// run. If the loads are not gathered (see loads.go), an empty report is also sent to at most one
+// owner that has not answered within ownerStaleAfter.
 func (i *Instance) reportUses(ctx context.Context) {
 	v := i.holder.View()
 	directory := i.directory.Snapshot()
@@ -116,9 +116,10 @@
 	return uses
 }
 
-// reportTimeout bounds one report of use, at a hundred times the round-trip time between instances. An owner that
-// does not answer in time is not asked to load adapters until it answers a report, and the requests
-// that wait for it go elsewhere. Longer: these requests miss more latency objectives.
+// reportTimeout bounds one report of use, at a hundred times the round-trip time between instances.
+// An owner that does not answer in time is not asked to load adapters until it answers a report,
+// and the requests that wait for it go elsewhere. Longer: these requests miss more latency
+// objectives.
 const reportTimeout = 300 * time.Millisecond
 
 // peerField is the log field for another instance.
--- a/snipeentry/settings.go
+++ b/snipeentry/settings.go
@@ -67,8 +67,8 @@
 	// Both are DefaultMaxStaleness if the file does not set them.
 	DrainTime snipejson.Duration
 	ApplyTime snipejson.Duration
-	// Power is the fraction of a core that the process gets on its machine. Tasks that a few instances
-	// do for all go to the instances with the most power; instances with 0 come last.
+	// Power is the fraction of a core that the process gets on its machine. Tasks that a few
+	// instances do for all go to the instances with the most power; instances with 0 come last.
 	Power float64
 	// MemoryBytes is the memory that the process may use; 0 sets no limit.
 	MemoryBytes int64
