--- a/snipeentry/feed.go
+++ b/snipeentry/feed.go
@@ -83,8 +83,8 @@
 }
 
 // follower returns a new follower of a table. interval is the least time between two reads of the
-// store, wait is how long one read waits for a change, and ages are the ages at which the copy is
-// too old to be refreshed from another instance.
+// store, wait is how long one read waits for a change, and ages are the ages at which another
+// instance's copy is too old, so that the store is read instead.
 func (i *Instance) follower(table string, interval, wait time.Duration, ages maxCopyAges) *snipemirror.Follower {
 	return &snipemirror.Follower{
 		ReadsStoreSeldom: i.onStandby,
--- a/snipeentry/loads.go
+++ b/snipeentry/loads.go
@@ -106,9 +106,9 @@
 // instance by rank is asked again. Until then, instances of lower rank are asked in its place.
 const loadsRetryPause = 3 * time.Second
 
-// loadsReaderRank returns the rank, from 0, of the instance to ask for loads: the number of
-// consecutive failed requests, or 0 again if the last failure was at least loadsRetryPause ago. The
-// rank may exceed the number of the domain's instances; the caller then starts over at the first.
+// loadsReaderRank returns the rank, from 0, of the instance to ask for loads: loadsFailures, which
+// it sets to 0 if the last failure was at least loadsRetryPause ago. The rank may exceed the number
+// of the domain's instances; the caller then starts over at the first.
 func (p *peers) loadsReaderRank() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -119,6 +119,7 @@
 }
 
 // noteLoadsAnswer records whether the instance with the given rank answered the request for loads.
+// If several requests to an instance fail at the same time, loadsFailures is increased only once.
 // It returns true for the first failure, and for the first answer of the instance of rank 0 after
 // failures, so that each loss and each return is logged once.
 func (p *peers) noteLoadsAnswer(rank int, ok bool) (changed bool) {
--- a/snipeentry/peers.go
+++ b/snipeentry/peers.go
@@ -123,10 +123,11 @@
 	// orderDenied holds the engines whose owners have answered that they have no right to order
 	// them, and until when these engines are avoided.
 	orderDenied map[netip.AddrPort]time.Time
-	// loadsFailures is the number of consecutive failed requests for the engines' loads (the work
-	// in flight at each engine, see loads.go). It is the rank of the instance of this failure
-	// domain to ask next, and may exceed the number of the domain's instances. loadsFailedAt is the
-	// time of the last failure. firstLoadsReaderLost is set from the first failure until the
+	// loadsFailures is the rank of the instance of this failure domain to ask next for the engines'
+	// loads (the work in flight at each engine, see loads.go). It is increased when the request to
+	// the instance of that rank fails, and may exceed the number of the domain's instances. It is 0
+	// again loadsRetryPause after the last failure; an answer does not change it. loadsFailedAt is
+	// the time of the last failure. firstLoadsReaderLost is set from the first failure until the
 	// instance of rank 0 answers.
 	loadsFailures        int
 	loadsFailedAt        time.Time
--- a/snipeentry/peers_test.go
+++ b/snipeentry/peers_test.go
@@ -69,8 +69,8 @@
 }
 
 // TestStalestOwner checks which owner is sent an empty report for the loads of its engines: the one
-// whose last answer is the oldest, if that is more than a second ago. Otherwise an instance that
-// uses none of an owner's engines would not receive their loads.
+// whose last answer is the oldest, if that is more than a second ago. Without that report, an
+// instance that uses none of an owner's engines would not receive their loads.
 func TestStalestOwner(t *testing.T) {
 	address := func(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 80) }
 	owners := []netip.AddrPort{address(10), address(20)}
--- a/snipeentry/reader_test.go
+++ b/snipeentry/reader_test.go
@@ -23,8 +23,8 @@
 const (
 	domains   = 5
 	perDomain = 60
-	// sampleInterval selects every 13th instance with low Power for the check, since all such
-	// instances behave alike.
+	// sampleInterval selects the instances with low Power that are checked: every thirteenth, since
+	// all of them behave alike.
 	sampleInterval = 13
 )
 
--- a/snipeentry/relay.go
+++ b/snipeentry/relay.go
@@ -67,11 +67,11 @@
 	sinceDirect int        // own writes since one last tried the store first, while the store is lost
 }
 
-// Write makes all changes or none. It tries the store first. If the store gives no definite answer
-// and this instance owns engines, Write then tries other instances. While the store is lost, it
-// tries the other instances first for most writes (see decideDirectFirst). Write returns as soon as
-// an attempt has a definite outcome (done, or a condition did not hold), and otherwise the error of
-// the attempt at the store.
+// Write makes all changes or none. While the store answers, it tries the store first. If the store
+// gives no definite answer and this instance owns engines, it then tries other instances. While the
+// store is lost, most writes of an instance that owns engines try other instances first and then
+// the store (see decideDirectFirst). Write returns as soon as an attempt has a definite outcome
+// (done, or a condition did not hold), and otherwise the error of the attempt at the store.
 func (r *relay) Write(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 	if r.Owns() && !r.decideDirectFirst() {
 		version, err := r.writeByPeer(ctx, operation, changes)
--- a/snipeentry/report.go
+++ b/snipeentry/report.go
@@ -13,10 +13,11 @@
 
 // reportUses reports the use of adapters to the owners of the engines, in one report for each
 // owner, and does not wait for the answers. It reports the engines whose use has changed, and from
-// time to time those with requests in flight. Uses of engines that are gone or have no owner are
-// dropped. A lost report is not repeated, but requests in flight are reported again as long as they
-// run. If the loads are not gathered (see loads.go), an empty report is also sent to at most one
-// owner that has not answered within ownerStaleAfter.
+// time to time those with requests in flight. Uses of engines that this instance owns are recorded
+// without a report. Uses of engines that are gone or have no owner are dropped. A lost report is
+// not repeated, but requests in flight are reported again as long as they run. If the loads are not
+// gathered (see loads.go), an empty report is also sent to at most one owner that has not answered
+// within ownerStaleAfter.
 func (i *Instance) reportUses(ctx context.Context) {
 	v := i.holder.View()
 	directory := i.directory.Snapshot()
@@ -64,8 +65,8 @@
 const ownerStaleAfter = time.Second
 
 // addStalestOwner adds an empty report for the owner that has not answered for the longest time, so
-// that the owner returns the loads of its engines. It adds nothing if all owners have answered
-// within ownerStaleAfter, and at most one report on each call, however many owners there are.
+// that the owner returns the loads of its engines. It adds at most one report on each call, and
+// none if all owners have answered within ownerStaleAfter or a report to that owner is there.
 func (i *Instance) addStalestOwner(owners []netip.AddrPort, reports map[netip.AddrPort]*snipeproto.AdapterReportRequest) {
 	owner, ok := stalestOwner(owners, i.peers.lastAnswer, time.Now().Add(-ownerStaleAfter))
 	if !ok {
--- a/snipeentry/snipeentry.go
+++ b/snipeentry/snipeentry.go
@@ -364,8 +364,8 @@
 }
 
 // ownerReachable reports whether an engine has an owner that can be asked to load adapters: this
-// instance, or another one that answered the last report and has not just denied a request because
-// it must not order the engine.
+// instance, or another one that is not known as unreachable (see isUnreachable) and that has not
+// denied a request within the last orderDeniedPause because it must not order the engine.
 func (i *Instance) ownerReachable(u *snipedirectory.Upstream) bool {
 	owner, ok := i.holder.View().Owners[u.Address]
 	return ok && (owner.Self || !i.peers.isUnreachable(owner.Instance.Peer) && i.peers.ownerMayOrder(u.Address))
