--- a/snipeentry/extension.go
+++ b/snipeentry/extension.go
@@ -12,7 +12,7 @@
 )
 
 // ownershipServer serves the requests of other instances that own engines and cannot reach the
-// store: for lease extensions, and for writes of ownership rows.
+// store: for lease extensions (see requestExtension), and for writes of ownership rows.
 type ownershipServer struct {
 	holder *snipeowner.Holder
 	relay  *relay
--- a/snipeentry/loads_test.go
+++ b/snipeentry/loads_test.go
@@ -13,8 +13,8 @@
 )
 
 // TestLoadsReaderRank covers a failure domain whose first instance, which gathers the loads of all
-// engines, is lost for seconds. The next in rank is asked in the meantime, the first again after a
-// pause, and the loss and the return are each reported once.
+// engines, is lost for seconds. The next by rank is asked in the meantime. The first is asked again
+// after a pause, and the loss and the return are each reported once.
 func TestLoadsReaderRank(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &peers{}
--- a/snipeentry/mirror.go
+++ b/snipeentry/mirror.go
@@ -25,7 +25,7 @@
 	minPackedRows = 200
 	// packedPageLife is how long one compressed page of a whole table is served to all instances
 	// that request the whole table. An instance receives later changes when it reads on from the
-	// position of that page.
+	// position of that page (the number of the last change of the store that the page covers).
 	packedPageLife = 300 * time.Millisecond
 	// maxUnpackedBytes is the size in bytes at which the decompressed rows of a page are rejected.
 	maxUnpackedBytes = 64 << 20
@@ -50,9 +50,9 @@
 	madeAt time.Time
 }
 
-// Watch implements snipeproto.Mirror: it returns the changes of a table after a position, and waits
-// for one up to the requested time. Position 0 requests all rows, which may come from a compressed
-// page up to packedPageLife old.
+// Watch implements snipeproto.Mirror: it returns the changes of a table after a position. If there
+// are none yet, it waits for one for the requested time, at most maxWatchWait. Position 0 requests
+// all rows, which may come from a compressed page up to packedPageLife old.
 func (s *mirrorServer) Watch(ctx context.Context, r *snipeproto.MirrorWatchRequest) (*snipeproto.MirrorWatchResponse, error) {
 	m := s.mirrors[r.GetTable()]
 	if m == nil {
--- a/snipeentry/report.go
+++ b/snipeentry/report.go
@@ -66,7 +66,8 @@
 
 // addStalestOwner adds an empty report for the owner that has not answered for the longest time, so
 // that the owner returns the loads of its engines. It adds at most one report on each call, and
-// none if all owners have answered within ownerStaleAfter or a report to that owner is there.
+// none if all owners have answered within ownerStaleAfter or reports already holds one for that
+// owner.
 func (i *Instance) addStalestOwner(owners []netip.AddrPort, reports map[netip.AddrPort]*snipeproto.AdapterReportRequest) {
 	owner, ok := stalestOwner(owners, i.peers.lastAnswer, time.Now().Add(-ownerStaleAfter))
 	if !ok {
--- a/snipeentry/signal.go
+++ b/snipeentry/signal.go
@@ -124,8 +124,8 @@
 }
 
 // signalPeers returns the instances to which signals are sent, all of them other instances that are
-// not leaving. If the loads of engines are gathered, they are the first signalPeersPerDomain of
-// each failure domain that are not on standby, and otherwise all.
+// not leaving. If the loads of engines are gathered, they are, in each failure domain, the first
+// signalPeersPerDomain by rank that are not on standby. Otherwise they are all.
 func (i *Instance) signalPeers() []netip.AddrPort {
 	var all []netip.AddrPort
 	maxPerDomain := len(i.holder.View().Ranked)
