--- a/snipeentry/feed.go
+++ b/snipeentry/feed.go
@@ -241,8 +241,9 @@
 }
 
 // ownershipRows returns the ownership rows that were added or changed in this instance's copy after
-// the cursor since (0: all rows), and the cursor for the next call. Removed rows are left out. It
-// fails if the copy is older than maxOwnershipAge or was never read.
+// the cursor since (0: all rows), and the cursor for the next call. A cursor is the number of pages
+// that were applied to the copy (see snipemirror.Mirror.Rows). Removed rows are left out. It fails
+// if the copy is older than maxOwnershipAge or was never read.
 func (i *Instance) ownershipRows(_ context.Context, partition string, since uint64) ([]snipeplatform.Row, uint64, error) {
 	rows, mark, err := i.tables.ownership.Mirror.Rows(since)
 	if err != nil {
--- a/snipeentry/relay.go
+++ b/snipeentry/relay.go
@@ -93,8 +93,9 @@
 	return 0, err
 }
 
-// decideDirectFirst counts a write, and reports whether it tries the store first: always while the
-// store answers, and otherwise one of every writesPerDirectAttempt writes.
+// decideDirectFirst reports whether a write tries the store first: always while the store answers.
+// While the store is lost, decideDirectFirst counts the writes, and returns true for one of every
+// writesPerDirectAttempt.
 func (r *relay) decideDirectFirst() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -119,7 +120,8 @@
 }
 
 // writeDirect writes to the store, and records how long the write took and whether the store gave a
-// definite answer. If that differs from the previous write, it calls OnLost or OnRecovered.
+// definite answer. It calls OnLost if the store gave none after it had given one to the previous
+// write, and OnRecovered in the reverse case.
 func (r *relay) writeDirect(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 	begun := time.Now()
 	version, err := r.Direct(ctx, operation, changes)
