--- a/snipeentry/cluster_test.go
+++ b/snipeentry/cluster_test.go
@@ -408,7 +408,8 @@
 }
 
 // TestInstanceDies guards against engines that stay without an owner after their owner is killed,
-// against two instances that order one engine at once, and against requests that fail meanwhile.
+// against two instances that order one engine at once, and against requests that still fail when
+// another instance has taken over the engines.
 func TestInstanceDies(t *testing.T) {
 	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
--- a/snipeentry/near.go
+++ b/snipeentry/near.go
@@ -122,10 +122,10 @@
 }
 
 // readers returns the addresses of the instances whose copies may be read, best first: the live
-// instances of this failure domain, by rank, that are neither leaving nor on standby. The first of
-// them reads the store, or the global reader's copy, for the domain; it may be this instance. If
-// lost is set, this instance is left out, and the instances of other domains follow, then the seeds
-// of the settings, for an instance that knows no others yet.
+// instances of this failure domain, by rank (the order of snipeowner.View.Ranked), that are neither
+// leaving nor on standby. The first of them reads the store, or the global reader's copy, for the
+// domain; it may be this instance. If lost is set, this instance is left out, and the instances of
+// other domains follow, then the seeds of the settings, for an instance that knows no others yet.
 func (i *Instance) readers(lost bool) []netip.AddrPort {
 	var readers, remote []netip.AddrPort
 	for _, other := range i.holder.View().Ranked {
--- a/snipeentry/relay.go
+++ b/snipeentry/relay.go
@@ -120,8 +120,9 @@
 }
 
 // writeDirect writes to the store, and records how long the write took and whether the store gave a
-// definite answer. It calls OnLost if the store gave none after it had given one to the previous
-// write, and OnRecovered in the reverse case.
+// definite answer. It calls OnLost if the store gave none to this write, and either gave one to the
+// previous write or this is the first write. It calls OnRecovered if the store gave one to this
+// write but none to the previous one.
 func (r *relay) writeDirect(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 	begun := time.Now()
 	version, err := r.Direct(ctx, operation, changes)
--- a/snipeentry/relay_test.go
+++ b/snipeentry/relay_test.go
@@ -168,8 +168,8 @@
 }
 
 // TestRelayedRows checks that an instance rejects a write for another instance with no or too many
-// changes, and that after a write that the store did not answer it rejects such writes without a
-// call to the store.
+// changes, and that after the store has refused a write, it rejects such writes without a call to
+// the store.
 func TestRelayedRows(t *testing.T) {
 	s := &rowStore{calls: map[netip.AddrPort]int{}}
 	server := &ownershipServer{relay: &relay{Direct: s.via(refusedPath, peer(1)), OnLost: func(error) {}, OnRecovered: func() {}}}
--- a/snipeentry/snipeentry.go
+++ b/snipeentry/snipeentry.go
@@ -320,8 +320,8 @@
 	return all
 }
 
-// adapterSlots returns how many adapters an engine can hold, or 0 if the catalog does not declare
-// the engine's service as one that runs models.
+// adapterSlots returns how many adapters an engine can hold, or 0 if no catalog is known or it does
+// not declare the engine's service as one that runs models.
 func (i *Instance) adapterSlots(u *snipedirectory.Upstream) int {
 	c := i.catalog.Catalog()
 	if c == nil || c.Services[u.Service] == nil || c.Services[u.Service].Engine == nil {
@@ -331,8 +331,8 @@
 }
 
 // modelFor returns the base model that an engine should load: the model that the fewest engines of
-// its service hold, or "" if the engine holds a model already or the catalog does not declare its
-// service as one that runs models.
+// its service hold, or "" if the engine holds a model already, if no catalog is known, or if the
+// catalog does not declare its service as one that runs models.
 func (i *Instance) modelFor(u *snipedirectory.Upstream) string {
 	c := i.catalog.Catalog()
 	if c == nil || len(u.Models) > 0 || c.Services[u.Service] == nil || c.Services[u.Service].Engine == nil {
