--- a/snipeentry/feed.go
+++ b/snipeentry/feed.go
@@ -83,8 +83,8 @@
 }
 
 // follower returns a new follower of a table. interval is the least time between two reads of the
-// store, wait is how long one read waits for a change, and ages are the ages at which the copy is
-// too old to be refreshed from another instance.
+// store, wait is how long one read waits for a change, and ages are the ages at which another
+// instance's copy is too old, so that the store is read instead.
 func (i *Instance) follower(table string, interval, wait time.Duration, ages maxCopyAges) *snipemirror.Follower {
 	return &snipemirror.Follower{
 		ReadsStoreSeldom: i.onStandby,
@@ -241,8 +241,9 @@
 }
 
 // ownershipRows returns the ownership rows that were added or changed in this instance's copy after
-// the cursor since (0: all rows), and the cursor for the next call. Removed rows are left out. It
-// fails if the copy is older than maxOwnershipAge or was never read.
+// the cursor since (0: all rows), and the cursor for the next call. A cursor is the number of pages
+// that were applied to the copy (see snipemirror.Mirror.Rows). Removed rows are left out. It fails
+// if the copy is older than maxOwnershipAge or was never read.
 func (i *Instance) ownershipRows(_ context.Context, partition string, since uint64) ([]snipeplatform.Row, uint64, error) {
 	rows, mark, err := i.tables.ownership.Mirror.Rows(since)
 	if err != nil {
--- a/snipeentry/relay.go
+++ b/snipeentry/relay.go
@@ -67,10 +67,11 @@
 	sinceDirect int        // own writes since one last tried the store first, while the store is lost
 }
 
-// Write makes all changes or none. It tries the store, and if the store gives no definite answer
-// and this instance owns engines, other instances; decideDirectFirst may put the other instances
-// first. Write returns as soon as an attempt has a definite outcome (done, or a condition did not
-// hold), and otherwise the error of the attempt at the store.
+// Write makes all changes or none. While the store answers, it tries the store first. If the store
+// gives no definite answer and this instance owns engines, it then tries other instances. While the
+// store is lost, most writes of an instance that owns engines try other instances first and then
+// the store (see decideDirectFirst). Write returns as soon as an attempt has a definite outcome
+// (done, or a condition did not hold), and otherwise the error of the attempt at the store.
 func (r *relay) Write(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 	if r.Owns() && !r.decideDirectFirst() {
 		version, err := r.writeByPeer(ctx, operation, changes)
@@ -92,8 +93,9 @@
 	return 0, err
 }
 
-// decideDirectFirst counts a write, and reports whether it tries the store first: always while the
-// store answers, and otherwise one of every writesPerDirectAttempt writes.
+// decideDirectFirst reports whether a write tries the store first: always while the store answers.
+// While the store is lost, decideDirectFirst counts the writes, and returns true for one of every
+// writesPerDirectAttempt.
 func (r *relay) decideDirectFirst() bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -118,7 +120,9 @@
 }
 
 // writeDirect writes to the store, and records how long the write took and whether the store gave a
-// definite answer. If that differs from the previous write, it calls OnLost or OnRecovered.
+// definite answer. It calls OnLost if the store gave none to this write, and either gave one to the
+// previous write or this is the first write. It calls OnRecovered if the store gave one to this
+// write but none to the previous one.
 func (r *relay) writeDirect(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 	begun := time.Now()
 	version, err := r.Direct(ctx, operation, changes)
--- a/snipeentry/relay_test.go
+++ b/snipeentry/relay_test.go
@@ -33,7 +33,8 @@
 // storeTimeout bounds a call to the store, as the store's client does.
 const storeTimeout = 1200 * time.Millisecond
 
-// rowStore is a store of one row, which counts the writes and the calls.
+// rowStore is a store of one row. It counts the writes that take effect, and the calls by the
+// address of the instance that makes them.
 type rowStore struct {
 	version uint64
 	writes  int
@@ -167,8 +168,8 @@
 }
 
 // TestRelayedRows checks that an instance rejects a write for another instance with no or too many
-// changes, and that after a write that the store did not answer it rejects such writes without a
-// call to the store.
+// changes, and that after the store has refused a write, it rejects such writes without a call to
+// the store.
 func TestRelayedRows(t *testing.T) {
 	s := &rowStore{calls: map[netip.AddrPort]int{}}
 	server := &ownershipServer{relay: &relay{Direct: s.via(refusedPath, peer(1)), OnLost: func(error) {}, OnRecovered: func() {}}}
