--- a/snipegateway/estimator.go
+++ b/snipegateway/estimator.go
@@ -13,14 +13,14 @@
 	// estimate by half, and an instance serves that many in a few seconds. A smaller step would
 	// follow changes later; with a larger one, single requests would change the estimate more.
 	delayStep = 0.05
-	// minBusy is the share of occupied slots below which a request does not change the estimate: at
+	// minBusy is the occupancy (see overloadThreshold) below which a request does not change the estimate: at
 	// less busy engines, network transfer and processing of the prompt make up most of the time to
 	// the first chunk.
 	minBusy = 0.4
 	// initialDelay is the assumed delay at an engine whose slots are all occupied, until requests
 	// to busy engines are observed.
 	initialDelay = 300 * time.Millisecond
-	// initialLoadWait is the assumed wait for a load, until one is observed.
+	// initialLoadWait is the assumed wait for a load of an adapter, until one is observed.
 	initialLoadWait = 300 * time.Millisecond
 	// loadWaitWeight is the weight of the latest load in the moving average of load waits.
 	loadWaitWeight = 0.1
@@ -35,16 +35,17 @@
 type estimator struct {
 	lock sync.Mutex // guards the fields below
 	// firstChunkDelay is the estimated delayQuantile of the time to the first chunk at an engine
-	// whose slots are all occupied; zero until a request to a busy engine is observed. The delay is
-	// assumed to be proportional to the share of occupied slots.
+	// with an occupancy of 1; zero until a request to a busy engine is observed. The delay is
+	// assumed to be proportional to the occupancy.
 	firstChunkDelay time.Duration
-	// loadWait is the moving average of the wait for a load; zero until one is observed.
+	// loadWait is the moving average of the wait for a load of an adapter; zero until one is
+	// observed.
 	loadWait time.Duration
 }
 
 // recordFirstChunk records the time from sending a request to the first chunk of its answer. busy
-// is the share of the engine's slots that were occupied, which can exceed 1; below minBusy, the
-// time is ignored.
+// is the occupancy of the engine, which can exceed 1 (see overloadThreshold). If it is below
+// minBusy, the time is ignored.
 func (e *estimator) recordFirstChunk(d time.Duration, busy float64) {
 	if busy < minBusy {
 		return
@@ -74,8 +75,11 @@
 	e.loadWait += time.Duration(loadWaitWeight * float64(d-e.loadWait))
 }
 
-// overloadThreshold returns the share of occupied slots from which on the wait for a load on
-// another engine is shorter than the delay at the busy engine. The share can exceed 1.
+// overloadThreshold returns the occupancy of an engine above which the estimated delay of a request
+// there exceeds the estimated wait for a load of its adapter on another engine. Occupancy is the
+// weight of all requests in flight at the engine, divided by its slots (see
+// snipebalance.Balancer.Busy). It exceeds 1 when requests wait for a slot. The delay is assumed to
+// be proportional to it.
 func (e *estimator) overloadThreshold() float64 {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/snipemember/snipemember.go
+++ b/snipemember/snipemember.go
@@ -110,7 +110,7 @@
 	maxUpdateBytes  = 400                   // bytes of updates in one message
 	maxRetransmits  = 8                     // most times that an instance sends one change
 	suspectFactor   = 3                     // multiplies Interval in suspicionTimeout
-	isolatedFactor  = 3                     // multiplies suspicionTimeout
+	isolatedFactor  = 3                     // multiplies suspicionTimeout if no relay answers (see markSuspect)
 	tombstoneTTL    = 10 * time.Minute      // how long members that are dead or have left are kept
 	syncRounds      = 5                     // rounds between two syncs; a round lasts one interval
 	reconnectRounds = 5                     // rounds between two calls of reconnect
--- a/snipequota/methods_test.go
+++ b/snipequota/methods_test.go
@@ -174,7 +174,8 @@
 // one bucket for all instances would have let run, although the instances reach an issuer. The
 // other methods are run for comparison and not checked.
 func TestMethods(t *testing.T) {
-	// withoutIssuer are the loads in which instances reach no issuer for a while.
+	// withoutIssuer names the runs in which instances cannot reach the issuer, the instance that
+	// grants units, for a while.
 	withoutIssuer := map[string]bool{"ThirdCut": true, "IssuerFrozen": true, "AllKilled": true, "Replaced": true}
 	for name, l := range loads {
 		for method, u := range methods {
--- a/snipesignal/backoff.go
+++ b/snipesignal/backoff.go
@@ -3,8 +3,9 @@
 import "time"
 
 const (
-	// probeTimeout is how long no other request follows the first one after a backoff, unless the
-	// upstream has served that one. After it, another single request may be sent.
+	// probeTimeout is the time after the first request that follows a backoff during which no other
+	// request is sent, unless the upstream serves the first one earlier. After that time, another
+	// single request may be sent.
 	probeTimeout = time.Second
 	// retrySpacing is the time between the retry times given to two callers that were refused
 	// during a backoff.
--- a/snipesignal/sendslot.go
+++ b/snipesignal/sendslot.go
@@ -6,9 +6,10 @@
 	// shareLife is how long a share is used before it is computed again, because the number of
 	// instances changes when instances start and stop.
 	shareLife = time.Second
-	// probeAfter is how long an instance that only probes must have received no update of a limit
-	// before it probes whether the limit still holds: several announcement intervals, so that
-	// instances do not probe a limit that others still announce.
+	// probeAfter is the time since the upstream last named its limit, as far as this instance knows,
+	// after which an instance that only probes sends a probe. A probe shows whether the limit still
+	// holds. The time is several announcement intervals, so that instances do not probe a limit
+	// that others still announce.
 	probeAfter = 3 * announceInterval
 	// maxRetryAfter is the longest retry time that is returned for a refused caller.
 	maxRetryAfter = 5 * time.Second
@@ -41,7 +42,7 @@
 
 // open reports whether a request may be sent. sinceSignal is the time since the upstream last named
 // the limit, as far as this instance has been notified. An instance that only probes may send only
-// while a send slot lasts, and only after probeAfter without an update.
+// while a send slot lasts, and only if sinceSignal is at least probeAfter.
 func (s *sendSlots) open(now time.Time, sinceSignal time.Duration) bool {
 	since := now.Sub(s.next)
 	if s.share.SlotTime == 0 || since < 0 {
--- a/snipesignal/share.go
+++ b/snipesignal/share.go
@@ -4,16 +4,15 @@
 
 const (
 	// sharedFraction is the fraction of a limit that is divided among the first instances by rank.
-	// probeFraction is the fraction that all other instances may use together for probes, which
-	// find out whether the upstream still names the limit. An upstream tolerates half as much again
-	// as its limit; this margin is left for instances that have not discovered each other yet and
-	// so take larger shares.
+	// probeFraction is the fraction that all other instances may use together for probes: requests
+	// that show whether the upstream still names the limit. An upstream tolerates half as much
+	// again as its limit. This margin is left for instances that have not discovered each other
+	// yet: each of them counts too few instances and takes too large a share.
 	sharedFraction = 0.9
 	probeFraction  = 0.1
-	// spareShares is how many instances divide sharedFraction in addition to one for each request
-	// per second of the limit. An unused send slot may be used at any moment, so each of these
-	// instances can add one request to those of any span of time: more instances could exceed the
-	// limit for a moment.
+	// spareShares is added to the limit in requests per second: so many instances, the first by
+	// rank, divide sharedFraction. Each of them may use a saved send slot at any moment, so all of
+	// them may send one request at once. With more instances, such a burst could exceed the limit.
 	spareShares = 4
 	// probeWindow is how long an instance that only probes may use each of its send slots.
 	probeWindow = 2 * time.Second
@@ -38,9 +37,10 @@
 }
 
 // Divide returns the share of the instance with the given rank, which counts from 0, in a limit in
-// requests per second that the given number of instances share. The first instances by rank divide
-// sharedFraction of the limit evenly, and the other ones only probe. A rank that is not below the
-// number of instances raises that number.
+// requests per second that the given number of instances share. The first instances by rank, the
+// limit rounded down plus spareShares of them, divide sharedFraction of the limit evenly. The other
+// ones only probe, and divide probeFraction. If the rank is not below the number of instances, that
+// number is taken to be rank+1.
 func Divide(limit float64, instances, rank int) Share {
 	limit = max(limit, minLimit)
 	instances = max(instances, rank+1)
@@ -56,9 +56,9 @@
 	return p
 }
 
-// setIntervals sets the interval and the time of the first send slot of one of several instances,
-// which together send perSecond requests per second, one after the other in the order of their
-// index.
+// setIntervals sets the interval and the time of the first send slot of one of several instances.
+// Together these instances, as many as sharers, send perSecond requests per second. They take
+// turns in the order of their index, which counts from 0.
 func (p *Share) setIntervals(perSecond float64, sharers, index int) {
 	p.Interval = time.Duration(float64(sharers) / perSecond * float64(time.Second))
 	p.First = time.Duration(float64(p.Interval) * float64(index+1) / float64(sharers))
--- a/snipesignal/snipesignal.go
+++ b/snipesignal/snipesignal.go
@@ -3,10 +3,10 @@
 // an upstream.
 //
 // Design. An overloaded upstream names how many requests per second it accepts from all instances
-// together. Each instance computes its share of that limit without a message to any other instance:
-// Divide divides the limit among only so many instances, by rank, that all together stay within the
-// limit even if each of them sends its next request at the same moment. The other instances send
-// the upstream nothing except a rare request, a probe, which detects the end of the limit.
+// together. Each instance computes its share of that limit without a message to any other instance.
+// Divide divides the limit among only a few instances, the first by rank: so few that they stay
+// within the limit even if each of them sends its next request at the same moment. The other instances send
+// the upstream only a rare request, called a probe, whose answer shows whether the limit has ended.
 // Instances also notify each other of limits and of their end.
 //
 // Invariants:
@@ -162,9 +162,9 @@
 	return true
 }
 
-// setLimit records a limit, or the end of one, which the upstream sent at signaledAt. If there was
-// no limit, the send slots start anew; if the limit has changed, the share is computed again. The
-// lock must be held.
+// setLimit records a limit, or the end of one, which the upstream sent at signaledAt. If
+// a limit begins, the send slots start anew. If a limit replaces a different one, the share is
+// computed again. The lock must be held.
 func (b *Tracker) setLimit(upstream string, e *entry, limit float64, limited bool, signaledAt, now time.Time) {
 	begins := limited && !e.Limited
 	changes := limited && limit != e.Limit
