--- a/snipebalance/snipebalance.go
+++ b/snipebalance/snipebalance.go
@@ -2,9 +2,10 @@
 // that this instance has recorded for the upstreams. The load of an upstream is the total weight of
 // the requests in flight there from all instances (see Weight).
 //
-// The load is estimated as the weight of this instance's own requests in flight, plus what the last
-// report contained in addition to them. This addition decreases to zero with the age of the report,
-// so that an upstream that was busy receives requests again.
+// The load is estimated as the weight of this instance's own requests in flight, plus the reported
+// load of the other instances: the last report less the weight of this instance's own requests at
+// that time. The reported load counts less the older the report is, until it counts as zero at
+// reportLifetime, so that an upstream that was busy receives requests again.
 //
 // Picking an upstream depends only on the recorded state and the clock: it does no I/O and
 // allocates nothing.
@@ -26,13 +27,13 @@
 	// instance's reports resets it to zero. A more recent load is kept, because it may have begun
 	// after the other instance received its reports.
 	minClearAge = 500 * time.Millisecond
-	// remoteCost is the cost of an upstream in another failure domain, as a share of the
-	// upstream's slots. Traffic between domains costs about a tenth of the slowdown that a
+	// remoteCost is the additional cost of an upstream in another failure domain than this
+	// instance's, as a fraction of the upstream's slots. Traffic between domains costs about a tenth of the slowdown that a
 	// busy upstream causes.
 	remoteCost = 0.10
 	// failureCost is the cost of a failure rate of 1, as a multiple of the upstream's slots.
 	failureCost = 3.0
-	// failureDecay is the share of the previous failure rate that remains after each answer.
+	// failureDecay is the fraction of the previous failure rate that remains after each answer.
 	failureDecay = 0.85
 	// minSuspicion is how long an upstream is suspect at first, for example after it could not
 	// be reached. Further failures double the time, up to maxSuspicion.
@@ -95,8 +96,8 @@
 // Filter reports whether an upstream may be picked.
 type Filter func(u *snipedirectory.Upstream) bool
 
-// Cost returns the additional cost of an upstream for one request, besides its load and health.
-// The unit is the load of one request.
+// Cost returns the cost of an upstream for one request that is added to the cost of its load and
+// health. The unit is the load of one request.
 type Cost func(u *snipedirectory.Upstream) float64
 
 // Pick returns the upstream with the lowest cost among those that pass the filter, are open and are
@@ -146,7 +147,9 @@
 	return b.load(u.ID, time.Now())
 }
 
-// Busy returns the estimated load of an upstream as a share of its slots, which can exceed 1.
+// Busy returns the occupancy of an upstream: its estimated load divided by the number of its slots.
+// It exceeds 1 if requests wait for a slot, or if long prompts make the weight of the requests
+// larger than their number.
 func (b *Balancer) Busy(u *snipedirectory.Upstream) float64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -170,7 +173,7 @@
 	return load
 }
 
-// cost returns the cost of an upstream, as a share of its slots, and whether the upstream is
+// cost returns the cost of an upstream, as a fraction of its slots, and whether the upstream is
 // suspect. The lock must be held.
 func (b *Balancer) cost(u *snipedirectory.Upstream, now time.Time) (cost float64, suspect bool) {
 	cost = b.busy(u, now)
--- a/snipegateway/estimator.go
+++ b/snipegateway/estimator.go
@@ -77,9 +77,8 @@
 
 // overloadThreshold returns the occupancy of an engine above which the estimated delay of a request
 // there exceeds the estimated wait for a load of its adapter on another engine. Occupancy is the
-// weight of all requests in flight at the engine, divided by its slots (see
-// snipebalance.Balancer.Busy). It exceeds 1 when requests wait for a slot. The delay is assumed to
-// be proportional to it.
+// weight of all requests in flight at the engine, divided by its slots. It can exceed 1 (see
+// snipebalance.Balancer.Busy). The delay is assumed to be proportional to it.
 func (e *estimator) overloadThreshold() float64 {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/snipegateway/loading.go
+++ b/snipegateway/loading.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// maxLoadTries is how many owners may refuse a load within shortLoadWait as too slow before the
-	// first of them is asked for a load within the full wait. It also bounds the engines that are
-	// asked for a load in place of an overloaded holder.
+	// maxLoadTries is how many engines' owners may refuse to load an adapter within shortLoadWait.
+	// After these refusals, the owner of the first engine by rank is asked for a load within the
+	// request's full wait. maxLoadTries also bounds how many engines are asked to load an adapter
+	// whose holder is overloaded.
 	maxLoadTries = 3
 	// maxFailedEngines bounds the engines whose load requests fail because they or their owners do
 	// not answer: a quarter of all engines may have just failed.
 	maxFailedEngines = 6
-	// shortLoadWait is the wait for a load on an engine that has no more loads queued than it runs
+	// shortLoadWait is the longest wait for the load of an adapter on an engine that has no more loads queued than it runs
 	// at once.
 	shortLoadWait = 400 * time.Millisecond
 	// loadRequestTimeout bounds one load request to an engine's owner.
--- a/snipegateway/overload.go
+++ b/snipegateway/overload.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// maxOffloadShare bounds the requests in flight at an engine that takes requests from an
-	// overloaded engine, by weight, as a share of those at the overloaded engine.
+	// maxOffloadShare limits which engines take requests from an overloaded engine: the weight of
+	// the requests in flight there is at most this fraction of the weight at the overloaded engine.
 	maxOffloadShare = 0.5
-	// offloadMaxWait is the longest expected time for loading the adapter on another engine;
-	// offloadTimeout is how long a request waits in all before it stays at the overloaded engine.
+	// offloadMaxWait is the longest expected time for loading the adapter on another engine.
+	// offloadTimeout is how long a request waits in all, whichever engines are asked, before it is
+	// sent to the overloaded engine.
 	offloadMaxWait = 300 * time.Millisecond
 	offloadTimeout = 450 * time.Millisecond
 )
--- a/snipegateway/replicas.go
+++ b/snipegateway/replicas.go
@@ -18,9 +18,9 @@
 	// replicaMaxWait is the longest expected time for the load of a further replica. An engine with
 	// more loads queued would not relieve the others in time.
 	replicaMaxWait = 300 * time.Millisecond
-	// replicaDecisionInterval is the least time between two decisions about an adapter's replicas:
-	// the loads take 0.3 s, and rates have a half-life of the same length. After a shorter time,
-	// the rates would not reflect the last decision yet.
+	// replicaDecisionInterval is the least time between two decisions about an adapter's replicas.
+	// The load of an adapter takes 0.3 s, and rates of requests have a half-life of 0.3 s. After a
+	// shorter time, the rates would not reflect the last decision yet.
 	replicaDecisionInterval = 1200 * time.Millisecond
 	// replicaMargin is the factor by which the rate on one engine must exceed ReplicaRate before an
 	// adapter that several engines hold gets further replicas. The number of requests for one
@@ -59,8 +59,8 @@
 
 // addReplicas has as many engines load an adapter as its rate on one engine requires, assuming the
 // same rate on the other holders. If there are several holders, only the first in rank decides:
-// each owner knows only the rate on its own engine, and the replicas that all of them would add are
-// too many.
+// each owner knows only the rate on its own engine, and all of them together would add too many
+// replicas.
 func (c *Chooser) addReplicas(u *snipedirectory.Upstream, a snipecatalog.Adapter, perSecond float64) {
 	directory := c.Directory.Snapshot()
 	all := directory.Service(u.Service)
--- a/snipequota/snipequota.go
+++ b/snipequota/snipequota.go
@@ -53,8 +53,7 @@
 type Bounds struct {
 	// Span is the length of the window over which use is counted.
 	Span time.Duration
-	// Overrun is the fraction of the quota of a window by which use may exceed it. Slack is the
-	// number of units by which use may exceed it in addition.
+	// Use may exceed the quota of a window by the fraction Overrun of that quota, plus Slack units.
 	Overrun float64
 	Slack   float64
 }
@@ -68,7 +67,7 @@
 type Ask struct {
 	Workspace string
 	// Need is the number of units that waiting requests need, FirstNeed the number that the first of
-	// them needs, and AheadOfUse the number that may be granted in addition, ahead of use.
+	// them needs. AheadOfUse is the number that may be granted beyond Need, for later requests.
 	Need, FirstNeed, AheadOfUse float64
 	// Held is the number of units left of previous grants; negative after requests that ran again
 	// and exceeded the grants.
--- a/sniperoute/replicas.go
+++ b/sniperoute/replicas.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// MaxReplicas bounds the number of engines that hold one adapter to share its load.
+	// MaxReplicas bounds the number of engines that hold one adapter and divide its calls.
 	MaxReplicas = 16
-	// replicaFill is the share of an engine's batch, the calls that it runs at once, that the calls
-	// of one adapter may occupy before another engine is added.
+	// replicaFill is the fraction of an engine's batch that the calls of one adapter may occupy
+	// before another engine is added. The batch is the number of calls that an engine runs at once.
 	replicaFill = 0.75
-	// replicaSmoothing is the time in which the weight of a past load decreases to 1/e.
+	// replicaSmoothing is the time in which the weight of a past number of calls in flight decreases to 1/e.
 	replicaSmoothing = 5 * time.Second
 	// replicaHold is how long fewer engines must suffice before their number is reduced. Shorter:
 	// engines would be removed and added again when the load varies; longer: the adapter would
