--- a/snipebalance/snipebalance.go
+++ b/snipebalance/snipebalance.go
@@ -4,8 +4,8 @@
 //
 // The load is estimated as the weight of this instance's own requests in flight, plus the reported
 // load of the other instances: the last report less the weight of this instance's own requests at
-// that time. The reported load counts less the older the report is, until it counts as zero at
-// reportLifetime, so that an upstream that was busy receives requests again.
+// that time. This second part decreases with the age of the report and is zero from reportLifetime
+// on, so that an upstream that was busy receives requests again.
 //
 // Picking an upstream depends only on the recorded state and the clock: it does no I/O and
 // allocates nothing.
@@ -148,8 +148,8 @@
 }
 
 // Busy returns the occupancy of an upstream: its estimated load divided by the number of its slots.
-// It exceeds 1 if requests wait for a slot, or if long prompts make the weight of the requests
-// larger than their number.
+// It can exceed 1: requests may wait for a slot, and one with a long prompt counts as several (see
+// Weight).
 func (b *Balancer) Busy(u *snipedirectory.Upstream) float64 {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/snipegateway/call.go
+++ b/snipegateway/call.go
@@ -22,7 +22,8 @@
 	// answerSlack is how long past the deadline an answer is awaited: an upstream stops at the
 	// deadline that it was given, and its answer about that takes a few milliseconds to arrive.
 	answerSlack = 100 * time.Millisecond
-	// minTimeLeft is the remaining time below which another attempt cannot be answered.
+	// minTimeLeft is the time until the deadline that another attempt needs: with less, it would not
+	// be answered in time.
 	minTimeLeft = 30 * time.Millisecond
 	// maxSends bounds the upstreams that receive a request, including those that refuse it without
 	// running it.
@@ -30,9 +31,9 @@
 	// maxTries bounds the upstreams that are tried, including those that cannot be connected to: a
 	// quarter of all upstreams may have just failed.
 	maxTries = 12
-	// loadWaitShare bounds the expected wait of a request for an adapter, in multiples of the
-	// route's latency target. A load that takes longer comes too late for its request, and would
-	// delay loads that can still finish in time.
+	// loadWaitShare bounds the expected time in which an adapter is loaded for a request, in
+	// multiples of the route's latency target. A load that takes longer comes too late for its
+	// request, and would delay other loads that can still finish in time.
 	loadWaitShare = 1
 	// startRetryAfter is the retry time for callers of an instance that does not know its routes
 	// yet, or whose catalog may be outdated.
@@ -77,8 +78,8 @@
 	// the request has waited for adapters to load, over all attempts that chose an upstream.
 	version int64
 	waited  time.Duration
-	// busy is the estimated share of occupied slots, which can exceed 1, at the last upstream when
-	// it was chosen, and holders is the Holders of that choice.
+	// busy is the occupancy of the last upstream when it was chosen (see snipebalance.Balancer.Busy),
+	// and holders is the Holders of that choice.
 	busy    float64
 	holders int
 	// sentAt is when the request was last sent.
--- a/snipegateway/estimator.go
+++ b/snipegateway/estimator.go
@@ -62,7 +62,7 @@
 	e.firstChunkDelay -= time.Duration(delayStep * (1 - delayQuantile) * float64(e.firstChunkDelay))
 }
 
-// recordLoad records the wait for a load. A wait below maxReloadTime is ignored.
+// recordLoad records the wait for a load of an adapter. A wait below maxReloadTime is ignored.
 func (e *estimator) recordLoad(d time.Duration) {
 	if d < maxReloadTime {
 		return
--- a/snipegateway/estimator_test.go
+++ b/snipegateway/estimator_test.go
@@ -14,8 +14,8 @@
 // distributed: half of them are below 0.4 of the time that one in five exceeds.
 func TestOverloadThreshold(t *testing.T) {
 	tests := map[string]struct {
-		// slow is the delay at a full engine that one request in five exceeds, load the time of one
-		// load.
+		// slow is the delay that one request in five exceeds at an engine whose slots are all
+		// occupied. load is the time of one load of an adapter.
 		slow, load  time.Duration
 		least, most float64
 	}{
--- a/snipegateway/loading.go
+++ b/snipegateway/loading.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// maxLoadTries is how many engines' owners may refuse to load an adapter within shortLoadWait.
-	// After these refusals, the owner of the first engine by rank is asked for a load within the
-	// request's full wait. maxLoadTries also bounds how many engines are asked to load an adapter
+	// maxLoadTries is how many engines' owners are asked to load an adapter within shortLoadWait and
+	// refuse because it would take longer. After these refusals, the owner that was asked first is
+	// asked for a load within the request's full wait, if that is longer. maxLoadTries also bounds how many engines are asked to load an adapter
 	// whose holder is overloaded.
 	maxLoadTries = 3
 	// maxFailedEngines bounds the engines whose load requests fail because they or their owners do
--- a/snipegateway/overload_test.go
+++ b/snipegateway/overload_test.go
@@ -16,7 +16,8 @@
 // TestOverloaded guards against requests that queue at an overloaded engine while others are idle,
 // because many requests for an adapter arrive at once. A request goes to an engine that is not
 // overloaded, after that engine has loaded the adapter. It goes to an overloaded one only if every
-// other engine is overloaded, has more than half of the load, or cannot load the adapter in time.
+// other engine is overloaded, has more than half of the holder's weight of requests in flight, or
+// cannot load the adapter in time.
 func TestOverloaded(t *testing.T) {
 	const count = 6
 	home := firstInRank(t, count)
--- a/snipemember/news.go
+++ b/snipemember/news.go
@@ -37,7 +37,7 @@
 	n.queue[memberPrefix+name] = &queuedUpdate{member: name}
 }
 
-// enqueueDigest does the same for a digest. The lock is held.
+// enqueueDigest queues a digest to be sent, with no transmissions counted. The lock is held.
 func (n *Node) enqueueDigest(k digestKey) {
 	n.queue[k.queueName()] = &queuedUpdate{digest: k}
 }
--- a/snipemember/run.go
+++ b/snipemember/run.go
@@ -114,8 +114,8 @@
 	return true
 }
 
-// probeNext probes the next peer of the shuffled order, through relays when the peer does not
-// answer, and suspects the peer when no relay reaches it.
+// probeNext probes the next peer of the shuffled order. When that peer does not answer, probeNext
+// asks a few other peers, the relays, to probe it, and marks it as suspect when none reaches it.
 func (n *Node) probeNext(ctx context.Context) {
 	m, ok := n.nextPeer()
 	if !ok || n.probe(ctx, m.Name, m.Address) || ctx.Err() != nil {
--- a/snipemember/snipemember.go
+++ b/snipemember/snipemember.go
@@ -97,7 +97,7 @@
 
 // Defaults and bounds.
 const (
-	// DefaultInterval is the time between two probes of an instance.
+	// DefaultInterval is the time between two probes that an instance sends.
 	DefaultInterval = time.Second
 	// DefaultTimeout bounds one request.
 	DefaultTimeout = 500 * time.Millisecond
--- a/snipemember/sync.go
+++ b/snipemember/sync.go
@@ -25,7 +25,7 @@
 		sniperoute.Hash(m.Name, strconv.FormatUint(m.Incarnation, 10), m.Status.String())
 }
 
-// digestHashes returns the same hashes for a digest.
+// digestHashes returns the hash that determines a digest's bucket, and the hash of its state.
 func digestHashes(d Digest) (name, state uint64) {
 	return sniperoute.Hash(d.Origin, d.Topic, d.Key),
 		sniperoute.Hash(d.Origin, d.Topic, d.Key, strconv.FormatUint(d.Version, 10))
--- a/snipequota/account.go
+++ b/snipequota/account.go
@@ -13,10 +13,11 @@
 	// askTimeout bounds one call to the issuer, which normally takes a few milliseconds. Requests
 	// wait for it.
 	askTimeout = 120 * time.Millisecond
-	// issuerRetryDelay is how long after the begin of an unanswered call requests are served
-	// without the issuer instead of waiting for another call.
+	// issuerRetryDelay is a time from the begin of a call that the issuer did not answer. A request
+	// that arrives within it is decided without the issuer; a later one waits for another call.
 	issuerRetryDelay = 250 * time.Millisecond
-	// leaseMargin is how much earlier an instance ends the lease of its share than the issuer does.
+	// leaseMargin is how much earlier than the issuer an instance takes the lease of its share to
+	// end (see lease).
 	leaseMargin = time.Second
 )
 
--- a/snipequota/allowance.go
+++ b/snipequota/allowance.go
@@ -19,8 +19,8 @@
 	// minPause and maxPause bound the time between two asks for a workspace whose quota is used up.
 	minPause = 60 * time.Millisecond
 	maxPause = 300 * time.Millisecond
-	// fallbackTime limits the unused units of a share that may accumulate without an issuer: those
-	// of this time.
+	// fallbackTime limits the unused units that an instance may save up while it reaches no issuer:
+	// to those that its share of the rate yields in this time, plus its reserve (see fillFallback).
 	fallbackTime = 500 * time.Millisecond
 )
 
--- a/snipequota/methods_test.go
+++ b/snipequota/methods_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// delayedSum uses one token bucket, whose level each instance knows with a delay of several reports
-// except for its own use since. That is the information that sums by failure domain provide.
-// Instances that do not reach each other do not count each other's use.
+// delayedSum uses one token bucket for all instances that reach each other. An instance knows its
+// own use at once, and the use of the others after a delay of several reports: as late as it would
+// learn sums of their use that each failure domain computes. Instances that do not reach each other do not count each other's use.
 func delayedSum(c *cluster) takeFunc {
 	const delay = 400 * time.Millisecond
 	type use struct {
@@ -169,7 +169,7 @@
 	"EvenShare": {evenShare, []int{66}}, "LateSum": {delayedSum, []int{66}}, "Granted": {granted, []int{9, 66}},
 }
 
-// TestMethods runs the loads with each method of counting. It guards against grants, the method of
+// TestMethods runs each load (see the type load) with each method of counting. It guards against grants, the method of
 // this package, that exceed the bound of the quota, or that refuse more than a twentieth of what
 // one bucket for all instances would have let run, although the instances reach an issuer. The
 // other methods are run for comparison and not checked.
--- a/snipesignal/simulation_test.go
+++ b/snipesignal/simulation_test.go
@@ -197,7 +197,7 @@
 }
 
 // TestLimitAfterIdle guards against a burst after an idle time: while there was nothing to send,
-// all shares became available, and all are used at once.
+// every instance saved a send slot, and then all of them send a request at once.
 func TestLimitAfterIdle(t *testing.T) {
 	for _, count := range []int{7, 66, 300} {
 		for _, limit := range []float64{0, 0.5, 3, 60} {
