--- a/snipequota/methods_test.go
+++ b/snipequota/methods_test.go
@@ -47,7 +47,8 @@
 
 // delayedSum uses one token bucket for all instances that reach each other. An instance knows its
 // own use at once, and the use of the others after a delay of several reports: as late as it would
-// learn sums of their use that each failure domain computes. Instances that do not reach each other do not count each other's use.
+// learn sums of their use that each failure domain computes. Instances that do not reach each other
+// do not count each other's use.
 func delayedSum(c *cluster) takeFunc {
 	const delay = 400 * time.Millisecond
 	type use struct {
