--- a/snipebalance/snipebalance.go
+++ b/snipebalance/snipebalance.go
@@ -28,8 +28,8 @@
 	// after the other instance received its reports.
 	minClearAge = 500 * time.Millisecond
 	// remoteCost is the additional cost of an upstream in another failure domain than this
-	// instance's, as a fraction of the upstream's slots. Traffic between domains costs about a tenth of the slowdown that a
-	// busy upstream causes.
+	// instance's, as a fraction of the upstream's slots. Traffic between domains costs about a
+	// tenth of the slowdown that a busy upstream causes.
 	remoteCost = 0.10
 	// failureCost is the cost of a failure rate of 1, as a multiple of the upstream's slots.
 	failureCost = 3.0
@@ -299,12 +299,12 @@
 	}
 }
 
-// RecordUnreached records that a connection to an upstream, or to the owner of an engine, could not be
-// opened. This makes the upstream suspect at once.
+// RecordUnreached records that a connection to an upstream, or to the owner of an engine, could not
+// be opened. This makes the upstream suspect at once.
 func (b *Balancer) RecordUnreached(id string) { b.recordFailure(id, true) }
 
-// RecordReplaced records that another upstream answered at the address of this one, so that this one is
-// gone for good. This makes it suspect for replacedSuspicion.
+// RecordReplaced records that another upstream answered at the address of this one, so that this
+// one is gone for good. This makes it suspect for replacedSuspicion.
 func (b *Balancer) RecordReplaced(id string) {
 	b.lock.Lock()
 	b.state(id).suspectUntil = time.Now().Add(replacedSuspicion)
@@ -312,8 +312,8 @@
 	b.notify(id, true)
 }
 
-// RecordUnanswered records that a request got no usable answer. maxUnanswered failures in a row make the
-// upstream suspect.
+// RecordUnanswered records that a request got no usable answer. maxUnanswered failures in a row
+// make the upstream suspect.
 func (b *Balancer) RecordUnanswered(id string) { b.recordFailure(id, false) }
 
 // recordFailure counts a failure, which makes the upstream suspect if atOnce is set, and otherwise
--- a/snipegateway/call.go
+++ b/snipegateway/call.go
@@ -22,8 +22,8 @@
 	// answerSlack is how long past the deadline an answer is awaited: an upstream stops at the
 	// deadline that it was given, and its answer about that takes a few milliseconds to arrive.
 	answerSlack = 100 * time.Millisecond
-	// minTimeLeft is the time until the deadline that another attempt needs: with less, it would not
-	// be answered in time.
+	// minTimeLeft is the time until the deadline that another attempt needs: with less, it would
+	// not be answered in time.
 	minTimeLeft = 30 * time.Millisecond
 	// maxSends bounds the upstreams that receive a request, including those that refuse it without
 	// running it.
@@ -78,8 +78,8 @@
 	// the request has waited for adapters to load, over all attempts that chose an upstream.
 	version int64
 	waited  time.Duration
-	// busy is the occupancy of the last upstream when it was chosen (see snipebalance.Balancer.Busy),
-	// and holders is the Holders of that choice.
+	// busy is the occupancy of the last upstream when it was chosen (see
+	// snipebalance.Balancer.Busy), and holders is the Holders of that choice.
 	busy    float64
 	holders int
 	// sentAt is when the request was last sent.
--- a/snipegateway/estimator.go
+++ b/snipegateway/estimator.go
@@ -13,9 +13,9 @@
 	// estimate by half, and an instance serves that many in a few seconds. A smaller step would
 	// follow changes later; with a larger one, single requests would change the estimate more.
 	delayStep = 0.05
-	// minBusy is the occupancy (see overloadThreshold) below which a request does not change the estimate: at
-	// less busy engines, network transfer and processing of the prompt make up most of the time to
-	// the first chunk.
+	// minBusy is the occupancy (see overloadThreshold) below which a request does not change the
+	// estimate: at less busy engines, network transfer and processing of the prompt make up most of
+	// the time to the first chunk.
 	minBusy = 0.4
 	// initialDelay is the assumed delay at an engine whose slots are all occupied, until requests
 	// to busy engines are observed.
@@ -75,10 +75,10 @@
 	e.loadWait += time.Duration(loadWaitWeight * float64(d-e.loadWait))
 }
 
-// overloadThreshold returns the occupancy of an engine above which the estimated delay of a request
-// there exceeds the estimated wait for a load of its adapter on another engine. Occupancy is the
-// weight of all requests in flight at the engine, divided by its slots. It can exceed 1 (see
-// snipebalance.Balancer.Busy). The delay is assumed to be proportional to it.
+// overloadThreshold returns the occupancy of an engine from which on the estimated delay of a
+// request there is at least the estimated wait for a load of its adapter on another engine.
+// Occupancy is the weight of all requests in flight at the engine, divided by its slots. It can
+// exceed 1 (see snipebalance.Balancer.Busy). The delay is assumed to be proportional to it.
 func (e *estimator) overloadThreshold() float64 {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/snipegateway/loading.go
+++ b/snipegateway/loading.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// maxLoadTries is how many engines' owners are asked to load an adapter within shortLoadWait and
-	// refuse because it would take longer. After these refusals, the owner that was asked first is
-	// asked for a load within the request's full wait, if that is longer. maxLoadTries also bounds how many engines are asked to load an adapter
-	// whose holder is overloaded.
+	// maxLoadTries is how many engines' owners are asked to load an adapter within shortLoadWait
+	// and refuse because it would take longer. After these refusals, the owner that was asked first
+	// is asked for a load within the request's full wait, if that is longer. maxLoadTries also
+	// bounds how many engines are asked to load an adapter whose holder is overloaded.
 	maxLoadTries = 3
 	// maxFailedEngines bounds the engines whose load requests fail because they or their owners do
 	// not answer: a quarter of all engines may have just failed.
 	maxFailedEngines = 6
-	// shortLoadWait is the longest wait for the load of an adapter on an engine that has no more loads queued than it runs
-	// at once.
+	// shortLoadWait is the longest wait for the load of an adapter on an engine that has no more
+	// loads queued than it runs at once.
 	shortLoadWait = 400 * time.Millisecond
 	// loadRequestTimeout bounds one load request to an engine's owner.
 	loadRequestTimeout = 5 * time.Second
--- a/snipegateway/use_test.go
+++ b/snipegateway/use_test.go
@@ -12,8 +12,8 @@
 	"snipepitch.example/snipepitch/snipegateway"
 )
 
-// TestTakeUseReports guards against excessive use reports from an instance with a few streams in flight:
-// unchanged use is reported again three or four times in two seconds, and a change at once.
+// TestTakeUseReports guards against excessive use reports from an instance with a few streams in
+// flight: unchanged use is reported again three or four times in two seconds, and a change at once.
 func TestTakeUseReports(t *testing.T) {
 	const tick = 80 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
--- a/snipemember/digest.go
+++ b/snipemember/digest.go
@@ -20,8 +20,8 @@
 	MaxDigests       = 4096
 	// MaxTTL bounds the lifetime of a digest.
 	MaxTTL = time.Hour
-	// versionShift is the number of low bits of a version that count the announcements of one run of
-	// the process. The bits above hold the incarnation at its start.
+	// versionShift is the number of low bits of a version that count the announcements of one run
+	// of the process. The bits above hold the incarnation at its start.
 	versionShift = 20
 )
 
@@ -136,8 +136,8 @@
 	return true
 }
 
-// reannounce gives this instance's own digest a version above all earlier ones and queues it. It does
-// nothing if this process has announced no such digest. The lock is held.
+// reannounce gives this instance's own digest a version above all earlier ones and queues it. It
+// does nothing if this process has announced no such digest. The lock is held.
 func (n *Node) reannounce(id digestKey) {
 	own, ok := n.digests[id]
 	if !ok {
--- a/snipemember/news.go
+++ b/snipemember/news.go
@@ -95,9 +95,10 @@
 }
 
 // markSent counts the changes of a batch as sent, and removes those that have reached
-// retransmitLimit from the queue. The changes in a probe are counted only once the peer has answered:
-// an instance that is cut off for a while must not use up its retransmissions. The changes in an
-// answer to a probe are counted at once, as the sender does not learn whether the answer arrives.
+// retransmitLimit from the queue. The changes in a probe are counted only once the peer has
+// answered: an instance that is cut off for a while must not use up its retransmissions. The
+// changes in an answer to a probe are counted at once, as the sender does not learn whether the
+// answer arrives.
 func (n *Node) markSent(b updateBatch) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
@@ -130,8 +131,8 @@
 	return versions
 }
 
-// queuedVersion returns the version of a queued change, or zero if its member or digest was removed.
-// The lock is held.
+// queuedVersion returns the version of a queued change, or zero if its member or digest was
+// removed. The lock is held.
 func (n *Node) queuedVersion(q *queuedUpdate) updateVersion {
 	if q.member == n.self.Name {
 		return updateVersion{n.self.Incarnation, n.self.Status}
--- a/snipemember/run.go
+++ b/snipemember/run.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// step does the work that is due in one interval. While no live peer is known it reads the platform's
-// list every reconnectRounds in place of seedsRounds.
+// step does the work that is due in one interval. While no live peer is known it reads the
+// platform's list every reconnectRounds in place of seedsRounds.
 func (n *Node) step(ctx context.Context, round int) {
 	n.expire()
 	n.probeNext(ctx)
--- a/snipemember/sync.go
+++ b/snipemember/sync.go
@@ -70,8 +70,8 @@
 
 // sync compares the known states with those of a peer by bucket sums, exchanges the buckets that
 // differ, and reports whether the peer answered. With introduce it sends only this instance's own
-// state in addition to the sums, as the peer may not know this instance, and fetches the contents of
-// the peer's differing buckets without sending its own.
+// state in addition to the sums, as the peer may not know this instance, and fetches the contents
+// of the peer's differing buckets without sending its own.
 func (n *Node) sync(ctx context.Context, address netip.AddrPort, introduce bool) bool {
 	bounded, cancel := context.WithTimeout(ctx, 2*n.Timeout)
 	defer cancel()
@@ -128,8 +128,8 @@
 	return &snipeproto.RelayResponse{Reached: reached}, nil
 }
 
-// Sync implements snipeproto.Member. It applies the updates and, if the request has sums, returns the
-// differing buckets with all states that this instance knows in them.
+// Sync implements snipeproto.Member. It applies the updates and, if the request has sums, returns
+// the differing buckets with all states that this instance knows in them.
 func (s *server) Sync(_ context.Context, in *snipeproto.SyncRequest) (*snipeproto.SyncResponse, error) {
 	s.node.applyUpdates(in.GetNews())
 	out := &snipeproto.SyncResponse{}
--- a/snipequota/issuer.go
+++ b/snipequota/issuer.go
@@ -14,8 +14,8 @@
 	// aheadReserve is the fraction of the burst that is reserved for waiting requests. Only units
 	// above it are granted ahead of use.
 	aheadReserve = 0.4
-	// recountInterval is the least time between two computations of the withheld shares, the demands
-	// and the units that instances have left of their grants.
+	// recountInterval is the least time between two computations of the withheld shares, the
+	// demands and the units that instances have left of their grants.
 	recountInterval = 250 * time.Millisecond
 	// minWait and maxWait bound the reported time until units are available.
 	minWait = 10 * time.Millisecond
--- a/snipequota/methods_test.go
+++ b/snipequota/methods_test.go
@@ -170,10 +170,10 @@
 	"EvenShare": {evenShare, []int{66}}, "LateSum": {delayedSum, []int{66}}, "Granted": {granted, []int{9, 66}},
 }
 
-// TestMethods runs each load (see the type load) with each method of counting. It guards against grants, the method of
-// this package, that exceed the bound of the quota, or that refuse more than a twentieth of what
-// one bucket for all instances would have let run, although the instances reach an issuer. The
-// other methods are run for comparison and not checked.
+// TestMethods runs each load (see the type load) with each method of counting. It guards against
+// grants, the method of this package, that exceed the bound of the quota, or that refuse more than
+// a twentieth of what one bucket for all instances would have let run, although the instances reach
+// an issuer. The other methods are run for comparison and not checked.
 func TestMethods(t *testing.T) {
 	// withoutIssuer names the runs in which instances cannot reach the issuer, the instance that
 	// grants units, for a while.
--- a/snipequota/snipequota.go
+++ b/snipequota/snipequota.go
@@ -66,8 +66,8 @@
 // Ask is a request of an instance to the issuer for units of one workspace.
 type Ask struct {
 	Workspace string
-	// Need is the number of units that waiting requests need, FirstNeed the number that the first of
-	// them needs. AheadOfUse is the number that may be granted beyond Need, for later requests.
+	// Need is the number of units that waiting requests need, FirstNeed the number that the first
+	// of them needs. AheadOfUse is the number that may be granted beyond Need, for later requests.
 	Need, FirstNeed, AheadOfUse float64
 	// Held is the number of units left of previous grants; negative after requests that ran again
 	// and exceeded the grants.
--- a/sniperoute/replicas.go
+++ b/sniperoute/replicas.go
@@ -11,11 +11,12 @@
 	// replicaFill is the fraction of an engine's batch that the calls of one adapter may occupy
 	// before another engine is added. The batch is the number of calls that an engine runs at once.
 	replicaFill = 0.75
-	// replicaSmoothing is the time in which the weight of a past number of calls in flight decreases to 1/e.
+	// replicaSmoothing is the time in which the weight of a past number of calls in flight
+	// decreases to 1/e.
 	replicaSmoothing = 5 * time.Second
 	// replicaHold is how long fewer engines must suffice before their number is reduced. Shorter:
-	// engines would be removed and added again when the load varies; longer: the adapter would
-	// occupy slots that it no longer needs.
+	// engines would be removed and added again when the number of calls in flight varies; longer:
+	// the adapter would occupy slots that it no longer needs.
 	replicaHold = time.Minute
 )
 
--- a/snipesignal/sendslot.go
+++ b/snipesignal/sendslot.go
@@ -6,10 +6,10 @@
 	// shareLife is how long a share is used before it is computed again, because the number of
 	// instances changes when instances start and stop.
 	shareLife = time.Second
-	// probeAfter is the time since the upstream last named its limit, as far as this instance knows,
-	// after which an instance that only probes sends a probe. A probe shows whether the limit still
-	// holds. The time is several announcement intervals, so that instances do not probe a limit
-	// that others still announce.
+	// probeAfter is the time since the upstream last named its limit, as far as this instance
+	// knows, after which an instance that only probes sends a probe. A probe shows whether the
+	// limit still holds. The time is several announcement intervals, so that instances do not probe
+	// a limit that others still announce.
 	probeAfter = 3 * announceInterval
 	// maxRetryAfter is the longest retry time that is returned for a refused caller.
 	maxRetryAfter = 5 * time.Second
--- a/snipesignal/share.go
+++ b/snipesignal/share.go
@@ -57,8 +57,8 @@
 }
 
 // setIntervals sets the interval and the time of the first send slot of one of several instances.
-// Together these instances, as many as sharers, send perSecond requests per second. They take
-// turns in the order of their index, which counts from 0.
+// Together these instances, as many as sharers, send perSecond requests per second. Their
+// first send slots follow each other in the order of their index, which counts from 0.
 func (p *Share) setIntervals(perSecond float64, sharers, index int) {
 	p.Interval = time.Duration(float64(sharers) / perSecond * float64(time.Second))
 	p.First = time.Duration(float64(p.Interval) * float64(index+1) / float64(sharers))
--- a/snipesignal/snipesignal.go
+++ b/snipesignal/snipesignal.go
@@ -5,9 +5,9 @@
 // Design. An overloaded upstream names how many requests per second it accepts from all instances
 // together. Each instance computes its share of that limit without a message to any other instance.
 // Divide divides the limit among only a few instances, the first by rank: so few that they stay
-// within the limit even if each of them sends its next request at the same moment. The other instances send
-// the upstream only a rare request, called a probe, whose answer shows whether the limit has ended.
-// Instances also notify each other of limits and of their end.
+// within the limit even if each of them sends its next request at the same moment. The other
+// instances send the upstream only a rare request, called a probe, whose answer shows whether the
+// limit has ended. Instances also notify each other of limits and of their end.
 //
 // Invariants:
 //
