--- a/snipebalance/snipebalance.go
+++ b/snipebalance/snipebalance.go
@@ -304,7 +304,7 @@
 func (b *Balancer) RecordUnreached(id string) { b.recordFailure(id, true) }
 
 // RecordReplaced records that another upstream answered at the address of this one, so that this
-// one is gone for good. This makes it suspect for replacedSuspicion.
+// one is gone for good. This one is then suspect for replacedSuspicion.
 func (b *Balancer) RecordReplaced(id string) {
 	b.lock.Lock()
 	b.state(id).suspectUntil = time.Now().Add(replacedSuspicion)
@@ -312,8 +312,8 @@
 	b.notify(id, true)
 }
 
-// RecordUnanswered records that a request got no usable answer. maxUnanswered failures in a row
-// make the upstream suspect.
+// RecordUnanswered records that a request got no usable answer. The upstream
+// becomes suspect after maxUnanswered failures in a row.
 func (b *Balancer) RecordUnanswered(id string) { b.recordFailure(id, false) }
 
 // recordFailure counts a failure, which makes the upstream suspect if atOnce is set, and otherwise
--- a/snipemember/merge.go
+++ b/snipemember/merge.go
@@ -75,9 +75,9 @@
 	return true
 }
 
-// markSuspect marks an alive member as suspect after it could not be reached. If isolated, no relay
-// has answered either: this instance may be the one that is cut off, and the suspect gets more time
-// to refute.
+// markSuspect marks an alive member as suspect after it could not be reached. isolated reports that
+// no relay (a peer that was asked to probe the member) has answered either. This instance may then
+// be the one that is cut off, so the suspect gets isolatedFactor times as long to refute.
 func (n *Node) markSuspect(name string, isolated bool) {
 	n.lock.Lock()
 	defer n.lock.Unlock()
--- a/snipemember/run.go
+++ b/snipemember/run.go
@@ -21,7 +21,7 @@
 	n.readSeeds(ctx)
 	n.join(ctx)
 	// Instances that started together start at different rounds, so that they do not read the
-	// seeds, reconnect and sync at the same time.
+	// platform's list of instances (the seeds), reconnect and sync at the same time.
 	phase := n.Random(seedsRounds)
 	t := time.NewTicker(n.Interval)
 	defer t.Stop()
@@ -35,8 +35,8 @@
 	}
 }
 
-// step does the work that is due in one interval. While no live peer is known it reads the
-// platform's list every reconnectRounds in place of seedsRounds.
+// step does the work that is due in one interval. It reads the platform's list every
+// seedsRounds rounds, or every reconnectRounds while no live peer is known.
 func (n *Node) step(ctx context.Context, round int) {
 	n.expire()
 	n.probeNext(ctx)
@@ -173,7 +173,8 @@
 }
 
 // reconnect syncs with one instance that is considered dead, or is listed by the platform and
-// unknown here: after a partition nothing else would connect the groups again.
+// unknown here. After a partition, nothing else would connect the separated groups of instances
+// again.
 func (n *Node) reconnect(ctx context.Context) {
 	n.lock.Lock()
 	var candidates []Seed
