--- a/snipequota/account.go
+++ b/snipequota/account.go
@@ -13,8 +13,8 @@
 	// askTimeout bounds one call to the issuer, which normally takes a few milliseconds. Requests
 	// wait for it.
 	askTimeout = 120 * time.Millisecond
-	// issuerRetryDelay is a time from the begin of a call that the issuer did not answer. A request
-	// that arrives within it is decided without the issuer; a later one waits for another call.
+	// issuerRetryDelay is the time after the start of a call that the issuer did not answer
+	// in which requests are decided without the issuer. Later requests wait for another call.
 	issuerRetryDelay = 250 * time.Millisecond
 	// leaseMargin is how much earlier than the issuer an instance takes the lease of its share to
 	// end (see lease).
--- a/snipequota/issuer.go
+++ b/snipequota/issuer.go
@@ -140,9 +140,9 @@
 	return g
 }
 
-// adoptLevel lowers the level of the bucket to the one that a previous issuer reported to an
-// instance that asks for the first time, plus what the rate may have added since. It does nothing
-// if the level of the bucket is lower already or the instance knows of none.
+// adoptLevel lowers the level of the bucket to the one that a previous issuer last reported to an
+// instance, plus what the rate may have added since. It is called when the instance asks this
+// issuer for the first time. It does nothing if the level of the bucket is lower already or the instance knows of none.
 func (b *bucket) adoptLevel(a Ask, q snipecatalog.Quota) {
 	if a.LevelKnown {
 		b.level = min(b.level, a.Level+q.PerSecond*a.LevelAge.Seconds())
@@ -173,9 +173,10 @@
 }
 
 // grant returns how many units of an ask are granted: the needed ones as far as the bucket has
-// them, and units ahead of use if it has many. A request larger than the level is granted too, and
-// the level becomes negative: otherwise only small requests would be granted while a workspace
-// sends more than its quota.
+// them, and units ahead of use if it has more than aheadReserve leaves for waiting requests. It
+// returns zero while the level is zero or negative. While the level is positive, the first waiting
+// request is granted even if it is larger, and the level becomes negative. Otherwise only small
+// requests would be granted while a workspace sends more than its quota.
 func (b *bucket) grant(a Ask, q snipecatalog.Quota) float64 {
 	if b.level <= 0 {
 		return 0
