--- a/snipegateway/prefix.go
+++ b/snipegateway/prefix.go
@@ -8,8 +8,8 @@
 
 const (
 	// minSharedTokens is the number of shared prompt tokens from which on the choice prefers one
-	// engine for them. With fewer, processing them again on an idler engine takes less time than
-	// the preferred engine would lose to its other requests in flight.
+	// engine for them. With fewer, processing them again on another engine takes less time than
+	// the request would lose on the preferred engine if that has more requests in flight.
 	minSharedTokens = 1000
 	// tokensPerRequest is the number of prompt tokens that an engine processes in the time that one
 	// short request takes.
--- a/snipequota/issuer.go
+++ b/snipequota/issuer.go
@@ -142,7 +142,8 @@
 
 // adoptLevel lowers the level of the bucket to the one that a previous issuer last reported to an
 // instance, plus what the rate may have added since. It is called when the instance asks this
-// issuer for the first time. It does nothing if the level of the bucket is lower already or the instance knows of none.
+// issuer for the first time. It does nothing if the level of the bucket is lower already or the
+// instance knows of none.
 func (b *bucket) adoptLevel(a Ask, q snipecatalog.Quota) {
 	if a.LevelKnown {
 		b.level = min(b.level, a.Level+q.PerSecond*a.LevelAge.Seconds())
