--- a/snipeadapter/controller.go
+++ b/snipeadapter/controller.go
@@ -27,9 +27,9 @@
 	// maxReportAge is how old an engine's report may be. After an order whose outcome is unknown
 	// the controller waits this long, so that the next report shows the order's effect.
 	maxReportAge = 300 * time.Millisecond
-	// storeLoadTime is how long an adapter usually takes to load from the weight store; reloadTime
-	// is a tenth of that, for an adapter that the engine has held recently and still has in its own
-	// memory. The first poll of a load is sent after reloadTime.
+	// storeLoadTime is how long an adapter usually takes to load from the weight store. reloadTime
+	// is how long it takes if the engine has held the adapter recently and still has it in its own
+	// memory. The first poll of a load, whichever it is, is sent after reloadTime.
 	storeLoadTime = 245 * time.Millisecond
 	reloadTime    = 25 * time.Millisecond
 	// pollInterval is the time between two polls for the completion of an order.
--- a/snipeadapter/evict.go
+++ b/snipeadapter/evict.go
@@ -55,8 +55,9 @@
 	return false
 }
 
-// foreignLoadAge is the age from which a read that showed an adapter as loading is repeated: two
-// loads are complete by then, and reading an engine costs as much as an order.
+// foreignLoadAge is how long after a read of the engine that showed an adapter as loading the read
+// is repeated. Shorter: the adapter may still be loading, since two loads take this long, and a read
+// costs as much as an order. Longer: the adapter cannot be evicted for longer.
 const foreignLoadAge = 500 * time.Millisecond
 
 // unload unloads an adapter and waits until its slot is free. If the outcome is unknown, it reads
--- a/snipeadapter/load.go
+++ b/snipeadapter/load.go
@@ -18,7 +18,8 @@
 // errInUse reports that no adapter on the engine can be evicted because all are in use.
 var errInUse = errors.New("all adapters of the engine are in use")
 
-// evictionRetryInterval is the time between two searches for an adapter that can be evicted.
+// evictionRetryInterval is the time between two attempts of a load to find an adapter that can be
+// evicted, while all adapters of the engine are in use.
 const evictionRetryInterval = 40 * time.Millisecond
 
 // BusyError reports that a load would take longer than the caller waits.
@@ -41,7 +42,8 @@
 	deadline time.Time
 	// waiters counts the callers that wait for the load. A load without waiters is not started.
 	waiters int
-	// done is closed when the load has ended; err is its result, set before.
+	// done is closed when the load has ended. err is the load's result, which is set before done
+	// is closed.
 	done chan struct{}
 	err  error
 }
@@ -78,7 +80,8 @@
 	}
 }
 
-// queueRequired queues a load with a waiter that never leaves, so that the load is not dropped.
+// queueRequired queues a load with a waiter that never leaves, so that the load is not dropped. If a
+// load of this or a newer version is pending, queueRequired adds the waiter to that load instead.
 func (e *engine) queueRequired(a snipecatalog.Adapter, version int64) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
@@ -144,8 +147,9 @@
 }
 
 // nextLoad returns the index of the queued load to start next, or -1 if none can start. Reloads go
-// first because they delay no other load, then loads that complete before their deadline, then the
-// load with the most waiters, then the oldest. In plain queue order an overload would make every
+// first because they delay no other load. Then come loads that, if started now, complete before
+// their deadline, then the others. Of equals, the load with the most waiters is first, then the
+// oldest. In plain queue order an overload would make every
 // load late; in this order the loads that are already too late get the remaining capacity. Another
 // version of an adapter waits until the load of the version before it has completed: two at once
 // would take one slot more than is counted. The lock is held.
@@ -169,7 +173,8 @@
 	return next
 }
 
-// precedes reports whether a load starts before an older one, if either would be complete at ready.
+// precedes reports whether a load starts before an older one. ready is when either of them would be
+// complete if it started now.
 func (l *load) precedes(older *load, ready time.Time) bool {
 	if inTime := l.deadline.After(ready); inTime != older.deadline.After(ready) {
 		return inTime
@@ -233,8 +238,8 @@
 	return l.waiters
 }
 
-// recordLoaded records an adapter or a model that the engine now holds, and counts the load's
-// waiters as uses of the adapter. The lock is held.
+// recordLoaded records an adapter or a model that the engine now holds. Each waiter of the load
+// counts as a use of the adapter; if none is left, one use is counted. The lock is held.
 func (e *engine) recordLoaded(l *load) {
 	if l.adapter.Name == "" {
 		e.models[l.adapter.Model] = true
--- a/snipeowner/outage.go
+++ b/snipeowner/outage.go
@@ -19,15 +19,15 @@
 	// 250 ms when it is slow.
 	storeTimeout = 300 * time.Millisecond
 	// extensionInterval is the time between two checks whether the right to order needs a lease
-	// extension, extensionLead how long before its end the extension is requested.
+	// extension. From extensionLead before the right ends, an extension is requested.
 	extensionInterval = 150 * time.Millisecond
 	extensionLead     = 1500 * time.Millisecond
 	// extensionTimeout limits the requests to all grantors, whose round trips take a few
 	// milliseconds.
 	extensionTimeout = 200 * time.Millisecond
-	// standbyGrantors is how many of the instances on standby are asked for a lease extension,
-	// in addition to all that are not on standby. If a third of all instances cannot reach the
-	// store, all eight belong to that third in fewer than one of five thousand cases.
+	// standbyGrantors is how many of the instances on standby are asked for a lease extension.
+	// All instances that are not on standby are asked too. If a third of all instances cannot
+	// reach the store, all eight belong to that third in fewer than one of five thousand cases.
 	standbyGrantors = 8
 	// observationTime is how long an owner's row must be observed unchanged, without
 	// interruption, before its engines may be taken over.
@@ -37,8 +37,8 @@
 	maxStepGap = 2500 * time.Millisecond
 	// maxReadGap is the time between two reads of the store above which the rows count as not
 	// observed in between. Reads are 1.7 s apart. An owner that continued through an outage
-	// renews its row at most 1.3 s after the store is back; with this limit its row cannot be
-	// considered lapsed before that.
+	// renews its row at most 1.3 s after the store is back. With this limit, no other instance
+	// considers its row lapsed before that renewal.
 	maxReadGap = 2200 * time.Millisecond
 	// rowsAgeError is by how much the reported age of rows may be too low if they come from another
 	// instance's copy of the table, because such copies are passed on from instance to instance.
--- a/snipeowner/snipeowner.go
+++ b/snipeowner/snipeowner.go
@@ -191,7 +191,8 @@
 	readFailed bool
 	// answeredAt is when a step last read the rows after a renewal that had succeeded.
 	answeredAt time.Duration
-	// lastOwned is when this instance last owned engines that other instances own now.
+	// lastOwned maps each engine that this instance has lost to the time at which it noticed the
+	// latest loss.
 	lastOwned map[netip.AddrPort]time.Duration
 	// renewedAt is when the last successful renewal was sent, attemptedAt when the last one
 	// was sent.
--- a/snipeowner/standby.go
+++ b/snipeowner/standby.go
@@ -18,17 +18,19 @@
 	// row each second, however many engines it owns, and its loss stops the orders of them all.
 	minOwners       = 9
 	enginesPerOwner = 7
-	// maxOwners limits the owners, whose renewals every instance reads, and
-	// enginesPerOwnerAtMax is the number of engines for each owner where maxOwners would be too
-	// few: a renewal has capacity for half as many more, those of owners that are lost.
+	// maxOwners limits the number of owners, whose renewals every instance reads. It applies as
+	// long as each owner then has at most enginesPerOwnerAtMax engines; with more engines there
+	// is one owner for each enginesPerOwnerAtMax. A renewal of an owner with 60 engines leaves 38
+	// of its maxEntries entries for takeovers from lost owners, each of which needs two or three.
 	maxOwners            = 40
 	enginesPerOwnerAtMax = 60
-	// minStrongOwners is the number of instances of at least twice the power that is enough to
-	// leave the engines to them. Each of them owns up to twice as many engines. An owner receives
-	// the reports of all other instances, which saturate the links of weak ones.
+	// An instance leaves the engines to others if at least minStrongOwners of them have at least
+	// twice its power, and if they are at least half as many as ownerCount returns. Each of them
+	// then owns up to twice as many engines as otherwise. An owner receives the reports of all
+	// other instances, which saturate the links of weak instances.
 	minStrongOwners = 5
 	// standbyInterval is the time between two renewals of an instance on standby. Other
-	// instances do not depend on a recent row of it.
+	// instances do not depend on a recent version of its row.
 	standbyInterval = time.Minute
 	// standbySpacing is the average time between the writes of two instances on standby when all
 	// start or lose the store at the same moment: a partition of the store handles a few hundred
--- a/snipeowner/view.go
+++ b/snipeowner/view.go
@@ -31,8 +31,9 @@
 	// the owners other than this instance.
 	Owners      map[netip.AddrPort]Owner
 	OtherOwners []netip.AddrPort
-	// CreatedAt is when the view was created. That is at the end of each step, also if the rows could
-	// not be read or the renewal failed, and after each successful read between two steps.
+	// CreatedAt is when the view was created. Run creates one after its first read, at the end of
+	// each step and after each successful read between two steps. A step does so also if its read
+	// or its renewal failed, but not while no rows were ever available (ErrNotRead).
 	CreatedAt time.Time
 }
 
--- a/snipeslot/fake_test.go
+++ b/snipeslot/fake_test.go
@@ -42,10 +42,10 @@
 	loaded      map[string]string // path by alias
 	everLoaded  map[string]bool
 	calls       map[string]int
-	loads       int // load orders carried out, including those refused for lack of a slot
+	loads       int // load orders that reached the engine and passed the fence check, also if no slot was free
 	nextFault   func() fault
-	lateDelay   time.Duration
-	violation   string // the first one
+	lateDelay   time.Duration // delay of an order under faultSenderFrozen or faultDelayed
+	violation   string        // the first violation; empty if there was none
 }
 
 func newFakeEngine(capacity int, checks bool) *fakeEngine {
--- a/snipeslot/snipeslot.go
+++ b/snipeslot/snipeslot.go
@@ -97,8 +97,8 @@
 	demand    *snipeweight.Demand // the calls that wait for the load
 	waiters   int
 	cancel    context.CancelFunc // cancels the load while it is queued
-	done      chan struct{}      // closed when loading ends
-	err       error
+	done      chan struct{}      // closed when the load ends, also if it fails
+	err       error              // result of the load, set before done is closed
 }
 
 // Request describes the adapter that a call needs.
--- a/snipeslot/takeover_test.go
+++ b/snipeslot/takeover_test.go
@@ -34,7 +34,7 @@
 	// before runs at the old owner, after at the new one.
 	before func(t *testing.T, f *fakeEngine, old *Slots)
 	after  func(t *testing.T, f *fakeEngine, s *Slots)
-	loads  int // expected number of load orders; -1 is not checked
+	loads  int // expected value of fakeEngine.loads; -1: not checked
 }
 
 var takeovers = map[string]takeoverCase{
@@ -177,8 +177,8 @@
 
 // TestTakeover checks that a new owner serves calls in each state that an old
 // owner may have left, without loading an alias twice, evicting one during a call
-// or serving another path, and that the engine carries out the expected number of
-// load orders.
+// or serving another path, and that the expected number of load orders passes the
+// engine's fence check.
 func TestTakeover(t *testing.T) {
 	for name, c := range takeovers {
 		for kind, checks := range map[string]bool{"engine refuses old numbers": true, "engine ignores numbers": false} {
--- a/snipeweight/queue.go
+++ b/snipeweight/queue.go
@@ -16,17 +16,18 @@
 	// minTeamLoads is the load count below which a team no longer counts when the
 	// even share is computed.
 	minTeamLoads = 0.05
-	// fairExcess is the multiple of its even share of the loads that a team may
-	// have before the cost of its requests is reduced. Above it, the cost is
-	// multiplied by fairExcess, divided by the team's multiple, to the power of
-	// fairExponent.
+	// fairExcess limits a team's recent loads, as a multiple of the even share: all
+	// recent loads divided by the number of teams. If a team's multiple m exceeds
+	// fairExcess, the cost of its requests is reduced: it is multiplied by
+	// (fairExcess/m) to the power of fairExponent.
 	fairExcess   = 1.5
 	fairExponent = 4
 	// askTimeout is how long a request stays queued without an open poll, which is
 	// a call of Queue.Ask that has not returned.
 	askTimeout = 3 * time.Second
-	// initialBackoff is the backoff after the first failed load of a path. It
-	// doubles with each further failure, up to maxBackoff.
+	// initialBackoff is the backoff after the first failed load of a path. The
+	// backoff doubles with each further failure, up to maxBackoff, until a load of
+	// the path ends without a failure.
 	initialBackoff = time.Second
 	maxBackoff     = time.Minute
 	// failureTTL is how long the failures of a path are kept after the last one.
--- a/snipeweight/snipeweight.go
+++ b/snipeweight/snipeweight.go
@@ -202,7 +202,8 @@
 
 // startRenewal renews a permission in the background, at the first holder that is
 // not skipped, until the returned function is called. This function reports the
-// end of the load, in the background, to the holder of the last renewal.
+// end of the load, in the background, to the holder that was last asked to renew
+// or, if none was, to the one that granted the permission.
 func (p *Permits) startRenewal(h Holder, a Ask) func(failed bool) {
 	a.Renew = true
 	ctx, cancel := context.WithCancel(context.Background())
