--- a/snipeadapter/evictions.go
+++ b/snipeadapter/evictions.go
@@ -8,8 +8,9 @@
 	"snipepitch.example/snipepitch/snipecatalog"
 )
 
-// evictionTTL is how long an eviction is reported to other instances: an instance contacts each
-// owner about every 0.7 s, and the registry shows the eviction to all a second later.
+// evictionTTL is how long an eviction is reported to other instances. Each instance contacts each
+// owner about every 0.7 s, so it receives the report. The directory shows the eviction to all
+// instances a second later.
 const evictionTTL = 1500 * time.Millisecond
 
 // Eviction names an engine and an adapter that it has unloaded.
--- a/snipeadapter/model_test.go
+++ b/snipeadapter/model_test.go
@@ -26,7 +26,7 @@
 	rand     *rand.Rand
 	start    int64
 	orders   uint64
-	memory   int // used, in adapters; a model takes modelSize
+	memory   int // memory used, in sizes of one adapter; a model takes modelSize
 	models   []string
 	resident map[snipecatalog.Adapter]bool
 	loading  bool
--- a/snipeadapter/order.go
+++ b/snipeadapter/order.go
@@ -61,8 +61,8 @@
 	return u, e.readState(ctx, u, fence)
 }
 
-// sendUntilAnswered sends one order until the engine answers or maxRepeats is reached, and records
-// the reply. After a conflict or without an answer the engine's state has to be read again.
+// sendUntilAnswered sends one order until the engine answers, maxRepeats is reached or ctx ends, and
+// records the reply. After a conflict or without an answer the engine's state has to be read again.
 func (e *engine) sendUntilAnswered(ctx context.Context, u *snipedirectory.Upstream, o *Order) (Reply, error) {
 	reply, err := e.send(ctx, u, o)
 	unanswered := false
--- a/snipeadapter/reload_test.go
+++ b/snipeadapter/reload_test.go
@@ -34,8 +34,8 @@
 	})
 }
 
-// TestConcurrentStoreLoads checks that two adapters at a time load from the weight store, in
-// addition to those that load from the engine's own memory.
+// TestConcurrentStoreLoads checks that two adapters at a time load from the weight store. Adapters
+// that load from the engine's own memory at the same time do not count among the two.
 func TestConcurrentStoreLoads(t *testing.T) {
 	runSimulation(t, 15, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		var all sync.WaitGroup
--- a/snipeadapter/unanswered.go
+++ b/snipeadapter/unanswered.go
@@ -11,8 +11,9 @@
 
 // unansweredLoads records the loads that got no answer, by engine name, for all starts of the
 // engine. A load that arrives late has no effect as long as the engine keeps counting its orders,
-// because the load states an older count; after a restart the count begins again and reaches every
-// number once more. The zero value is ready to use.
+// because the load states an older count. After a restart of the engine the count begins again at 0
+// and may reach the count that a late load states; the engine then accepts that load. The zero value
+// is ready to use.
 type unansweredLoads struct {
 	lock sync.Mutex // guards sent
 	// sent is when a load was last sent, by engine name and by the order count that the load
--- a/snipeowner/snipeowner.go
+++ b/snipeowner/snipeowner.go
@@ -75,9 +75,10 @@
 	// startPollInterval is the time between two attempts to read the rows until the first one
 	// succeeds, so that an instance that restarts takes its engines back at once.
 	startPollInterval = 20 * time.Millisecond
-	// startWindow is the time after the start during which unknown engines are polled for at
-	// startPollInterval and failed writes are retried at startRetryInterval. The polling is
-	// limited because a deployment may have no engines.
+	// startWindow is the time after the start during which two things are repeated faster than
+	// every stepInterval: the check whether any engine is known yet, every startPollInterval, and
+	// a failed write, every startRetryInterval. The time is limited because a deployment may have
+	// no engines.
 	startWindow = 5 * time.Second
 	// startRetryInterval is the time between two attempts of a restarted instance to take its
 	// engines back. No instance orders these engines meanwhile.
@@ -144,9 +145,10 @@
 	Self Instance
 	// Engines returns the addresses of the engines in the directory.
 	Engines func() []netip.AddrPort
-	// OrderGap is the minimum time between the orders of an instance to an engine and its
-	// next ones if another instance owned the engine in between. It prevents two owners from
-	// alternating.
+	// OrderGap is how long an instance that has lost an engine to another instance waits, from
+	// the loss, before it orders the engine again. It prevents two owners from alternating. An
+	// instance that has restarted counts the time from its start, for engines that another
+	// instance owned last.
 	OrderGap time.Duration
 	// Clock is a monotonic clock that also counts the time for which the machine is
 	// suspended.
--- a/snipeslot/capacity.go
+++ b/snipeslot/capacity.go
@@ -16,8 +16,8 @@
 	scoreDecayTime = 4 * time.Minute
 	// maxScores bounds the number of use scores that are kept, per slot.
 	maxScores = 64
-	// minScore is the use score below which a score is removed first when there
-	// are too many.
+	// minScore is the first limit below which scores are removed when there are
+	// too many. The limit is doubled until enough are removed.
 	minScore = 0.01
 )
 
@@ -34,7 +34,8 @@
 	return u.value * math.Exp(-float64(t.Sub(u.updated))/float64(scoreDecayTime))
 }
 
-// recordUse adds one use to an adapter's score.
+// recordUse adds one use to an adapter's score. Acquire calls it before it waits
+// for a load, so a use counts even if the load fails.
 func (s *Slots) recordUse(k key) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/snipeslot/snipeslot.go
+++ b/snipeslot/snipeslot.go
@@ -142,8 +142,8 @@
 	// names, such as that of the base model.
 	Aliases func(ctx context.Context) ([]string, error)
 	// Busy returns the aliases under which calls run or wait at the engine. It
-	// is called after the takeover, and its result may be older than the call by
-	// at most the lease margin. While it fails, no alias of an earlier owner is
+	// is called after the takeover. Its result may be older than this call of Busy
+	// by at most the lease margin. While it fails, no alias of an earlier owner is
 	// evicted. If it is nil, these aliases are kept for PreviousCallTime.
 	Busy func(ctx context.Context) (map[string]bool, error)
 	// CommitRetired commits the list of retired aliases, which later owners must not
@@ -180,7 +180,7 @@
 	removed      map[string]bool    // aliases removed during an audit, nil otherwise
 	retired      map[string]bool    // retired aliases; the value is true once committed
 	retiredOrder []string           // keys of retired in the order of insertion
-	claims       int                // loads that have or wait for permission and need a slot
+	claims       int                // loads for which claim has returned and that have no slot yet
 	awaitingSlot int                // loads that have permission and wait for a slot
 	opened       time.Time          // when the first audit succeeded; zero before
 	opening      *pendingOpen       // the first audit while it is in progress
