--- a/snipeadapter/controller_test.go
+++ b/snipeadapter/controller_test.go
@@ -146,7 +146,8 @@
 	return all
 }
 
-// exceededSlots reports whether the engine ever accepted more loads than it has slots.
+// exceededSlots reports whether the engine ever accepted a load with which the adapters that it held
+// and those that were loading took more slots than it has.
 func (f *fakeEngine) exceededSlots() bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
--- a/snipeadapter/reload_test.go
+++ b/snipeadapter/reload_test.go
@@ -14,7 +14,7 @@
 
 // TestReloadsBypassStoreQueue guards against a reload waiting behind loads that are queued for the
 // weight store. An adapter that the engine loads from its own memory must not wait for these loads,
-// and must not delay them.
+// and all loads together must not exceed the engine's slots.
 func TestReloadsBypassStoreQueue(t *testing.T) {
 	const reloaded, queued = 99, 10
 	runSimulation(t, 14, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
@@ -34,8 +34,8 @@
 	})
 }
 
-// TestConcurrentStoreLoads checks that two adapters at a time load from the weight store. Adapters
-// that load from the engine's own memory at the same time do not count among the two.
+// TestConcurrentStoreLoads checks that two adapters load from the weight store at a time while more
+// loads are queued, and that all of them are loaded in the end.
 func TestConcurrentStoreLoads(t *testing.T) {
 	runSimulation(t, 15, func(t *testing.T, e *fakeEngine, c *snipeadapter.Controller, _ *bool) {
 		var all sync.WaitGroup
--- a/snipeowner/simulation_test.go
+++ b/snipeowner/simulation_test.go
@@ -78,7 +78,7 @@
 	return t.version, nil
 }
 
-// writes returns how many transactions were made.
+// writes returns how many transactions have taken effect.
 func (t *table) writes() uint64 {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -99,7 +99,7 @@
 	// repliesLost makes writes take effect at once and get no reply.
 	repliesLost bool
 	rand        *rand.Rand
-	// failFast makes cut calls fail at once.
+	// failFast makes calls on a cut link, and lost writes, fail within 2 ms, not after callTimeout.
 	failFast bool
 	// readAt is when the rows were last read.
 	readAt time.Time
@@ -195,7 +195,7 @@
 	return l.repliesLost
 }
 
-// failureDelay returns how long a cut call takes to fail.
+// failureDelay returns how long a call on a cut link, or a lost write, takes to fail.
 func (l *link) failureDelay() time.Duration {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -205,7 +205,7 @@
 	return callTimeout
 }
 
-// setFailFast makes cut calls fail at once, or after callTimeout.
+// setFailFast makes calls on a cut link, and lost writes, fail within 2 ms or after callTimeout.
 func (l *link) setFailFast(failFast bool) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -246,7 +246,7 @@
 	restarts    int
 	// directoryDelay is how long the directory is empty after an instance starts, in nanoseconds.
 	directoryDelay atomic.Int64
-	// relayWrites makes instances relay writes for those whose writes get no reply.
+	// relayWrites makes instances relay writes for others; see writer.
 	relayWrites atomic.Bool
 	// power returns the power of an instance.
 	power func(n int) float64
@@ -276,8 +276,9 @@
 	return nil
 }
 
-// writer returns the write function of an instance. It writes over the instance's own link, and
-// if that does not answer over the link of another instance that can be reached.
+// writer returns the write function of an instance. The function writes over the instance's own
+// link. If that write fails, other than by a conflict, and relayWrites is set, the function writes
+// over the link of the next instance, provided that both instances are reachable.
 func (s *simulation) writer(n int, l *link) func(context.Context, string, []snipeplatform.Change) (uint64, error) {
 	return func(ctx context.Context, operation string, changes []snipeplatform.Change) (uint64, error) {
 		version, err := l.write(ctx, operation, changes)
--- a/snipeowner/snipeowner_test.go
+++ b/snipeowner/snipeowner_test.go
@@ -60,8 +60,9 @@
 }
 
 // TestViews checks that the views of all instances agree on the owners of engines and on the
-// ranking, that OtherOwners does not contain the instance itself, and that a step without changes
-// keeps the owners.
+// ranking, that OtherOwners does not contain the instance itself, and that steps without changes
+// keep the owners. After an instance has stopped, the views no longer contain it and other
+// instances own its engines.
 func TestViews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSimulation(t, 4, 3, 12)
@@ -89,8 +90,9 @@
 	})
 }
 
-// TestOwnerCount checks that above a few hundred engines the number of owners does not grow
-// with the engines, as long as each owner has capacity to take over engines of lost owners.
+// TestOwnerCount checks how many of 70 instances own engines, for 12 to 3000 engines, and that all
+// engines may be ordered. Above a few hundred engines the number of owners hardly grows with the
+// engines; see maxOwners in standby.go.
 func TestOwnerCount(t *testing.T) {
 	tests := map[string]struct{ engines, least, most int }{
 		"Few": {12, 6, 9}, "Today": {84, 10, 12}, "Planned": {600, 30, 45}, "Thousands": {3000, 45, 60},
--- a/snipeslot/snipeslot.go
+++ b/snipeslot/snipeslot.go
@@ -180,7 +180,7 @@
 	removed      map[string]bool    // aliases removed during an audit, nil otherwise
 	retired      map[string]bool    // retired aliases; the value is true once committed
 	retiredOrder []string           // keys of retired in the order of insertion
-	claims       int                // loads for which claim has returned and that have no slot yet
+	claims       int                // loads for which claim has returned nil and that have no slot yet
 	awaitingSlot int                // loads that have permission and wait for a slot
 	opened       time.Time          // when the first audit succeeded; zero before
 	opening      *pendingOpen       // the first audit while it is in progress
