--- a/snipeowner/snipeowner.go
+++ b/snipeowner/snipeowner.go
@@ -76,9 +76,9 @@
 	// succeeds, so that an instance that restarts takes its engines back at once.
 	startPollInterval = 20 * time.Millisecond
 	// startWindow is the time after the start during which two things are repeated faster than
-	// every stepInterval: the check whether any engine is known yet, every startPollInterval, and
-	// a failed write, every startRetryInterval. The time is limited because a deployment may have
-	// no engines.
+	// every stepInterval: the check whether any engine is known yet (every startPollInterval), and
+	// the failed write by which a restarted instance takes its engines back (every
+	// startRetryInterval). The time is limited because a deployment may have no engines.
 	startWindow = 5 * time.Second
 	// startRetryInterval is the time between two attempts of a restarted instance to take its
 	// engines back. No instance orders these engines meanwhile.
@@ -146,9 +146,10 @@
 	// Engines returns the addresses of the engines in the directory.
 	Engines func() []netip.AddrPort
 	// OrderGap is how long an instance that has lost an engine to another instance waits, from
-	// the loss, before it orders the engine again. It prevents two owners from alternating. An
-	// instance that has restarted counts the time from its start, for engines that another
-	// instance owned last.
+	// the loss, before it orders the engine again. It prevents two owners from alternating. For
+	// an engine that it has not lost since its start, the instance counts the time from its
+	// start. The wait does not apply to engines that never had an owner, nor to those that an
+	// earlier start of this instance still owns by their owner rows.
 	OrderGap time.Duration
 	// Clock is a monotonic clock that also counts the time for which the machine is
 	// suspended.
