--- a/snipemirror/follow.go
+++ b/snipemirror/follow.go
@@ -12,12 +12,14 @@
 )
 
 const (
-	// retryInterval is the time between two reads while the store does not answer.
+	// retryInterval is the least time from the start of a failed read of the store to the start
+	// of the next read. While the store is lost, it also follows a failed read of another
+	// instance, if ReadsStoreSeldom returns true.
 	retryInterval = 300 * time.Millisecond
-	// While the store does not answer, one of lostCycle reads goes to the store and the others
-	// go to other instances. seldomCycle replaces lostCycle on an instance for which
-	// ReadsStoreSeldom reports true: there are many of these, and most receive rows again
-	// from the instances that read the store more often.
+	// While the store does not answer, one of lostCycle reads goes to the store, and the others
+	// go to other instances if PeerWatch finds one. seldomCycle replaces lostCycle on an
+	// instance for which ReadsStoreSeldom returns true. There are many of these, and most
+	// receive rows again from the instances that read the store more often.
 	lostCycle, seldomCycle = 2, 16
 	// firstWait is the maximum wait for the first page from another instance, which may have
 	// started at the same time and may have read nothing yet.
@@ -25,9 +27,10 @@
 	// HastenedInterval is the time between two reads of the store while ReadSooner
 	// returns true.
 	HastenedInterval = 300 * time.Millisecond
-	// failureExpiry is how long after the last failed read of another instance's copy the next
-	// instance in rank is read instead of the first. It exceeds the time until every instance
-	// has detected that another instance is gone.
+	// failureExpiry is how long failed reads of other instances' copies count after the last
+	// one. Until then instances of lower rank are read instead of the first by rank. While the
+	// store is lost, failures do not expire: they count until a page is read. failureExpiry
+	// exceeds the time until every instance has detected that another instance is gone.
 	failureExpiry = 6 * time.Second
 )
 
@@ -45,16 +48,17 @@
 	// Store reads the store.
 	Store Source
 	// PeerWatch returns a function that reads the copy of another instance, or false if this
-	// instance must read the store itself. Its arguments are the number of recent
-	// failures to read other instances, by which it selects the next instance in rank, and
-	// whether the store does not answer this instance. The number returns to 0 failureExpiry
-	// after the last failure, and when a page is read while the store is lost.
+	// instance must read the store itself. The first argument is the number of recent failures
+	// to read other instances, by which it selects the next instance in rank. The second is
+	// whether the store does not answer this instance. While the store answers, the number
+	// returns to 0 failureExpiry after the last failure; while the store is lost, only when a
+	// page is read.
 	PeerWatch func(failures int, lost bool) (watchFunc, bool)
 	// WaitForPeers waits, before the first read, until it is known whose copy can be followed. Nil
 	// means no wait.
 	WaitForPeers func(ctx context.Context)
-	// ReadSooner reports whether the next read of the store follows after HastenedInterval if that
-	// is shorter than MinInterval. Nil means never.
+	// ReadSooner reports whether the reads of the store start HastenedInterval apart, if that is
+	// shorter than MinInterval. Nil means never.
 	ReadSooner func() bool
 	// ReadsStoreSeldom reports whether this instance is one of many whose copies no other
 	// instances depend on. While the store does not answer, such an instance reads the copies
@@ -67,13 +71,14 @@
 	// again, from the store or from another instance.
 	StoreLost     func(err error)
 	StoreRestored func()
-	// MinInterval is the minimum time between two reads of the store, and Wait is the maximum time
-	// that a read waits for a change.
+	// MinInterval is the minimum time between the starts of two reads of the store. Wait is the
+	// maximum time that a read of the store waits for a change.
 	MinInterval time.Duration
 	Wait        time.Duration
-	// MaxAge returns the maximum age of another instance's copy; above it this instance reads
-	// the store itself. It exceeds MinInterval plus Wait, since a read that waits in vain can follow
-	// the pause after a read that did not wait.
+	// MaxAge returns the maximum age of another instance's copy: the time since the store was
+	// read for it. If a copy is older, this instance reads the store itself. MaxAge exceeds
+	// MinInterval plus Wait, since a read that waits in vain can follow the pause after a read
+	// that did not wait.
 	MaxAge func() time.Duration
 
 	lock   sync.Mutex         // guards cancel
--- a/snipemirror/snipemirror.go
+++ b/snipemirror/snipemirror.go
@@ -56,7 +56,7 @@
 	// last write that changed the bytes of the value.
 	changeVersion uint64
 	valueVersion  uint64
-	// cursor is the mirror's cursor at the last change.
+	// cursor is the mirror's cursor (the number of pages applied) at the last change.
 	cursor uint64
 }
 
@@ -126,7 +126,8 @@
 }
 
 // Rows returns the rows that were added or changed after a cursor, in the order of their keys,
-// and the cursor for the next call. Cursor 0 selects all rows. Removed rows are left out. It
+// and the cursor for the next call. A cursor is the number of pages that the mirror had applied
+// at a call of Rows; 0 selects all rows. Removed rows are left out. It
 // returns snipeplatform.ErrNotRead before the first page has been applied.
 func (m *Mirror) Rows(since uint64) (rows []Row, cursor uint64, err error) {
 	m.lock.Lock()
@@ -144,7 +145,8 @@
 }
 
 // rowsAfter returns the rows that changed after a version, with tombstones unless the version
-// is 0. Followers have the values up to that version, so older values are left out. The caller holds the lock.
+// is 0. Followers have the values up to that version, so older values are left out. The caller
+// holds the lock.
 func (m *Mirror) rowsAfter(after uint64) []Row {
 	var rows []Row
 	for _, r := range m.rows {
@@ -210,8 +212,9 @@
 	return changed
 }
 
-// put stores a row unless the known version is as new, and reports whether the row changed.
-// The caller holds the lock.
+// put stores a row unless the known version is as new or newer. It reports whether the row
+// changed, which a value that Equivalent reports as equivalent does not count as. The caller
+// holds the lock.
 func (m *Mirror) put(r Row) bool {
 	old, ok := m.rows[r.Key]
 	if ok && old.Version >= r.Version {
--- a/snipetree/peers.go
+++ b/snipetree/peers.go
@@ -13,7 +13,9 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// Limits of a request from a peer and of its answer: maxAnswer in bytes, maxHashes in documents.
+// Limits of a request from a peer (another instance) and of its answer. maxHashes limits the
+// documents, each named by its hash, that one request asks for. maxAnswer limits the compressed
+// bytes of the documents in an answer, but the first document is sent even if it is larger.
 const (
 	maxAnswer = 2 << 20
 	maxHashes = 256
