--- a/snipecatalog/workspace.go
+++ b/snipecatalog/workspace.go
@@ -30,8 +30,8 @@
 
 // Quota limits what a workspace may use on all instances together. The zero Quota is no limit.
 type Quota struct {
-	// PerSecond is the number of units that may be used in a second, 0 for no limit; Burst is the number of unused
-	// units that can accumulate.
+	// PerSecond is the number of units (requests or tokens, see Tokens) that may be used in a
+	// second; 0 means no limit. Burst is the number of unused units that can accumulate.
 	PerSecond float64
 	Burst     float64
 	// Tokens reports whether units are tokens of prompts and answers; otherwise they are requests.
--- a/snipeclaim/snipeclaim.go
+++ b/snipeclaim/snipeclaim.go
@@ -55,8 +55,8 @@
 	// MaxKept bounds the answer that is stored for repetitions, in bytes.
 	MaxKept = 32 << 10
 
-	// claimAge is the age at which a Claimed row counts as abandoned, and the time
-	// after its deadline at which a Dispatched row no longer counts as in flight.
+	// claimAge is the age from which on a Claimed row counts as abandoned. A Dispatched row
+	// no longer counts as in flight once its call's deadline has passed by claimAge.
 	claimAge = 10 * time.Second
 	// inFlightRetry is the Retry-After of a repetition while another attempt with the
 	// key is in flight, downRetry that of a call while the table is down.
@@ -104,8 +104,9 @@
 	Instance string
 	Token    string
 	State    State
-	// Changed, Deadline and Expires are times of Instance's clock: of the last step, of
-	// the end of the call, and of the time from which on the row may be swept.
+	// Changed is the time of the last step. Deadline is the deadline of the call. Expires
+	// is the time after which the row may be swept, once sweepMargin has also passed. All
+	// are times by Instance's clock.
 	Changed  time.Time
 	Deadline time.Time
 	Expires  time.Time
--- a/snipedirectory/snipedirectory.go
+++ b/snipedirectory/snipedirectory.go
@@ -305,10 +305,10 @@
 	}
 }
 
-// removeOrLapse handles an upstream whose entry is gone. It removes the upstream, unless
-// RegistryLost was called less than k.LapseGrace ago: entries lapse during an outage of the registry, and live
-// upstreams write them again. Such an upstream is kept until
-// k.LapseGrace has passed. The lock is held.
+// removeOrLapse handles an upstream whose entry is gone. It forgets a start recorded by MarkEnded.
+// It removes the upstream, unless RegistryLost was called less than k.LapseGrace ago: entries lapse
+// during an outage of the registry, and live upstreams write them again. Such an upstream is kept
+// until k.LapseGrace has passed since the last call of RegistryLost. The lock is held.
 func (k *Cache) removeOrLapse(b *builder, name string) {
 	delete(k.endedStarts, name)
 	if k.byName[name] == nil {
--- a/snipehealth/mark.go
+++ b/snipehealth/mark.go
@@ -68,8 +68,9 @@
 	return float64(h>>(64-bits)) / (1 << bits)
 }
 
-// LeastLoaded returns the index of the less loaded of the two usable candidates that rank
-// first for the key, or -1 if none is usable. The load counts only calls of this
+// LeastLoaded compares the two usable candidates that rank highest for the key, and returns
+// the index of the one with less load (work in flight), or of the higher-ranked one if the
+// loads are equal. It returns -1 if none is usable. The load counts only calls of this
 // instance, and each call counts by the recent gap of its upstream.
 func (t *Tracker) LeastLoaded(key uint64, candidates []sniperoute.Candidate) int {
 	first := sniperoute.Pick(key, candidates)
@@ -92,8 +93,9 @@
 	return first
 }
 
-// load returns the load of an upstream with one more call: the number of calls in
-// flight times the recent gap of the upstream, which counts as at least a millisecond.
+// load returns the load that an upstream would have with one more call: the number of
+// calls in flight plus one, times the recent gap of the upstream in seconds. The gap counts
+// as at least a millisecond.
 func (u *upstream) load() float64 {
 	return float64(u.inFlight+1) * max(u.gap, time.Millisecond.Seconds())
 }
--- a/snipehealth/snipehealth.go
+++ b/snipehealth/snipehealth.go
@@ -88,8 +88,9 @@
 	// upstream that is out.
 	minProbeDelay = 500 * time.Millisecond
 	maxProbeDelay = 16 * time.Second
-	// recentWeight is the weight of the latest call in the moving averages, and
-	// baselineWeight its weight in the baseline of the upstream's own speed.
+	// recentWeight is the weight of the latest call in the moving averages of failures and
+	// of the gap. baselineWeight is its weight in the baseline, the long-term average of the
+	// upstream's gap.
 	recentWeight   = 0.2
 	baselineWeight = 0.005
 	// minCalls is how many calls are observed before an upstream may be taken
@@ -98,14 +99,15 @@
 	minRampCalls = 2
 	// failingRate is the share of failures above which an upstream is failing.
 	failingRate = 0.5
-	// slowFactor is how many times the reference the gap must exceed to be slow, and
-	// slowGap the gap above which an upstream is slow whatever the reference is.
+	// slowFactor: an upstream is slow if its gap exceeds slowFactor times its reference,
+	// which is described at the method slow. slowGap is the gap above which it is slow
+	// whatever the reference is.
 	slowFactor = 4
 	slowGap    = time.Second
 	// fastGap is the gap up to which an upstream is never slow.
 	fastGap = 20 * time.Millisecond
-	// keepNumerator and keepDenominator are the share of the candidates below which
-	// slow and failing ones are not excluded.
+	// keepNumerator and keepDenominator are the share of the candidates that must remain
+	// usable. Slow and failing ones are not excluded if fewer would remain.
 	keepNumerator, keepDenominator = 2, 3
 )
 
--- a/snipehealth/watch.go
+++ b/snipehealth/watch.go
@@ -109,8 +109,8 @@
 	return a.sink(k)
 }
 
-// gap returns the average time between two chunks, of which there must be at least
-// two.
+// gap returns the average time between two consecutive chunks. At least two chunks must
+// have arrived.
 func (a *answerTimer) gap() time.Duration { return a.last.Sub(a.first) / time.Duration(a.chunks-1) }
 
 // observedGap returns the time by which upstreams are compared: the gap, or the
--- a/snipelease/move.go
+++ b/snipelease/move.go
@@ -16,7 +16,7 @@
 type watch struct {
 	incarnation string
 	version     uint64
-	// since is when the version was first read, counted from before the read.
+	// since is the time just before the request that first returned the version.
 	since time.Time
 }
 
--- a/snipelease/plan.go
+++ b/snipelease/plan.go
@@ -66,8 +66,8 @@
 	return outage || !h.observed.tableLost[m.Name] && !h.observed.hung[m.Name]
 }
 
-// candidates returns the eligible instances with capacity for one more engine, the one with the
-// highest score for the engine first.
+// candidates returns the eligible instances that own fewer engines than the even share. The one
+// with the highest score, a hash of the engine's and the instance's names, comes first.
 func (p plan) candidates(engine string) []string {
 	key := sniperoute.Hash(engine)
 	var available []string
@@ -85,8 +85,9 @@
 	return available
 }
 
-// maxWatchers is how many candidates watch the lease row of an owner that is gone, so that the
-// next candidate has already waited when the first does not act.
+// maxWatchers is how many candidates watch the lease row of an owner that is gone. They all wait
+// for the end of the lease at the same time. If the first by rank does not take the engine over
+// then, the next one needs no such wait of its own.
 const maxWatchers = 4
 
 // rank returns this instance's position among the candidates for an engine that has no live owner.
--- a/snipelease/snipelease.go
+++ b/snipelease/snipelease.go
@@ -59,9 +59,9 @@
 	// announcementTTL is how long a change of owner is announced. It is longer than the time
 	// between two reads of all owner rows.
 	announcementTTL = 12 * time.Minute
-	// minListInterval is the time between two reads of all owner rows, up to twice
-	// rowsPerListInterval rows. Beyond that it is multiplied by the number of rows divided by
-	// rowsPerListInterval, up to maxListInterval.
+	// minListInterval is the time between two reads of all owner rows while there are fewer than
+	// twice rowsPerListInterval of them. With more rows, the time is minListInterval for each
+	// whole rowsPerListInterval rows, at most maxListInterval.
 	minListInterval     = time.Minute
 	rowsPerListInterval = 60
 	maxListInterval     = 10 * time.Minute
@@ -71,7 +71,8 @@
 	// isolatedTakeoverDelay is how long an instance without contact to any other instance takes no
 	// engine over: the other instances may be in an outage of which it receives no report.
 	isolatedTakeoverDelay = 2 * time.Minute
-	// jitterFraction is the fraction by which the time between renewals varies.
+	// jitterFraction is the largest difference between a duration and the random one that jitter
+	// returns for it, as a fraction of the duration.
 	jitterFraction = 0.2
 )
 
--- a/snipelimit/adaptive.go
+++ b/snipelimit/adaptive.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// refusalDecrease is the factor by which the limit falls after the upstream
-	// refused a call, slowDecrease after a slow call.
+	// The limit is multiplied by refusalDecrease after the upstream refused a call as
+	// overloaded, and by slowDecrease after a slow call.
 	refusalDecrease, slowDecrease = 0.7, 0.98
 	// slowFactor defines a slow call, which indicates an overload: it takes more
 	// than slowFactor times the typical duration.
@@ -88,7 +88,7 @@
 
 // observe adjusts the limit after a call that took the given time and ended while
 // running calls, itself included, were running. The limit increases after a served
-// call that was not slow, if as many calls were running as the limit permits.
+// call that was not slow, if at least as many calls were running as the limit permits.
 func (a *adaptive) observe(r loadResult, took time.Duration, running int) {
 	now := time.Now()
 	switch r {
--- a/snipelimit/teams.go
+++ b/snipelimit/teams.go
@@ -15,8 +15,8 @@
 	// idleDemand is the demand, in calls per second, below which a team is idle if it
 	// also has no running call and no other instance announces a demand.
 	idleDemand = 1e-3
-	// announceShare is the fraction of an even share of the limit from which on
-	// a demand is announced. Other instances count a demand that is not announced
+	// announceShare is the fraction of an even share (the limit divided by the number of
+	// instances) from which on a demand is announced. Other instances count a demand that is not announced
 	// as zero, so all instances together exceed the limit by at most this
 	// fraction. Smaller: the excess is smaller, but more announcements are sent.
 	announceShare = 0.1
--- a/sniperetry/window.go
+++ b/sniperetry/window.go
@@ -15,8 +15,9 @@
 	// Share is the number of retries that one request permits.
 	Share float64
 	// Slack returns the number of retries that are permitted without a request. In the
-	// first span, the slack in force grows from initialSlack of this number to all of it,
-	// because the retries of a process that ran here before are unknown.
+	// first span only a fraction of it is in force, because the retries of a process that
+	// ran here before are unknown: the part of the span that has passed, and at least
+	// initialSlack.
 	Slack func() float64
 	// Span is the length of the window.
 	Span time.Duration
@@ -35,7 +36,8 @@
 // more retries than the bound.
 const windowSlots = 21
 
-// initialSlack is the fraction of the slack that is in force when a Window is first used.
+// initialSlack is the fraction of the slack that is in force from the first use of a Window
+// until that fraction of the span has passed.
 const initialSlack = 0.25
 
 // windowSlot counts the requests and retries in one interval of the span.
--- a/snipetree/peers.go
+++ b/snipetree/peers.go
@@ -71,8 +71,8 @@
 }
 
 // refreshFromPeers reads the heads of some peers, one after the other, and puts higher revisions in
-// force. It reports whether at least one peer answered whose revision, or a higher one, is now in
-// force here.
+// force. It reports whether at least one peer answered and this instance has caught up with it: the
+// revision in force here is at least that peer's.
 func (s *Store) refreshFromPeers(ctx context.Context) bool {
 	if s.Peers == nil {
 		return false
--- a/snipetree/snipetree.go
+++ b/snipetree/snipetree.go
@@ -106,9 +106,10 @@
 	Leaving bool `json:",omitempty"`
 }
 
-// WeightStore is the budget of loads from the weight store, which all instances share.
+// WeightStore is the budget, shared by all instances, of loads of adapters from the weight store,
+// which holds the adapters' weights for all engines.
 type WeightStore struct {
-	// LoadsPerSecond is the number of loads that may start in a second.
+	// LoadsPerSecond is the number of loads of adapters that may start in a second.
 	LoadsPerSecond float64
 	// Concurrent is the number of loads that can run at full speed at once.
 	Concurrent int
--- a/snipetree/store.go
+++ b/snipetree/store.go
@@ -27,11 +27,12 @@
 	ErrUnknownVersion = errors.New("unknown version of a branch")
 )
 
-// FreshFor is how long an instance may admit calls after the table or a peer last confirmed
-// that its settings are in force, and after it learned of a higher revision that it has not
-// read since. An instance that is cut off from both, or was frozen,
-// admits no calls after that time until its settings are confirmed again. FreshFor is less
-// than the 19 s within which a change must be in force everywhere.
+// FreshFor is how long an instance may admit calls without a confirmation by the table or a peer
+// (another instance) that its settings are the newest. If it learns of a higher revision, it may
+// also admit calls no longer than FreshFor until it has read that revision. An instance that is
+// cut off from table and peers, or was frozen, then admits no calls until its settings are
+// confirmed again. FreshFor is less than the 19 s within which a change must be in force
+// everywhere.
 const FreshFor = 15 * time.Second
 
 const (
@@ -87,7 +88,8 @@
 func (s *Store) Current() *Tree { return s.current.Load() }
 
 // Admitting returns the snapshot in force for new calls; nil if the instance may not admit
-// calls: before the first read, while it is cut off, and after it was frozen.
+// calls. That is so before the first read, and while Fresh reports false: after the instance was
+// cut off or frozen for FreshFor, until its settings are confirmed again.
 func (s *Store) Admitting() *Tree {
 	if !s.Fresh() {
 		return nil
