--- a/snipeclaim/snipeclaim.go
+++ b/snipeclaim/snipeclaim.go
@@ -304,7 +304,7 @@
 }
 
 // abandoned reports whether the attempt of a Claimed row seems to be gone: its instance
-// is not live, or the row is older than claimAge.
+// is considered dead, or made the row's last step more than claimAge ago.
 func (s *Claims) abandoned(r record) bool {
 	return !s.IsLive(r.Instance) || time.Since(r.Changed) > claimAge
 }
--- a/snipehealth/mark.go
+++ b/snipehealth/mark.go
@@ -10,7 +10,7 @@
 // that are out or in a backoff, and those in the state Ramp whose share does not include
 // the call. key is the hash of the call, and decides which calls the share includes. If
 // less than two thirds of the candidates would remain usable, those that are out or in the
-// state Ramp as slow or failing stay usable.
+// state Ramp as slow or failing stay usable, except during a backoff.
 func (t *Tracker) MarkUnusable(key uint64, candidates []sniperoute.Candidate) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -31,8 +31,8 @@
 		if u == nil || !c.Usable || t.accepts(key, c, now) {
 			continue
 		}
-		// If too few candidates are left, one that is slow or failing stays usable,
-		// because excluding it would overload the others.
+		// If too few candidates are left, one that is slow or failing stays usable unless
+		// it is in a backoff, because excluding it would overload the others.
 		c.Usable = tooFew && u.state != Up && !u.reason.unconditional() && !now.Before(u.backoffUntil)
 	}
 }
--- a/snipelease/step.go
+++ b/snipelease/step.go
@@ -20,7 +20,8 @@
 
 // Step renews the lease if that is due, reads what has changed, claims or hands over engines, and
 // publishes a new View. After a failed renewal it makes no other request to the table until the
-// next renewal succeeds. Its requests together take at most a third of Duration.
+// next renewal succeeds. If the owner rows cannot be read, it claims and hands over nothing. The
+// requests of one step together take at most a third of Duration.
 func (h *Holder) Step(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, h.Duration/3)
 	defer cancel()
--- a/snipequarantine/owner.go
+++ b/snipequarantine/owner.go
@@ -82,9 +82,10 @@
 	}
 }
 
-// verifyOrphan does the same for an attempt whose entry instance is gone. It reports to
-// this instance's own registry, which has the most information on the attempt,
-// whichever instance coordinates it now. An attempt without a mark counts as a crash.
+// verifyOrphan does the same as verify for an attempt whose entry instance is gone, with
+// two differences. It reports to this instance's own registry, which has the most
+// information on the attempt, whichever instance coordinates it now. And it reports an
+// attempt without a mark as a crash.
 func (g *Guard) verifyOrphan(a Attempt) {
 	time.Sleep(g.Registry.Linger / 2)
 	if a.Mark == "" || !g.survived(a) {
--- a/snipequarantine/registry.go
+++ b/snipequarantine/registry.go
@@ -17,8 +17,9 @@
 	// unsuspected fingerprint starts. Attempts of suspects, and those that another
 	// coordinator has permitted, are registered beyond it.
 	maxAttempts = 200000
-	// maxLingering bounds the other upstreams at which abandoned attempts of a
-	// fingerprint may still run when a new attempt of it starts.
+	// maxLingering applies when a new attempt of a fingerprint starts. It bounds the
+	// upstreams, other than that of the new attempt, at which abandoned attempts of the
+	// fingerprint may still run.
 	maxLingering = 1
 	// retryInterval is how long an attempt waits before it asks again, for example for
 	// the end of another attempt.
--- a/snipequarantine/simulation_test.go
+++ b/snipequarantine/simulation_test.go
@@ -56,7 +56,7 @@
 	lock       sync.Mutex
 	up         bool
 	generation int
-	loaded     map[string]int // generation at an owner's latest load, by owner
+	loaded     map[string]int // the engine's generation when an owner last loaded an adapter, by owner
 	crashed    chan struct{}
 	running    int
 	maxRunning int
--- a/sniperetry/sniperetry.go
+++ b/sniperetry/sniperetry.go
@@ -35,7 +35,8 @@
 	// for each further attempt.
 	maxFirstPause = 40 * time.Millisecond
 	// minRetryAfter is the shortest retry delay that finalFailure adds to a
-	// failure that states none. The delay is spread up to twice as long.
+	// retryable failure that states none. The actual delays are spread between
+	// minRetryAfter and twice that.
 	minRetryAfter = 2 * time.Second
 )
 
--- a/sniperetry/window_test.go
+++ b/sniperetry/window_test.go
@@ -45,9 +45,10 @@
 	})
 }
 
-// TestWindowNeverExceeds guards against retries beyond the bound with random traffic and failures:
-// the retries in a span that ends with a retry do not exceed the slack plus the share of the requests
-// in the same span, or in the span that ends half its length earlier if it has more requests.
+// TestWindowNeverExceeds guards against retries beyond the bound with random traffic and failures.
+// For each retry it counts the retries in the span that ends with it. They must not exceed the slack
+// plus the share of the requests in that span. If the span that ended half its length earlier has
+// more requests, those count instead.
 func TestWindowNeverExceeds(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
