--- a/snipecatalog/snipecatalog.go
+++ b/snipecatalog/snipecatalog.go
@@ -49,8 +49,8 @@
 	Resumable bool
 	// Timeout is the longest time that a request may wait for its answer.
 	Timeout time.Duration
-	// Target is the time to the answer, or to its first event, that callers expect;
-	// MaxGap is the longest pause between two events.
+	// Target is the time within which callers expect the answer, or its first event if the
+	// route is Streaming. MaxGap is the longest pause between two events.
 	Target time.Duration
 	MaxGap time.Duration
 	// Priority ranks routes; 0 is the most urgent.
@@ -66,8 +66,8 @@
 // MayRepeat reports whether a request that may already have run can be sent again.
 func (r *Route) MayRepeat() bool { return r.Repeat == Idempotent }
 
-// Backend returns the service for a request according to the backends' weights. hash must be
-// evenly distributed over requests.
+// Backend returns the service for a request according to the backends' weights; the first
+// service if all weights are 0. hash must be evenly distributed over requests.
 func (r *Route) Backend(hash uint64) string {
 	var total uint64
 	for _, b := range r.Backends {
@@ -95,7 +95,8 @@
 
 // Engine describes the upstreams of a service that run models.
 type Engine struct {
-	// Slots is the number of requests that an engine runs at once.
+	// Slots is the number of requests that an engine runs at once. (Slots of snipetree.Engine
+	// is a number of adapters.)
 	Slots int
 	// AdapterSlots is the number of adapters that an engine can hold.
 	AdapterSlots int
--- a/snipedirectory/snipedirectory.go
+++ b/snipedirectory/snipedirectory.go
@@ -133,8 +133,9 @@
 	// OnEvent, if not nil, is called for each upstream that appears, starts to leave or is gone.
 	// It is called with the Cache's lock held, so it must not call a method that takes the lock.
 	OnEvent func(u *Upstream, e Event)
-	// LapseGrace is how long, counted from the last call of RegistryLost, missing entries are kept:
-	// entries lapse while an outage of the registry keeps the upstreams from renewing them.
+	// LapseGrace is how long missing entries are kept, because entries lapse while an outage of
+	// the registry keeps the upstreams from renewing them. It is counted from the last call of
+	// RegistryLost before the entry was found missing.
 	LapseGrace time.Duration
 
 	current atomic.Pointer[Snapshot]
@@ -164,8 +165,8 @@
 // Snapshot returns the newest snapshot; nil before the registry has been read.
 func (k *Cache) Snapshot() *Snapshot { return k.current.Load() }
 
-// RegistryLost records that the registry could not be read. LapseGrace is counted from the last
-// such call.
+// RegistryLost records that the registry could not be read. For an entry that is found missing
+// later, LapseGrace is counted from the last such call.
 func (k *Cache) RegistryLost() {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -196,8 +197,8 @@
 }
 
 // MarkEnded records that a start is over although the registry still lists it, because the upstream
-// has restarted. The upstream is removed until its entry shows another start. An unknown id is
-// ignored.
+// has restarted. The upstream is removed until its entry shows another start, or disappears and is
+// written again. An unknown id is ignored.
 func (k *Cache) MarkEnded(id string) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
@@ -269,7 +270,8 @@
 	return names
 }
 
-// put applies a decoded entry, unless MarkEnded has recorded its start as over. The lock is held.
+// put applies a decoded entry, and reports the events that follow from it. It ignores an entry
+// whose start MarkEnded has recorded as over. The lock is held.
 func (k *Cache) put(b *builder, u *Upstream) {
 	if k.endedStarts[u.Name] == u.ID {
 		return
@@ -308,7 +310,7 @@
 // removeOrLapse handles an upstream whose entry is gone. It forgets a start recorded by MarkEnded.
 // It removes the upstream, unless RegistryLost was called less than k.LapseGrace ago: entries lapse
 // during an outage of the registry, and live upstreams write them again. Such an upstream is kept
-// until k.LapseGrace has passed since the last call of RegistryLost. The lock is held.
+// until k.LapseGrace has passed since that call; later calls do not prolong this. The lock is held.
 func (k *Cache) removeOrLapse(b *builder, name string) {
 	delete(k.endedStarts, name)
 	if k.byName[name] == nil {
--- a/snipelease/move.go
+++ b/snipelease/move.go
@@ -137,8 +137,8 @@
 }
 
 // takeEngine makes this instance the owner of an engine by a transaction with the condition, and
-// reports whether the write succeeded. If the lease has ended by then, the engine counts as owned
-// only after its owner row is read again.
+// reports whether the write succeeded. If the lease had already ended when the write was sent, the
+// engine counts as owned only after its owner row is read again.
 func (h *Holder) takeEngine(ctx context.Context, engine string, row ownerRow, condition *snipeplatform.Change) bool {
 	changes := []snipeplatform.Change{h.ownerChange(engine, row, h.selfOwner())}
 	if condition != nil {
--- a/snipelease/renew.go
+++ b/snipelease/renew.go
@@ -164,8 +164,9 @@
 	h.updateExtension(outage && inContact, inContact, snipelog.Fields{"Without": without, "Known": known})
 }
 
-// updateExtension extends the ownerships by Duration from now in an outage. When an outage has ended
-// it leaves Renew/4 for one early renewal. Otherwise it lets the lease lapse: it ends the extension.
+// updateExtension extends the ownerships until Duration from now in an outage, if they are not
+// interrupted. When an outage has ended and this instance is in contact with others, it leaves
+// Renew/4 for one early renewal. Otherwise it lets the lease lapse: it ends the extension.
 func (h *Holder) updateExtension(outage, inContact bool, fields snipelog.Fields) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
--- a/snipelease/snipelease.go
+++ b/snipelease/snipelease.go
@@ -68,8 +68,10 @@
 	// checkInterval is the time between two reads of the lease rows of owners whose engines this
 	// instance would be the first to take over.
 	checkInterval = time.Minute
-	// isolatedTakeoverDelay is how long an instance without contact to any other instance takes no
-	// engine over: the other instances may be in an outage of which it receives no report.
+	// isolatedTakeoverDelay is how long after its last contact with another instance an instance
+	// takes no engine from an owner: the other instances may be in an outage of which it receives
+	// no report. The rule does not apply in the first Renew after the contact, to an instance that
+	// knows no other, or to engines that were released.
 	isolatedTakeoverDelay = 2 * time.Minute
 	// jitterFraction is the largest difference between a duration and the random one that jitter
 	// returns for it, as a fraction of the duration.
--- a/snipelimit/teams.go
+++ b/snipelimit/teams.go
@@ -15,9 +15,10 @@
 	// idleDemand is the demand, in calls per second, below which a team is idle if it
 	// also has no running call and no other instance announces a demand.
 	idleDemand = 1e-3
-	// announceShare is the fraction of an even share (the limit divided by the number of
-	// instances) from which on a demand is announced. Other instances count a demand that is not announced
-	// as zero, so all instances together exceed the limit by at most this
+	// announceShare is the fraction of an even share from which on a demand is announced.
+	// The even share is the larger of the team's two limits, PerSecond and Concurrent,
+	// divided by the number of instances. Other instances count a demand that is not
+	// announced as zero, so all instances together exceed the limit by at most this
 	// fraction. Smaller: the excess is smaller, but more announcements are sent.
 	announceShare = 0.1
 	// announceBytes is the cost of one announcement for each instance, in bytes,
@@ -81,9 +82,9 @@
 	refilled time.Time
 }
 
-// Admit counts a call against its team's limits, and fails with ErrLimited if it
-// exceeds this instance's share of one, without waiting. A share permits at least one
-// call at once, and a burst of at least one call. If the call is admitted, the caller
+// Admit counts a call against its team's limits. It does not wait, and fails with
+// ErrLimited if the call exceeds this instance's share of any of the limits. A share
+// permits at least one call at once, and a burst of at least one call. If the call is admitted, the caller
 // must call release once when the call ends.
 func (t *Teams) Admit(c *snipecall.Call) (release func(), err error) {
 	limit := t.Limit(c.Team)
--- a/snipequarantine/guard.go
+++ b/snipequarantine/guard.go
@@ -95,8 +95,9 @@
 }
 
 // admit asks the coordinators until the attempt may start, is refused, or has no time
-// left. If it may start, admit registers it here and with a further coordinator, and
-// sets the upstream and Alone as decided.
+// left. If it may start, admit sets the upstream and Alone as decided, and records the
+// attempt here. If the attempt runs alone, or this instance is the coordinator that
+// permitted it, admit also registers it with the other coordinator.
 func (g *Guard) admit(ctx context.Context, c *snipecall.Call, a *Attempt) error {
 	for {
 		if left, ok := g.Registry.QuarantinedFor(a.Fingerprint); ok {
--- a/snipequarantine/owner.go
+++ b/snipequarantine/owner.go
@@ -45,10 +45,11 @@
 	return snipeerror.New(snipeerror.ErrOverloaded, snipeerror.NotRun, "coordinator has changed").After(v.Wait)
 }
 
-// reportOwnerEnd reports the end of an attempt as far as the owner of the upstream has to:
-// a suspect that was refused as Withdrawn, and a crash if the upstream has not survived.
-// After other ends of a call that may still run, it checks the upstream in the
-// background. The entry instance reports the remaining ends.
+// reportOwnerEnd reports the ends of an attempt that the owner of the upstream has to
+// report. The refusal of a suspect is reported as Withdrawn. A crash is reported if the
+// upstream has not survived. If the upstream has survived, or the call may still run,
+// reportOwnerEnd checks the upstream again in the background. Without an alias it reports
+// only refusals. The entry instance reports the remaining ends.
 func (g *Guard) reportOwnerEnd(c *snipecall.Call, alias string, err error) {
 	e := classifyEnd(c, err)
 	if c.Attempt == "" || e == Answered || e == Refused && !c.Alone {
--- a/snipequarantine/record.go
+++ b/snipequarantine/record.go
@@ -14,8 +14,8 @@
 const quarantineCrashes = 2
 
 // maxCrashes bounds the crashes that a record keeps; a new crash replaces the one that
-// was added first.
-// An encoded record stays below the 512 bytes of an announcement.
+// was added first. With this bound an encoded record stays below 512 bytes, the limit of
+// an announcement.
 const maxCrashes = 4
 
 // ErrBadRecord is returned for data that is not a valid record.
--- a/snipequarantine/registry.go
+++ b/snipequarantine/registry.go
@@ -32,7 +32,8 @@
 type Registry struct {
 	// Self is this instance's member ID.
 	Self string
-	// SettleTime is how long after a crash or a change of the members no suspect starts.
+	// SettleTime is how long no suspect starts after its last crash, after a change of the
+	// members, and after the first use of the Registry.
 	// It must be long enough for every instance to receive the crash and to move its
 	// attempts to their new coordinators.
 	SettleTime time.Duration
--- a/snipetree/edit.go
+++ b/snipetree/edit.go
@@ -67,9 +67,10 @@
 	}
 	name := branchName(e.Team)
 	ref := branchRef{Version: e.Expect + 1, Edit: e.ID, Hash: hash, Parts: partCount(compressed)}
-	// A conflict means that another edit was accepted and has replaced the head that this
-	// attempt read. If that edit was of the same branch, the next attempt refuses this
-	// one; otherwise it can succeed. The bound keeps one request finite.
+	// A conflict means that the head that this attempt read is not the newest, usually
+	// because another edit was accepted since. If that edit was of the same branch, the
+	// next attempt refuses this one; otherwise it can succeed. The bound keeps one request
+	// finite.
 	const attempts = 20
 	for n := range attempts {
 		revision, err := s.tryEdit(ctx, name, ref, newDocument(name, compressed))
--- a/snipetree/feed.go
+++ b/snipetree/feed.go
@@ -27,8 +27,9 @@
 	Changes []change
 }
 
-// nextReport returns the encoded report with the edit last added, which is made on the given
-// revision.
+// nextReport returns the encoded report that is written with the edit last. The edit follows the
+// given revision. The report consists of the edits in the stored report and of last, at most
+// maxReportedEdits in all.
 func (s *Store) nextReport(ctx context.Context, revision uint64, last change) ([]byte, error) {
 	var r report
 	var row snipeplatform.Row
--- a/snipetree/store.go
+++ b/snipetree/store.go
@@ -18,8 +18,7 @@
 // Errors of the store.
 var (
 	// ErrConflict means that the edit was not accepted, because another edit came first: the
-	// branch is not at the expected version, or every attempt met a
-	// conflict with another edit.
+	// branch is not at the expected version, or every attempt met a conflict with another edit.
 	ErrConflict = errors.New("settings were edited by somebody else")
 	// ErrUnknownBranch means that the branch does not exist.
 	ErrUnknownBranch = errors.New("unknown branch")
