--- a/snipeclaim/snipeclaim.go
+++ b/snipeclaim/snipeclaim.go
@@ -66,8 +66,8 @@
 	// bounds the number of these steps in progress; beyond it rows are not completed.
 	finishTime   = 30 * time.Second
 	maxFinishing = 256
-	// maxClaimTries bounds the writes of a Claimed row, each after a conflict with another
-	// attempt.
+	// maxClaimTries bounds the tries to write a Claimed row. Each try but the first follows a
+	// conflict with another attempt.
 	maxClaimTries = 4
 )
 
@@ -82,7 +82,7 @@
 	Dispatched State = "Dispatched"
 	// Answered: the call has run and its answer is complete.
 	Answered State = "Answered"
-	// Unanswered: the call may have run, and its answer is no longer awaited.
+	// Unanswered: the call may have run, and its last attempt ended without a complete answer.
 	Unanswered State = "Unanswered"
 	// Released: the call did not run; any attempt may take the row over.
 	Released State = "Released"
@@ -145,7 +145,7 @@
 	finishing   sync.WaitGroup
 	finishSlots chan struct{}
 	initSlots   sync.Once
-	cursor      int // used only by Run's goroutine
+	cursor      int // number of the last partition considered for a sweep; used only by Run's goroutine
 }
 
 // attempt is one attempt to execute a call, with the claim that it holds. It belongs to
--- a/snipehealth/watch.go
+++ b/snipehealth/watch.go
@@ -26,7 +26,8 @@
 )
 
 // Watch returns a function that executes calls with run, and records the result and
-// the speed of each call when it ends. A call whose chunks arrive for longer than
+// the speed of each call when it ends. A failure that says nothing about the upstream,
+// such as a passed deadline, is not recorded. A call whose chunks arrive for longer than
 // earlyAfter is also recorded once before it ends.
 func (t *Tracker) Watch(
 	run func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error,
--- a/snipelease/snipelease.go
+++ b/snipelease/snipelease.go
@@ -135,7 +135,8 @@
 }
 
 // instanceRecord is an instance's lease row as read when the instance was new here or its
-// incarnation in the membership had changed. Later renewals of the row are not reflected.
+// incarnation in the membership had changed. Later renewals of the row are reflected only if all
+// lease rows are listed because of other instances.
 type instanceRecord struct {
 	Instance
 	// memberIncarnation is the membership's incarnation of the instance when the row was read. It
