--- a/snipehealth/mark.go
+++ b/snipehealth/mark.go
@@ -7,10 +7,11 @@
 )
 
 // MarkUnusable sets Usable to false for the candidates that must not get the call: those
-// that are out or in a backoff, and those in the state Ramp whose share does not include
-// the call. key is the hash of the call, and decides which calls the share includes. If
-// less than two thirds of the candidates would remain usable, those that are out or in the
-// state Ramp as slow or failing stay usable, except during a backoff.
+// that are out or in a backoff (see Observation.Backoff), and those in the state Ramp
+// whose share does not include the call. key is the hash of the call, and decides which
+// calls the share includes. If less than two thirds of the candidates would remain usable,
+// those that are out or in the state Ramp as slow or failing stay usable, except during a
+// backoff.
 func (t *Tracker) MarkUnusable(key uint64, candidates []sniperoute.Candidate) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
--- a/snipehealth/snipehealth.go
+++ b/snipehealth/snipehealth.go
@@ -19,9 +19,10 @@
 //   - Upstreams that are only slow or failing are excluded only while two thirds
 //     of the candidates remain usable: excluding more would overload the rest.
 //   - An upstream that this instance has detected as out gets calls again only after
-//     it has passed a probe. Then its share of the calls grows over rampTime. If it
-//     fails in that time, the time before its next probe doubles. A state announced
-//     by another instance ends when it expires.
+//     it has passed a probe: a check, by the function that Step is given, that the
+//     upstream is up. Then its share of the calls grows over rampTime. If it fails in
+//     that time, the time before its next probe doubles. A state announced by another
+//     instance ends when it expires.
 package snipehealth
 
 import (
--- a/snipelease/plan.go
+++ b/snipelease/plan.go
@@ -58,7 +58,8 @@
 	if m.Name == h.Self.Name {
 		return !h.leaving.Load()
 	}
-	// A suspect's engines may have to be taken over. If suspects counted, no instance would have
+	// A suspect is an instance that did not answer the membership. Its engines may have to be
+	// taken over. If suspects counted, no instance would have
 	// capacity for those engines where all instances own an even share.
 	if m.Status != snipemember.Alive || m.Leaving {
 		return false
--- a/snipelease/plan_test.go
+++ b/snipelease/plan_test.go
@@ -8,9 +8,10 @@
 	"snipepitch.example/snipepitch/snipemember"
 )
 
-// TestSuspectNotInEvenShare checks that suspects do not count in the even share. If they counted
-// while all instances own an even share, a suspect's engine would have no candidate until the
-// suspect is declared dead.
+// TestSuspectNotInEvenShare checks that suspects (instances that did not answer the membership) do
+// not count as owners when the even share of engines is computed. If they counted while all
+// instances own an even share, a suspect's engine would have no candidate until the suspect is
+// declared dead.
 func TestSuspectNotInEvenShare(t *testing.T) {
 	members := []snipemember.Member{
 		{Name: "one"}, {Name: "two", Status: snipemember.Suspect}, {Name: "three"},
--- a/snipelimit/queue.go
+++ b/snipelimit/queue.go
@@ -15,8 +15,9 @@
 	// queueFactor and queueExtra bound the length of a queue: queueFactor times
 	// the limit, plus queueExtra.
 	queueFactor, queueExtra = 4, 16
-	// leastUrgentEvery is the interval, in grants, at which the least urgent
-	// waiting class is served first, so that urgent classes cannot starve it.
+	// leastUrgentEvery is the interval, in grants (admitted calls), at which the
+	// least urgent waiting class is served first, so that urgent classes cannot
+	// starve it.
 	leastUrgentEvery = 8
 	// meanWeight is the weight of the latest call in the mean duration of calls.
 	meanWeight = 0.1
