--- a/snipeclaim/snipeclaim.go
+++ b/snipeclaim/snipeclaim.go
@@ -55,8 +55,8 @@
 	// MaxKept bounds the answer that is stored for repetitions, in bytes.
 	MaxKept = 32 << 10
 
-	// claimAge is the age at which a Claimed row counts as abandoned, and the time
-	// after its deadline at which a Dispatched row no longer counts as in flight.
+	// claimAge is the age from which on a Claimed row counts as abandoned. A Dispatched row
+	// no longer counts as in flight once its call's deadline has passed by claimAge.
 	claimAge = 10 * time.Second
 	// inFlightRetry is the Retry-After of a repetition while another attempt with the
 	// key is in flight, downRetry that of a call while the table is down.
@@ -66,8 +66,8 @@
 	// bounds the number of these steps in progress; beyond it rows are not completed.
 	finishTime   = 30 * time.Second
 	maxFinishing = 256
-	// maxClaimTries bounds the writes of a Claimed row, each after a conflict with another
-	// attempt.
+	// maxClaimTries bounds the tries to write a Claimed row. Each try but the first follows a
+	// conflict with another attempt.
 	maxClaimTries = 4
 )
 
@@ -82,7 +82,7 @@
 	Dispatched State = "Dispatched"
 	// Answered: the call has run and its answer is complete.
 	Answered State = "Answered"
-	// Unanswered: the call may have run, and its answer is no longer awaited.
+	// Unanswered: the call may have run, and its last attempt ended without a complete answer.
 	Unanswered State = "Unanswered"
 	// Released: the call did not run; any attempt may take the row over.
 	Released State = "Released"
@@ -104,8 +104,9 @@
 	Instance string
 	Token    string
 	State    State
-	// Changed, Deadline and Expires are times of Instance's clock: of the last step, of
-	// the end of the call, and of the time from which on the row may be swept.
+	// Changed is the time of the last step. Deadline is the deadline of the call. Expires
+	// is the time after which the row may be swept, once sweepMargin has also passed. All
+	// are times by Instance's clock.
 	Changed  time.Time
 	Deadline time.Time
 	Expires  time.Time
@@ -144,7 +145,7 @@
 	finishing   sync.WaitGroup
 	finishSlots chan struct{}
 	initSlots   sync.Once
-	cursor      int // used only by Run's goroutine
+	cursor      int // number of the last partition considered for a sweep; used only by Run's goroutine
 }
 
 // attempt is one attempt to execute a call, with the claim that it holds. It belongs to
@@ -303,7 +304,7 @@
 }
 
 // abandoned reports whether the attempt of a Claimed row seems to be gone: its instance
-// is not live, or the row is older than claimAge.
+// is considered dead, or made the row's last step more than claimAge ago.
 func (s *Claims) abandoned(r record) bool {
 	return !s.IsLive(r.Instance) || time.Since(r.Changed) > claimAge
 }
--- a/snipehealth/mark.go
+++ b/snipehealth/mark.go
@@ -7,10 +7,11 @@
 )
 
 // MarkUnusable sets Usable to false for the candidates that must not get the call: those
-// that are out or in a backoff, and those in the state Ramp whose share does not include
-// the call. key is the hash of the call, and decides which calls the share includes. If
-// less than two thirds of the candidates would remain usable, those that are out or in the
-// state Ramp as slow or failing stay usable.
+// that are out or in a backoff (see Observation.Backoff), and those in the state Ramp
+// whose share does not include the call. key is the hash of the call, and decides which
+// calls the share includes. If less than two thirds of the candidates would remain usable,
+// those that are out or in the state Ramp as slow or failing stay usable, except during a
+// backoff.
 func (t *Tracker) MarkUnusable(key uint64, candidates []sniperoute.Candidate) {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -31,8 +32,8 @@
 		if u == nil || !c.Usable || t.accepts(key, c, now) {
 			continue
 		}
-		// If too few candidates are left, one that is slow or failing stays usable,
-		// because excluding it would overload the others.
+		// If too few candidates are left, one that is slow or failing stays usable unless
+		// it is in a backoff, because excluding it would overload the others.
 		c.Usable = tooFew && u.state != Up && !u.reason.unconditional() && !now.Before(u.backoffUntil)
 	}
 }
@@ -68,8 +69,9 @@
 	return float64(h>>(64-bits)) / (1 << bits)
 }
 
-// LeastLoaded returns the index of the less loaded of the two usable candidates that rank
-// first for the key, or -1 if none is usable. The load counts only calls of this
+// LeastLoaded compares the two usable candidates that rank highest for the key, and returns
+// the index of the one with less load (work in flight), or of the higher-ranked one if the
+// loads are equal. It returns -1 if none is usable. The load counts only calls of this
 // instance, and each call counts by the recent gap of its upstream.
 func (t *Tracker) LeastLoaded(key uint64, candidates []sniperoute.Candidate) int {
 	first := sniperoute.Pick(key, candidates)
@@ -92,8 +94,9 @@
 	return first
 }
 
-// load returns the load of an upstream with one more call: the number of calls in
-// flight times the recent gap of the upstream, which counts as at least a millisecond.
+// load returns the load that an upstream would have with one more call: the number of
+// calls in flight plus one, times the recent gap of the upstream in seconds. The gap counts
+// as at least a millisecond.
 func (u *upstream) load() float64 {
 	return float64(u.inFlight+1) * max(u.gap, time.Millisecond.Seconds())
 }
--- a/snipehealth/watch.go
+++ b/snipehealth/watch.go
@@ -26,7 +26,8 @@
 )
 
 // Watch returns a function that executes calls with run, and records the result and
-// the speed of each call when it ends. A call whose chunks arrive for longer than
+// the speed of each call when it ends. A failure that says nothing about the upstream,
+// such as a passed deadline, is not recorded. A call whose chunks arrive for longer than
 // earlyAfter is also recorded once before it ends.
 func (t *Tracker) Watch(
 	run func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error,
@@ -109,8 +110,8 @@
 	return a.sink(k)
 }
 
-// gap returns the average time between two chunks, of which there must be at least
-// two.
+// gap returns the average time between two consecutive chunks. At least two chunks must
+// have arrived.
 func (a *answerTimer) gap() time.Duration { return a.last.Sub(a.first) / time.Duration(a.chunks-1) }
 
 // observedGap returns the time by which upstreams are compared: the gap, or the
--- a/snipelease/snipelease.go
+++ b/snipelease/snipelease.go
@@ -59,19 +59,22 @@
 	// announcementTTL is how long a change of owner is announced. It is longer than the time
 	// between two reads of all owner rows.
 	announcementTTL = 12 * time.Minute
-	// minListInterval is the time between two reads of all owner rows, up to twice
-	// rowsPerListInterval rows. Beyond that it is multiplied by the number of rows divided by
-	// rowsPerListInterval, up to maxListInterval.
+	// minListInterval is the time between two reads of all owner rows while there are fewer than
+	// twice rowsPerListInterval of them. With more rows, the time is minListInterval for each
+	// whole rowsPerListInterval rows, at most maxListInterval.
 	minListInterval     = time.Minute
 	rowsPerListInterval = 60
 	maxListInterval     = 10 * time.Minute
 	// checkInterval is the time between two reads of the lease rows of owners whose engines this
 	// instance would be the first to take over.
 	checkInterval = time.Minute
-	// isolatedTakeoverDelay is how long an instance without contact to any other instance takes no
-	// engine over: the other instances may be in an outage of which it receives no report.
+	// isolatedTakeoverDelay is how long after its last contact with another instance an instance
+	// takes no engine from an owner: the other instances may be in an outage of which it receives
+	// no report. The rule does not apply in the first Renew after the contact, to an instance that
+	// knows no other, or to engines that were released.
 	isolatedTakeoverDelay = 2 * time.Minute
-	// jitterFraction is the fraction by which the time between renewals varies.
+	// jitterFraction is the largest difference between a duration and the random one that jitter
+	// returns for it, as a fraction of the duration.
 	jitterFraction = 0.2
 )
 
@@ -132,7 +135,8 @@
 }
 
 // instanceRecord is an instance's lease row as read when the instance was new here or its
-// incarnation in the membership had changed. Later renewals of the row are not reflected.
+// incarnation in the membership had changed. Later renewals of the row are reflected only if all
+// lease rows are listed because of other instances.
 type instanceRecord struct {
 	Instance
 	// memberIncarnation is the membership's incarnation of the instance when the row was read. It
--- a/snipequarantine/registry.go
+++ b/snipequarantine/registry.go
@@ -17,8 +17,9 @@
 	// unsuspected fingerprint starts. Attempts of suspects, and those that another
 	// coordinator has permitted, are registered beyond it.
 	maxAttempts = 200000
-	// maxLingering bounds the other upstreams at which abandoned attempts of a
-	// fingerprint may still run when a new attempt of it starts.
+	// maxLingering applies when a new attempt of a fingerprint starts. It bounds the
+	// upstreams, other than that of the new attempt, at which abandoned attempts of the
+	// fingerprint may still run.
 	maxLingering = 1
 	// retryInterval is how long an attempt waits before it asks again, for example for
 	// the end of another attempt.
@@ -31,7 +32,8 @@
 type Registry struct {
 	// Self is this instance's member ID.
 	Self string
-	// SettleTime is how long after a crash or a change of the members no suspect starts.
+	// SettleTime is how long no suspect starts after its last crash, after a change of the
+	// members, and after the first use of the Registry.
 	// It must be long enough for every instance to receive the crash and to move its
 	// attempts to their new coordinators.
 	SettleTime time.Duration
--- a/snipetree/peers.go
+++ b/snipetree/peers.go
@@ -13,7 +13,9 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// Limits of a request from a peer and of its answer: maxAnswer in bytes, maxHashes in documents.
+// Limits of a request from a peer (another instance) and of its answer. maxHashes limits the
+// documents, each named by its hash, that one request asks for. maxAnswer limits the compressed
+// bytes of the documents in an answer, but the first document is sent even if it is larger.
 const (
 	maxAnswer = 2 << 20
 	maxHashes = 256
@@ -69,8 +71,8 @@
 }
 
 // refreshFromPeers reads the heads of some peers, one after the other, and puts higher revisions in
-// force. It reports whether at least one peer answered whose revision, or a higher one, is now in
-// force here.
+// force. It reports whether at least one peer answered and this instance has caught up with it: the
+// revision in force here is at least that peer's.
 func (s *Store) refreshFromPeers(ctx context.Context) bool {
 	if s.Peers == nil {
 		return false
