--- a/snipecaller/model.go
+++ b/snipecaller/model.go
@@ -15,7 +15,8 @@
 // maxDepth bounds how deeply the body of a model call may be nested.
 const maxDepth = 128
 
-// modelBody holds the fields of a model call's body that snipecaller reads.
+// modelBody holds what snipecaller keeps of a model call's body: the values of "model" and
+// "stream", and whether "stream_options" is given. Other fields are checked or ignored.
 type modelBody struct {
 	model            string
 	stream           bool
@@ -52,8 +53,8 @@
 	return m, err
 }
 
-// setField checks one field of the body and stores it if snipecaller needs it. A field
-// with the value null counts as absent.
+// setField checks one field of the body. It stores the field if modelBody has a place for
+// it. A field with the value null counts as absent.
 func (m *modelBody) setField(name string, value gjson.Result) error {
 	if value.Type == gjson.Null {
 		return nil
--- a/snipeinstance/claims.go
+++ b/snipeinstance/claims.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// sweepInterval is the time between two partitions that an instance sweeps.
+	// sweepInterval is the time from the sweep of one partition to that of the next.
 	sweepInterval = 10 * time.Second
 	// claimTimeout bounds each step of a claim before the call is dispatched.
 	claimTimeout = 2 * time.Second
--- a/snipeinstance/health.go
+++ b/snipeinstance/health.go
@@ -22,8 +22,8 @@
 	healthInterval = 250 * time.Millisecond
 )
 
-// errProbeFailed is returned by a probe of an upstream that is no engine in the settings and does
-// not accept a connection as an upstream of a plain service.
+// errProbeFailed is returned by a probe of an upstream that is no engine in the settings, if the
+// upstream accepts no connection.
 var errProbeFailed = errors.New("unknown upstream")
 
 // health detects failing upstreams and exchanges the health of engines with other instances.
--- a/snipepolicy/fakes.go
+++ b/snipepolicy/fakes.go
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// engine is a fake of a model engine. It has slots for adapters and a batch whose steps take longer
-// the more calls it contains.
+// engine is a fake of a model engine. It has slots for adapters, and a batch: the calls that it runs
+// at the same time. A step of the batch takes longer the more calls the batch contains.
 type engine struct {
 	capacity int
 	batch    chan struct{}
--- a/snipepolicy/previous.go
+++ b/snipepolicy/previous.go
@@ -52,7 +52,8 @@
 }
 
 // find returns the entry of a resident adapter, now in use. Otherwise it returns the channel to
-// wait for, which belongs to a started load of the entry or, without an entry, to the next change.
+// wait for. If the adapter has an entry, the channel is closed when its load ends. If it has none,
+// the channel is closed at the next change of the entries.
 func (s *previousSlots) find(a snipecall.Adapter) (*previousEntry, <-chan struct{}) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/snipepolicy/trace.go
+++ b/snipepolicy/trace.go
@@ -14,9 +14,9 @@
 	teams           = 10
 	traceLength     = 10 * time.Minute
 	zipfExponent    = 1.1  // exponent of the popularity of adapters
-	driftPerHour    = 0.35 // fraction of the adapters that become active or idle in an hour
+	driftPerHour    = 0.35 // pairs of adapters that swap their popularity in an hour, over the number of adapters
 	stormFactor     = 4    // rate of the team that causes the storm, as a multiple of its usual rate
-	hotFactor       = 1.0  // extra rate for the hot adapter, as a multiple of the usual total
+	hotFactor       = 1.0  // extra rate for the hot adapter, as a multiple of the usual rate of all calls
 	failingFraction = 0.03 // upper bound of the fraction of adapters whose loads fail in scenario fails
 )
 
@@ -44,14 +44,14 @@
 	name       string
 	adapters   int
 	engines    int
-	slots      int // of each engine
-	batch      int // of each engine
+	slots      int // adapters that each engine holds at the same time
+	batch      int // calls that each engine runs at the same time
 	instances  int
-	perSecond  float64                    // loads per second that the weight store starts
-	concurrent int                        // loads that the weight store runs at full speed
-	rate       float64                    // calls per second
-	load       time.Duration              // duration of one load at full speed
-	classes    [snipecall.Classes]float64 // share of each class in the calls
+	perSecond  float64                    // loads of adapters that the weight store starts per second
+	concurrent int                        // loads that the weight store runs at full speed at the same time
+	rate       float64                    // calls per second to all engines together
+	load       time.Duration              // duration of one load of an adapter at full speed
+	classes    [snipecall.Classes]float64 // fraction of the calls in each class
 }
 
 var deployments = []deployment{
@@ -65,7 +65,7 @@
 	},
 }
 
-// scenario names the change of load or the fault that happens during a trace. In shift, all
+// scenario names the change of the calls or the fault that happens during a trace. In shift, all
 // popularities are drawn again at half time; in drift, adapters swap their popularity all the time; in
 // restart, an engine restarts at half time; in storm, team 0 sends extra calls in the middle third; in
 // fails, the loads of some adapters fail; in hot, adapter 0 gets extra calls in the middle third.
@@ -170,7 +170,7 @@
 	}
 }
 
-// drawClass draws a class by the deployment's share of each class.
+// drawClass draws a class by the fraction of the deployment's calls in each class.
 func drawClass(d deployment, r *rand.Rand) snipecall.Class {
 	x := r.Float64()
 	for c, share := range d.classes {
--- a/snipeupstream/service.go
+++ b/snipeupstream/service.go
@@ -26,9 +26,9 @@
 	// each call and sends calls that may not be repeated, so that none of them
 	// is sent on a reused connection that has gone silent.
 	Pooled, Fresh *http.Client
-	// Progress is the longest silence of a reused connection before a call that
-	// may be repeated is sent again on a new one, where it may take as long as
-	// its deadline allows. It is also the longest silence within an answer. Zero means no
+	// Progress is the longest silence of a reused connection before the answer's
+	// header. After it, a call that may be repeated is sent again on a new
+	// connection, where only its deadline bounds the wait for the header. It is also the longest silence within an answer. Zero means no
 	// bound.
 	Progress time.Duration
 }
