--- a/cmd/snipepitchd/entry.go
+++ b/cmd/snipepitchd/entry.go
@@ -28,7 +28,7 @@
 	maxIdleOrderConns = 2
 	// orderDialTimeout bounds the time to open a connection for orders.
 	orderDialTimeout = 300 * time.Millisecond
-	// memoryLimitShare is the share of the instance's memory at which the Go
+	// memoryLimitShare is the fraction of the instance's memory at which the Go
 	// memory limit is set. Near the limit garbage is collected more often, so
 	// that a burst does not exhaust the memory and end the process.
 	memoryLimitShare = 0.7
--- a/snipecapacity/sample.go
+++ b/snipecapacity/sample.go
@@ -23,7 +23,7 @@
 
 // Sample holds what one instance uses on average over an interval.
 type Sample struct {
-	// Processor is the share of one core; Memory is the resident bytes at the end of
+	// Processor is the fraction of one core; Memory is the resident bytes at the end of
 	// the interval.
 	Processor float64
 	Memory    float64
--- a/snipecapacity/snipecapacity.go
+++ b/snipecapacity/snipecapacity.go
@@ -25,7 +25,7 @@
 
 // The resources, with their units.
 const (
-	Processor   Resource = "Processor"   // share of one core
+	Processor   Resource = "Processor"   // fraction of one core
 	Memory      Resource = "Memory"      // bytes
 	Control     Resource = "Control"     // bytes a second to and from an instance
 	TableReads  Resource = "TableReads"  // reads a second at the table, all instances
--- a/snipeinstance/claims.go
+++ b/snipeinstance/claims.go
@@ -19,8 +19,8 @@
 	claimTimeout = 2 * time.Second
 )
 
-// buildClaims makes the attempts of a go through the claims, which are the rows that reserve a
-// request key for one call, and returns the function that executes a call.
+// buildClaims makes the attempts of the Retrier a go through the claims, the rows that each reserve
+// a request key for one call. It returns the function that executes a call.
 func (i *Instance) buildClaims(
 	guard *snipeplatform.Guard, a *sniperetry.Retrier,
 ) func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
--- a/snipeinstance/quarantine.go
+++ b/snipeinstance/quarantine.go
@@ -26,9 +26,9 @@
 	quarantineHold = time.Hour
 	// clearedTTL is how long the record of a cleared suspect is announced.
 	clearedTTL = time.Minute
-	// settleTime is how long no suspect starts after a crash or a change of the members. It is
-	// longer than an update takes to reach every instance and an attempt takes to move to a new
-	// coordinator.
+	// settleTime is how long no suspect starts after a crash or a change of the members. An update
+	// needs less than this time to reach every instance, and so does an attempt to move to a new
+	// coordinator, the instance that decides when a suspect may run.
 	settleTime = 3 * time.Second
 	// lingerTime is the assumed upper bound of the time for which an upstream keeps executing a call
 	// that was abandoned.
--- a/snipeinstance/weights.go
+++ b/snipeinstance/weights.go
@@ -67,7 +67,8 @@
 	return holders
 }
 
-// weightLimits returns the weight store's budget. While the membership lists fewer live instances
+// weightLimits returns the weight store's budget: the loads of adapters that it may start per second
+// and run at the same time. While the membership lists fewer live instances
 // than there are instances with leases, as in a network partition, it returns the proportional
 // share of the budget, and at least one concurrent load. It returns zeros while no settings are in
 // force.
--- a/snipelink/dial.go
+++ b/snipelink/dial.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// These constants bound the time until an unresponsive peer is detected. A peer
-// acknowledges within milliseconds. If sent bytes are not acknowledged within
-// ackTimeout, the peer is gone, or a device on the path has lost the state of the
+// These constants bound the time until an unresponsive upstream is detected. The kernel
+// of an upstream acknowledges within milliseconds. If sent bytes are not acknowledged within
+// ackTimeout, the upstream is gone, or a device on the path has lost the state of the
 // connection.
 const (
 	// ackTimeout is how long sent bytes may remain unacknowledged.
@@ -20,14 +20,14 @@
 	// keepAliveIdle is the time without traffic after which a connection is probed,
 	// keepAliveInterval the time between two probes, and keepAliveCount the number of
 	// unanswered probes after which the connection fails. An idle connection to a dead
-	// peer is detected within three seconds.
+	// upstream is detected within three seconds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 )
 
 // Dialer returns a function that opens TCP connections. The kernel terminates such
-// a connection when the peer becomes unresponsive.
+// a connection when the upstream becomes unresponsive.
 func Dialer() func(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 	d := &net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{
--- a/snipepolicy/previous.go
+++ b/snipepolicy/previous.go
@@ -52,8 +52,9 @@
 }
 
 // find returns the entry of a resident adapter, now in use. Otherwise it returns the channel to
-// wait for. If the adapter has an entry, the channel is closed when its load ends. If it has none,
-// the channel is closed at the next change of the entries.
+// wait for. If the adapter is being loaded, which find starts if a slot is free, the channel is
+// closed when the load ends. If it is being evicted or no slot is free, the channel is closed at the
+// next change of the entries.
 func (s *previousSlots) find(a snipecall.Adapter) (*previousEntry, <-chan struct{}) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/snipereplay/caller.go
+++ b/snipereplay/caller.go
@@ -22,12 +22,12 @@
 	// answer states no Retry-After.
 	minRetryPause = 100 * time.Millisecond
 	// tryTimeoutDivisor sets the time limit of one try of a call that may be
-	// retried: the call's timeout divided by it. After that the caller abandons an
+	// retried: the call's timeout divided by tryTimeoutDivisor. After it the caller abandons an
 	// instance that does not answer.
 	tryTimeoutDivisor = 3
-	// deadlineMarginDivisor sets how much earlier the deadline that the caller states
-	// is than the end of its own wait: the time that it waits divided by it. The
-	// margin lets the final answer still reach the caller.
+	// deadlineMarginDivisor sets the margin between the deadline that the caller states
+	// and the later end of its own wait: the time that it waits divided by
+	// deadlineMarginDivisor. In the margin the final answer can still reach the caller.
 	deadlineMarginDivisor = 10
 )
 
--- a/snipesoak/faults.go
+++ b/snipesoak/faults.go
@@ -54,10 +54,10 @@
 	{"an upstream asks for rest", requestBackoff},
 }
 
-// Seeds below firstSeeds draw only from the first firstFaults and firstUpstreamFaults entries of
-// the lists, and seeds below secondSeeds from the first secondFaults faults. These entries were
-// in the lists before the others, so that a seed that once revealed a defect still draws the
-// same faults.
+// The lists of faults have grown, and a seed that once revealed a defect must still draw the same
+// faults. Seeds below firstSeeds therefore draw only from the first firstFaults faults and the
+// first firstUpstreamFaults faults of upstreams. Other seeds below secondSeeds draw from the first
+// secondFaults faults.
 const (
 	firstSeeds          = 1000
 	firstFaults         = 12
--- a/snipesoak/snipesoak.go
+++ b/snipesoak/snipesoak.go
@@ -88,8 +88,8 @@
 	// lateOrderDelay is how much later an engine executes an order under RunnerLateOrders. It is
 	// long enough for the engine to have restarted in between.
 	lateOrderDelay = 3 * time.Second
-	// orderGap is the instances' OrderGap setting: the least time between orders of two
-	// instances to one engine.
+	// orderGap is the instances' OrderGap setting: the least time after which an instance may
+	// again order an engine that another instance owned in between.
 	orderGap = 3 * time.Second
 	// maxBody bounds the bodies of requests in bytes.
 	maxBody = 1 << 20
--- a/snipestand/leavingrule.go
+++ b/snipestand/leavingrule.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// LeavingBreaches returns a description of each request that reached a runner later than the bound
-// after an answer of the runner first announced to the sending instance that the runner is leaving.
-// An excused request makes the time of its instance start anew, and a request whose answer does not
-// announce that the runner is leaving makes the times of all instances start anew. The parameters
+// LeavingBreaches returns a description of each request that an instance sent too late to a runner
+// that is leaving. The time of an instance starts with the first answer that tells it that the runner
+// is leaving; a request is too late if it arrives after more than the bound. An excused request makes
+// the time of its instance start anew. An answer that does not announce that the runner is leaving
+// makes the times of all instances start anew. The parameters
 // sender and excused are those of LimitBreaches.
 func LeavingBreaches(all []Arrival, bound time.Duration, sender func(id string) string, excused func(instance string, at time.Time) bool) []string {
 	var breaches []string
--- a/snipestand/limitrule.go
+++ b/snipestand/limitrule.go
@@ -13,9 +13,9 @@
 	// requests more.
 	limitOverrun = 1.5
 	limitSlack   = 5
-	// limitSettleTime is the time after the first announcement of a limit from which the bound
-	// holds. limitNoticeTime is the time after the first answer to an instance that announces the
-	// limit from which requests of that instance count.
+	// limitSettleTime is the time from the first announcement of a limit until breaches are
+	// reported. limitNoticeTime is the time from the first announcement to one instance until
+	// requests of that instance count.
 	limitSettleTime = 3 * time.Second
 	limitNoticeTime = 500 * time.Millisecond
 )
--- a/snipestand/report.go
+++ b/snipestand/report.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// metrics serves the engine's load in the Prometheus text format, under the metric names that vLLM
-// publishes.
+// metrics serves the engine's metrics in the Prometheus text format, such as the numbers of running
+// and waiting answers, under the metric names that vLLM publishes.
 func (e *Engine) metrics(w http.ResponseWriter, _ *http.Request) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
--- a/snipestand/restrule.go
+++ b/snipestand/restrule.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// backoffNoticeTime is the time after a runner has requested a backoff from an instance from
-	// which requests of that instance count. maxInBackoff is how many of these may reach the runner
-	// until the backoff ends.
+	// backoffNoticeTime is the time from the refusal that requests a backoff from an instance until
+	// requests of that instance count. maxInBackoff is how many counted requests may reach the
+	// runner before the backoff ends.
 	backoffNoticeTime = 500 * time.Millisecond
 	maxInBackoff      = 2
 )
 
-// BackoffBreaches returns a description of each answer that requested a backoff and after which the
-// same instance sent the runner more requests than allowed before the backoff ended. The parameters
+// BackoffBreaches returns a description of each breached backoff, the pause that a refusal asks of
+// the instance that sent the refused request. A backoff is breached if more than maxInBackoff
+// requests of that instance reach the runner from backoffNoticeTime on until the backoff ends. The parameters
 // sender and excused are those of LimitBreaches.
 func BackoffBreaches(all []Arrival, sender func(id string) string, excused func(instance string, at time.Time) bool) []string {
 	var breaches []string
--- a/snipestand/weights.go
+++ b/snipestand/weights.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Weights emulates the weight store. A load takes Duration at full speed. It takes longer if more
-// than Concurrent loads run when it begins, or if loads begin at a higher rate than PerSecond. Exported
+// Weights emulates the weight store. A load of an adapter takes Duration at full speed. It takes
+// longer if, with it, more than Concurrent loads run when it begins, or if loads begin at a higher
+// rate than PerSecond. Exported
 // fields must be set before the first request.
 type Weights struct {
 	PerSecond  float64
--- a/snipestory/cause.go
+++ b/snipestory/cause.go
@@ -48,9 +48,9 @@
 }
 
 // failureWindow is the time before and after the end of a request in which other failures of the
-// same upstream may be logged. An upstream becomes suspect only after three requests in a row
-// without an answer, unless it cannot be reached at all, and its entry in the registry expires only
-// after the duration of its lease.
+// same upstream may be logged. Such failures can be logged late: an upstream that can be reached
+// becomes suspect only after three requests in a row without an answer, and its entry in the registry
+// expires only after the duration of its lease.
 const failureWindow = 4 * time.Second
 
 // evictionWindow is the time before the arrival of a request in which an eviction can explain that
--- a/snipestory/line.go
+++ b/snipestory/line.go
@@ -32,8 +32,7 @@
 	Tried []string
 	Ran   int
 	After string
-	// Busy is the estimated share of occupied slots at the last upstream when it was chosen, from 0
-	// to 1. Holders is the number of usable upstreams that it was chosen from.
+	// Busy is the estimated fraction of occupied slots at the last upstream when it was chosen. Holders is the number of usable upstreams that it was chosen from.
 	Busy         float64
 	Holders      int
 	PromptTokens int
--- a/snipeupstream/service.go
+++ b/snipeupstream/service.go
@@ -34,8 +34,8 @@
 }
 
 // Call executes c and passes the whole answer, whatever its status, to sink as
-// one chunk. A call that may be repeated is sent a second time if a reused
-// connection was silent for Progress. Errors are
+// one chunk. A call that may be repeated is sent a second time, on a new connection, if a
+// reused connection was silent for Progress before the answer's header. Errors are
 // CallErrors, except an error of sink.
 func (s *Service) Call(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	if !c.Idempotent {
