--- a/snipecert/snipecert.go
+++ b/snipecert/snipecert.go
@@ -28,8 +28,8 @@
 // ErrInvalid is wrapped by every error of Files.Check and Reloader.Load.
 var ErrInvalid = errors.New("invalid certificate settings")
 
-// ErrUntrusted is returned for a peer that presents no certificate, or one that no
-// trusted authority has signed. Without an authority file every peer is untrusted.
+// ErrUntrusted is returned if the other side of a connection presents no certificate, or one
+// that no trusted authority has signed. Without an authority file every certificate is untrusted.
 var ErrUntrusted = errors.New("untrusted certificate")
 
 // maxFileSize bounds the size of a file in bytes.
@@ -226,7 +226,7 @@
 	}
 }
 
-// verify checks that the authority has signed the certificate of the peer.
+// verify checks that the authority has signed the certificate of the other side.
 func (c *credentials) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 || c.authority == nil {
 		return ErrUntrusted
--- a/snipeinstance/replicas.go
+++ b/snipeinstance/replicas.go
@@ -100,8 +100,8 @@
 }
 
 // observe updates the decision for one adapter with its calls in flight at the home engine. An
-// adapter gets an entry with its first call; the entry expires replicasTTL after the last
-// time with a call in flight or more than one replica.
+// adapter gets an entry in homes when it first has a call in flight. decideReplicas removes the entry
+// replicasTTL after the last time with a call in flight or more than one replica.
 func (r *replicas) observe(key uint64, now time.Time, inFlight, batch int) {
 	h := r.homes[key]
 	if h == nil {
--- a/snipepeer/session.go
+++ b/snipepeer/session.go
@@ -219,8 +219,9 @@
 // eventOverhead is the approximate number of bytes that the wire form adds to the data.
 const eventOverhead = 64
 
-// eventBuffer returns a buffer for an event of the given size. If the events would
-// exceed the bound, it drops the oldest sent event and reuses its buffer.
+// eventBuffer returns a buffer for an event of the given size. If the event would make
+// the buffered ones exceed maxBuffered and the oldest of several has been sent, it drops
+// the oldest and reuses its buffer if that is large enough.
 func (s *session) eventBuffer(size int) []byte {
 	if s.size+size > maxBuffered && len(s.events) > 1 && s.events[0].number <= s.sent {
 		old := s.events[0].data
@@ -233,8 +234,8 @@
 	return make([]byte, 0, size+eventOverhead)
 }
 
-// trim drops the oldest events until the rest is within the bound. It returns
-// errBehind instead of dropping an event that was never sent.
+// trim drops the oldest events until the rest is within maxBuffered or one event is
+// left. It returns errBehind instead of dropping an event that was never sent.
 func (s *session) trim() error {
 	for s.size > maxBuffered && len(s.events) > 1 {
 		if s.events[0].number > s.sent {
--- a/snipepolicy/snipepolicy.go
+++ b/snipepolicy/snipepolicy.go
@@ -280,8 +280,8 @@
 	r.Step(time.Now(), inFlight, sm.deployment.batch)
 }
 
-// execute simulates one call and records its stall, the time until its engine holds the adapter, or
-// that the call was lost.
+// execute simulates one call and records its stall, the time until its engine holds the adapter. If
+// the call is lost, execute records that instead.
 func (sm *simulation) execute(c call) {
 	a := adapterName(c.adapter)
 	ctx, cancel := context.WithTimeout(context.Background(), deadlines[c.class])
--- a/snipesoak/caller.go
+++ b/snipesoak/caller.go
@@ -189,9 +189,10 @@
 	}
 }
 
-// auditOrders checks that no more adapters were ordered than fit, that fencing numbers do not
-// fall, and that an instance which orders again after another instance does so at least orderGap
-// after its own last order. Orders of a process that has just been resumed are not checked.
+// auditOrders checks that no more adapters were ordered than fit and that fencing numbers do not
+// fall. It also checks that owners do not alternate: after an order of another instance, an instance
+// must not order again until orderGap has passed since its own last order. The last two checks ignore
+// the orders of a process that has just been resumed.
 func (s *Soak) auditOrders(engine string, r *runner) {
 	orders, overfull := r.AcceptedOrders()
 	if overfull > 0 {
--- a/snipesoak/signal.go
+++ b/snipesoak/signal.go
@@ -81,7 +81,9 @@
 	return false
 }
 
-// auditSignals checks that an upstream received no more requests than its signals allow.
+// auditSignals checks that an upstream received no more requests than its announced limit allows,
+// none that came too late after it announced that it leaves, and not too many in a backoff. Requests
+// in and shortly after disturbances are excused.
 func (s *Soak) auditSignals(r *runner) {
 	senderOf := func(id string) string { return s.senders[id] }
 	excused := func(instance string, at time.Time) bool {
--- a/snipesoak/snipesoak.go
+++ b/snipesoak/snipesoak.go
@@ -76,7 +76,7 @@
 	// events is the number of events in a streamed answer.
 	events = 6
 	// adapters is the number of adapters that callers request, slots how many of them an
-	// engine holds. The difference keeps loads and evictions going on all the time.
+	// engine can hold. The difference keeps loads and evictions of adapters going on all the time.
 	adapters, slots = 30, 5
 	// recoveryTimeout bounds the time until every kind of request is served after the start
 	// and after the last fault.
--- a/snipestand/limitrule.go
+++ b/snipestand/limitrule.go
@@ -37,8 +37,8 @@
 	counted []Arrival
 }
 
-// LimitBreaches returns a description of each request at which more requests had reached a runner
-// than its limit allows. The count starts anew after a request that arrives while the runner
+// LimitBreaches returns a description of each request with which more requests had reached a runner
+// within LimitSpan than LimitBound returns for the announced limit. The count starts anew after a request that arrives while the runner
 // announces no limit. The function sender returns the instance that sent a request. The function
 // excused reports whether the requests of an instance do not count at a given time; nil excuses
 // none.
--- a/snipestory/line.go
+++ b/snipestory/line.go
@@ -49,8 +49,8 @@
 	PauseTargetMilliseconds int64
 	// WaitedMilliseconds is the time that the request waited for its adapter, FirstMilliseconds the
 	// time from its arrival until the answer began, PauseMilliseconds the longest pause in the
-	// answer, and Milliseconds the time from its arrival to its end. In the line of a load,
-	// Milliseconds is the duration of the load.
+	// answer, and Milliseconds the time from its arrival to its end. In the line of a load of an
+	// adapter, Milliseconds is the duration of the load.
 	WaitedMilliseconds int64
 	FirstMilliseconds  int64
 	PauseMilliseconds  int64
@@ -61,7 +61,7 @@
 	Upstream string
 	Action   string
 	Reply    string
-	// Queued is the time that a load waited in the queue until it was started, in milliseconds.
+	// Queued is the time that a load of an adapter waited in the queue until it was started, in milliseconds.
 	Queued int64
 
 	// Raw is the unchanged text of the line.
