--- a/snipeinstance/health.go
+++ b/snipeinstance/health.go
@@ -32,8 +32,8 @@
 	tracker  *snipehealth.Tracker
 	// execute executes a call at its upstream and records the outcome in tracker.
 	execute func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error
-	// versions holds the version of the last merged announcement (snipemember.Digest) by origin and
-	// key. Only the goroutine of loop accesses it.
+	// versions holds the version of the last merged announcement (snipemember.Digest) by origin, the
+	// instance that announced it, and key. Only the goroutine of loop accesses it.
 	versions map[string]uint64
 }
 
@@ -71,7 +71,8 @@
 }
 
 // loop merges the announcements of other instances, probes upstreams that are out and renews the
-// announcements of owned engines that are out. It returns when ctx ends.
+// announcements of owned engines that are out. It does nothing while no settings are in force, and
+// returns when ctx ends.
 func (h *health) loop(ctx context.Context) error {
 	return snipetime.Every(ctx, healthInterval, h.step)
 }
--- a/snipeinstance/quarantine.go
+++ b/snipeinstance/quarantine.go
@@ -51,8 +51,8 @@
 	view    *snipelease.View
 	listed  time.Time // when members was computed
 	members []snipequarantine.Member
-	// versions holds the version of the last merged announcement (snipemember.Digest) by origin and
-	// key. Only the goroutine of loop accesses it.
+	// versions holds the version of the last merged announcement (snipemember.Digest) by origin, the
+	// instance that announced it, and key. Only the goroutine of loop accesses it.
 	versions map[string]uint64
 }
 
@@ -104,8 +104,9 @@
 	return m.PeerAddress, ok && memberID(m) == member
 }
 
-// announce publishes a crash record. A record without open crashes is published for clearedTTL
-// only, which is long enough to replace the earlier announcements.
+// announce publishes a crash record for ttl, but at most for quarantineHold. The record of a call that
+// is no longer a suspect is published for clearedTTL, which is long enough to replace the earlier
+// announcements.
 func (q *quarantine) announce(f snipequarantine.Fingerprint, record []byte, ttl time.Duration) {
 	if !q.guard.Registry.IsSuspect(f) {
 		ttl = clearedTTL
--- a/snipepolicy/snipepolicy.go
+++ b/snipepolicy/snipepolicy.go
@@ -175,7 +175,8 @@
 	}
 }
 
-// queue returns a queue with an equal share of the store's budget for one of so many queues.
+// queue returns a queue for loads from the weight store. The store's budget is divided equally among
+// the given number of such queues, but each may run at least one load.
 func (sm *simulation) queue(shares int) *snipeweight.Queue {
 	d := sm.deployment
 	return &snipeweight.Queue{Limits: func() (float64, int) {
@@ -183,8 +184,8 @@
 	}}
 }
 
-// holder returns a client of a queue whose requests and answers take hopTime each. It removes from
-// the requests what the policy switches off.
+// holder returns a client of a queue. Its requests and its answers take hopTime each. It removes from
+// the requests the class or the team if the policy ignores them.
 func (sm *simulation) holder(q *snipeweight.Queue) snipeweight.Holder {
 	h := snipeweight.Local("holder", q)
 	ask := h.Ask
--- a/snipereplay/snipereplay.go
+++ b/snipereplay/snipereplay.go
@@ -6,9 +6,9 @@
 // The replay acts as a caller (caller.go): it sends calls to a list of entry
 // addresses in turn, as a load balancer would, and retries a call only where that
 // is safe. The checks have two parts. judge.go checks each answer as it arrives.
-// audit.go checks, after the run, what services and engines have recorded: at most
-// one execution of a call that is not idempotent, exactly one when it was answered,
-// and none of a request that was refused as not run. An answer that does not arrive
+// audit.go checks, after the run, what services and engines have recorded: at least
+// one execution of an answered call, at most one of a call to a service that is not
+// idempotent, and none of a request that was refused as not run. An answer that does not arrive
 // completely is a failed try and no breach, unless Replay.Planned is set. A record of
 // executions that cannot be read or is incomplete is an error; see ErrAudit.
 package snipereplay
--- a/snipestand/limitrule.go
+++ b/snipestand/limitrule.go
@@ -38,8 +38,8 @@
 }
 
 // LimitBreaches returns a description of each request with which more requests had reached a runner
-// within LimitSpan than LimitBound returns for the announced limit. The count starts anew after a request that arrives while the runner
-// announces no limit. The function sender returns the instance that sent a request. The function
+// within LimitSpan than LimitBound returns for the highest limit announced to them. The count starts
+// anew after a request that arrives while the runner announces no limit. The function sender returns the instance that sent a request. The function
 // excused reports whether the requests of an instance do not count at a given time; nil excuses
 // none.
 func LimitBreaches(all []Arrival, sender func(id string) string, excused func(instance string, at time.Time) bool) []string {
--- a/snipestand/runner.go
+++ b/snipestand/runner.go
@@ -39,7 +39,7 @@
 	held         map[string]int64 // versions of the adapters that it holds
 	loading      map[string]int64 // versions of the adapters that it is loading
 	newest       map[string]int64 // newest versions of adapters
-	orders       uint64           // accepted orders of this start
+	orders       uint64           // accepted orders since the last start
 	draining     bool
 	invalidEntry bool
 	startedAt    int64 // in milliseconds since 1970
@@ -120,7 +120,8 @@
 	return r.adapterNames()
 }
 
-// AcceptedOrder is an order that a runner has accepted.
+// AcceptedOrder is an order that a runner has accepted. An order that requires nothing to be done, such
+// as a load of an adapter that is held or being loaded, is answered but not counted as accepted.
 type AcceptedOrder struct {
 	Holder string
 	Fence  uint64
