--- a/cmd/snipectl/apply.go
+++ b/cmd/snipectl/apply.go
@@ -73,7 +73,8 @@
 }
 
 // reportAccepted prints the revision of an accepted edit. With a wait above zero
-// it first waits until the edit is in force on every live instance.
+// it first waits until the edit is in force on every live instance, at most for
+// that time.
 func (c *client) reportAccepted(ctx context.Context, revision uint64, wait time.Duration) error {
 	if wait > 0 {
 		if err := c.waitInForce(ctx, revision, wait); err != nil {
@@ -92,14 +93,15 @@
 // edit is an accepted edit as -json prints it.
 type edit struct {
 	Revision uint64
-	// InForce is set if -wait was given and every live instance has the revision in
-	// force. Without -wait it is false and states nothing.
+	// InForce is set if -wait was given and every live instance has the revision, or
+	// a later one, in force. Without -wait it is false and states nothing.
 	InForce bool
 }
 
-// waitInForce waits until the revision is in force on every live instance, and
-// returns errNotInForce after limit. Failed polls are repeated. It requests the revisions from the instances
-// themselves, because the revisions in their lease rows may be older.
+// waitInForce waits until the revision, or a later one, is in force on every live
+// instance, and returns errNotInForce after limit. Failed polls are repeated. It
+// requests the revisions from the instances themselves, because the revisions in
+// their lease rows may be older.
 func (c *client) waitInForce(ctx context.Context, revision uint64, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
--- a/snipepeer/server.go
+++ b/snipepeer/server.go
@@ -206,7 +206,7 @@
 
 // DecodeCall returns a call's fields other than the body, and the time left until its
 // deadline, which may be negative, from a hop's headers. The call's Deadline is by the
-// sender's clock: the caller replaces it. Errors wrap ErrBadCall.
+// sender's clock, and readCall replaces it. Errors wrap ErrBadCall.
 func DecodeCall(header http.Header) (*snipecall.Call, time.Duration, error) {
 	c := &snipecall.Call{}
 	if err := json.Unmarshal([]byte(header.Get(callHeader)), c); err != nil {
--- a/snipereplay/caller.go
+++ b/snipereplay/caller.go
@@ -22,12 +22,13 @@
 	// answer states no Retry-After.
 	minRetryPause = 100 * time.Millisecond
 	// tryTimeoutDivisor sets the time limit of one try of a call that may be retried
-	// after it may have run: the call's timeout divided by tryTimeoutDivisor. After it the caller abandons an
-	// instance that does not answer.
+	// after it may have run: the call's timeout divided by tryTimeoutDivisor. At the
+	// limit the caller abandons an instance that has not answered.
 	tryTimeoutDivisor = 3
 	// deadlineMarginDivisor sets the margin between the deadline that the caller states
 	// and the later end of its own wait for a try: the time left until that end
-	// divided by deadlineMarginDivisor. In the margin the final answer can still reach the caller.
+	// divided by deadlineMarginDivisor. In the margin the final answer can still
+	// reach the caller.
 	deadlineMarginDivisor = 10
 )
 
--- a/snipestand/engine.go
+++ b/snipestand/engine.go
@@ -116,8 +116,8 @@
 	return false
 }
 
-// readOrder reads an order. If the order is invalid or its fencing number is refused, it answers with an error and reports
-// false.
+// readOrder reads an order. If the order is invalid or its fencing number is refused, it answers with
+// an error and reports false.
 func (e *Engine) readOrder(w http.ResponseWriter, r *http.Request) (orderBody, bool) {
 	var o orderBody
 	if !readJSON(w, r, &o) {
@@ -287,8 +287,9 @@
 	e.send(w, r, g, after, EngineFault{})
 }
 
-// send streams the chunks of an answer, starting after the first sent ones, until the answer is
-// complete or canceled, the caller disconnects, or the fault interrupts the answer.
+// send streams the chunks of an answer except the first ones, whose number is sent. It ends when the
+// answer is complete, when all chunks of a canceled answer are sent, when the caller disconnects, or
+// when the fault interrupts the answer.
 func (e *Engine) send(w http.ResponseWriter, r *http.Request, g *generation, sent int, fault EngineFault) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
--- a/snipestand/generation.go
+++ b/snipestand/generation.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// generation is one answer, from its start until it can no longer be resumed.
+// generation is the state of one answer that an engine produces. The engine keeps it for
+// answerRetention after the last token, or until it is canceled, so that the answer can be resumed.
 type generation struct {
 	id, alias, path string
 	chat, usage     bool
