--- a/cmd/snipesoak/main.go
+++ b/cmd/snipesoak/main.go
@@ -1,5 +1,5 @@
-// Command snipesoak runs entry instances as processes under load and faults drawn
-// from a seed, and prints which promises were broken.
+// Command snipesoak runs entry instances as processes, sends them requests, injects
+// faults drawn from a seed, and prints which promises were broken.
 //
 // Usage:
 //
--- a/snipeinstance/listen_test.go
+++ b/snipeinstance/listen_test.go
@@ -39,8 +39,8 @@
 }
 
 // TestConnectionsAreBounded guards against connections that exceed a listener's limit: a connection
-// over the limit gets a refusal, one far over it is closed without an answer, and closing a
-// connection frees its slot.
+// over the limit gets a refusal, one far over it is closed without an answer. After a connection is
+// closed, a new one is served.
 func TestConnectionsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &snipestand.Network{}
--- a/snipesoak/snipesoak.go
+++ b/snipesoak/snipesoak.go
@@ -1,5 +1,5 @@
-// Package snipesoak runs entry instances as processes on one machine under load and
-// faults drawn from a seed, and checks the system's promises by what callers and
+// Package snipesoak runs entry instances as processes on one machine, sends them requests,
+// injects faults drawn from a seed, and checks the system's promises by what callers and
 // upstreams observe.
 //
 // The store, the upstreams and the callers run in the soak's own process. Each instance
--- a/snipestand/engine.go
+++ b/snipestand/engine.go
@@ -53,7 +53,7 @@
 	// BreakAfter is the number of chunks after which each connection is closed; 0 is never. A
 	// resumed connection is not affected.
 	BreakAfter int
-	// FailLoads is the number of loads, counted from the next one, that fail.
+	// FailLoads is the number of loads of adapters, counted from the next one, that fail.
 	FailLoads int
 }
 
--- a/snipestory/cause.go
+++ b/snipestory/cause.go
@@ -220,7 +220,7 @@
 // retries returns the lines that report further attempts of the request.
 func (s *Story) retries() []Line { return s.withEvents(snipelog.RequestSentAgain.Number) }
 
-// loadLines returns the lines that report the results of loads of the request's adapter.
+// loadLines returns the lines that report the results of loading the request's adapter.
 func (s *Story) loadLines() []Line {
 	return s.withEvents(snipelog.AdapterPresent.Number, snipelog.LoadFailed.Number, snipelog.OrderUnknown.Number)
 }
--- a/snipestory/snipestory.go
+++ b/snipestory/snipestory.go
@@ -10,7 +10,7 @@
 // Invariants:
 //
 //   - The cause of a request whose end is logged comes with at least the line of the end, except
-//     AdapterWait, which comes with the results of loads and may have none. If the end is not
+//     AdapterWait, which comes with the results of loading the adapter and may have none. If the end is not
 //     logged, the cause is Unknown.
 //   - Clocks of instances may differ. The time range in which changes are kept is therefore
 //     extended by clockSlack at its end; its beginning and the narrower windows of cause.go
