--- a/snipeinstance/snipeinstance.go
+++ b/snipeinstance/snipeinstance.go
@@ -262,7 +262,8 @@
 	return candidates[n].Name, nil
 }
 
-// execute runs a call on this instance or forwards it to the instance that owns its engine.
+// execute runs a call on this instance or forwards it to the instance that owns its engine. Calls to
+// plain services always run on this instance. It returns ErrNoUpstream if the engine has no owner.
 func (i *Instance) execute(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
 	if c.Service != "" {
 		return i.health.execute(ctx, c, sink)
--- a/snipesoak/faults.go
+++ b/snipesoak/faults.go
@@ -218,7 +218,7 @@
 	snipestand.RunnerWrongID, snipestand.RunnerUnsigned, snipestand.RunnerLosesOrders, snipestand.RunnerLateOrders,
 }
 
-// disruptUpstreams makes the upstreams fail a random number of requests or orders.
+// disruptUpstreams makes the upstreams fail requests or orders for d, but no more than a random number.
 func disruptUpstreams(s *Soak, r *rand.Rand, d time.Duration) string {
 	all := upstreamFaultsForSeed(s.Seed)
 	f := all[r.IntN(len(all))]
--- a/snipeupstream/exchange.go
+++ b/snipeupstream/exchange.go
@@ -36,8 +36,9 @@
 
 // SilenceLimit bounds the silence of an exchange.
 type SilenceLimit struct {
-	// Progress is the longest silence before the response's header; zero means
-	// no bound, and less than one second counts as one second.
+	// Progress is the longest time from Begin until StopTimer or RestartTimer is
+	// called; the response's header alone does not stop the timer. Zero means no
+	// bound, and less than one second counts as one second.
 	Progress time.Duration
 	// ReusedOnly applies the bound only to a connection that had been used before.
 	ReusedOnly bool
--- a/snipeupstream/snipeupstream.go
+++ b/snipeupstream/snipeupstream.go
@@ -65,11 +65,13 @@
 	// connection for each request and sends all others: orders, cancels,
 	// resumes, and calls that may not be repeated.
 	Pooled, Fresh *http.Client
-	// Progress is the longest silence of a connection before it is closed: before
-	// the response's header and between two chunks.
+	// Progress is the longest silence of a connection before it is closed. It bounds
+	// the time from the request to the first event, or to the response's header if
+	// FirstChunk applies, and the time between two events.
 	Progress time.Duration
 	// FirstChunk is the longest silence between the response's header and the
-	// first chunk, while the engine queues the call; zero means Progress.
+	// first chunk, while the engine queues the call. Zero: the header does not
+	// restart the silence, and Progress bounds the time to the first event.
 	FirstChunk time.Duration
 	// Log receives events; nil disables logging.
 	Log *snipelog.Logger
