--- a/snipeinstance/claims.go
+++ b/snipeinstance/claims.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// sweepInterval is the time between two partitions that an instance sweeps.
+	// sweepInterval is the time from the sweep of one partition to that of the next.
 	sweepInterval = 10 * time.Second
 	// claimTimeout bounds each step of a claim before the call is dispatched.
 	claimTimeout = 2 * time.Second
 )
 
-// buildClaims makes the attempts of a go through the claims, which are the rows that reserve a
-// request key for one call, and returns the function that executes a call.
+// buildClaims makes the attempts of the Retrier a go through the claims, the rows that each reserve
+// a request key for one call. It returns the function that executes a call.
 func (i *Instance) buildClaims(
 	guard *snipeplatform.Guard, a *sniperetry.Retrier,
 ) func(ctx context.Context, c *snipecall.Call, sink snipecall.Sink) error {
--- a/snipeinstance/quarantine.go
+++ b/snipeinstance/quarantine.go
@@ -26,9 +26,9 @@
 	quarantineHold = time.Hour
 	// clearedTTL is how long the record of a cleared suspect is announced.
 	clearedTTL = time.Minute
-	// settleTime is how long no suspect starts after a crash or a change of the members. It is
-	// longer than an update takes to reach every instance and an attempt takes to move to a new
-	// coordinator.
+	// settleTime is how long no suspect starts after a crash or a change of the members. An update
+	// needs less than this time to reach every instance, and so does an attempt to move to a new
+	// coordinator, the instance that decides when a suspect may run.
 	settleTime = 3 * time.Second
 	// lingerTime is the assumed upper bound of the time for which an upstream keeps executing a call
 	// that was abandoned.
@@ -51,8 +51,8 @@
 	view    *snipelease.View
 	listed  time.Time // when members was computed
 	members []snipequarantine.Member
-	// versions holds the version of the last merged announcement (snipemember.Digest) by origin and
-	// key. Only the goroutine of loop accesses it.
+	// versions holds the version of the last merged announcement (snipemember.Digest) by origin, the
+	// instance that announced it, and key. Only the goroutine of loop accesses it.
 	versions map[string]uint64
 }
 
@@ -104,8 +104,9 @@
 	return m.PeerAddress, ok && memberID(m) == member
 }
 
-// announce publishes a crash record. A record without open crashes is published for clearedTTL
-// only, which is long enough to replace the earlier announcements.
+// announce publishes a crash record for ttl, but at most for quarantineHold. The record of a call that
+// is no longer a suspect is published for clearedTTL, which is long enough to replace the earlier
+// announcements.
 func (q *quarantine) announce(f snipequarantine.Fingerprint, record []byte, ttl time.Duration) {
 	if !q.guard.Registry.IsSuspect(f) {
 		ttl = clearedTTL
--- a/snipepolicy/previous.go
+++ b/snipepolicy/previous.go
@@ -52,7 +52,9 @@
 }
 
 // find returns the entry of a resident adapter, now in use. Otherwise it returns the channel to
-// wait for, which belongs to a started load of the entry or, without an entry, to the next change.
+// wait for. If the adapter is being loaded, which find starts if a slot is free, the channel is
+// closed when the load ends. If it is being evicted or no slot is free, the channel is closed at the
+// next change of the entries.
 func (s *previousSlots) find(a snipecall.Adapter) (*previousEntry, <-chan struct{}) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/snipesoak/faults.go
+++ b/snipesoak/faults.go
@@ -54,10 +54,10 @@
 	{"an upstream asks for rest", requestBackoff},
 }
 
-// Seeds below firstSeeds draw only from the first firstFaults and firstUpstreamFaults entries of
-// the lists, and seeds below secondSeeds from the first secondFaults faults. These entries were
-// in the lists before the others, so that a seed that once revealed a defect still draws the
-// same faults.
+// The lists of faults have grown, and a seed that once revealed a defect must still draw the same
+// faults. Seeds below firstSeeds therefore draw only from the first firstFaults faults and the
+// first firstUpstreamFaults faults of upstreams. Other seeds below secondSeeds draw from the first
+// secondFaults faults.
 const (
 	firstSeeds          = 1000
 	firstFaults         = 12
@@ -218,7 +218,7 @@
 	snipestand.RunnerWrongID, snipestand.RunnerUnsigned, snipestand.RunnerLosesOrders, snipestand.RunnerLateOrders,
 }
 
-// disruptUpstreams makes the upstreams fail a random number of requests or orders.
+// disruptUpstreams makes the upstreams fail requests or orders for d, but no more than a random number.
 func disruptUpstreams(s *Soak, r *rand.Rand, d time.Duration) string {
 	all := upstreamFaultsForSeed(s.Seed)
 	f := all[r.IntN(len(all))]
--- a/snipesoak/snipesoak.go
+++ b/snipesoak/snipesoak.go
@@ -1,5 +1,5 @@
-// Package snipesoak runs entry instances as processes on one machine under load and
-// faults drawn from a seed, and checks the system's promises by what callers and
+// Package snipesoak runs entry instances as processes on one machine, sends them requests,
+// injects faults drawn from a seed, and checks the system's promises by what callers and
 // upstreams observe.
 //
 // The store, the upstreams and the callers run in the soak's own process. Each instance
@@ -76,7 +76,7 @@
 	// events is the number of events in a streamed answer.
 	events = 6
 	// adapters is the number of adapters that callers request, slots how many of them an
-	// engine holds. The difference keeps loads and evictions going on all the time.
+	// engine can hold. The difference keeps loads and evictions of adapters going on all the time.
 	adapters, slots = 30, 5
 	// recoveryTimeout bounds the time until every kind of request is served after the start
 	// and after the last fault.
@@ -88,8 +88,8 @@
 	// lateOrderDelay is how much later an engine executes an order under RunnerLateOrders. It is
 	// long enough for the engine to have restarted in between.
 	lateOrderDelay = 3 * time.Second
-	// orderGap is the instances' OrderGap setting: the least time between orders of two
-	// instances to one engine.
+	// orderGap is the instances' OrderGap setting: the least time after which an instance may
+	// again order an engine that another instance owned in between.
 	orderGap = 3 * time.Second
 	// maxBody bounds the bodies of requests in bytes.
 	maxBody = 1 << 20
--- a/snipestand/limitrule.go
+++ b/snipestand/limitrule.go
@@ -13,9 +13,9 @@
 	// requests more.
 	limitOverrun = 1.5
 	limitSlack   = 5
-	// limitSettleTime is the time after the first announcement of a limit from which the bound
-	// holds. limitNoticeTime is the time after the first answer to an instance that announces the
-	// limit from which requests of that instance count.
+	// limitSettleTime is the time from the first announcement of a limit until breaches are
+	// reported. limitNoticeTime is the time from the first announcement to one instance until
+	// requests of that instance count.
 	limitSettleTime = 3 * time.Second
 	limitNoticeTime = 500 * time.Millisecond
 )
@@ -37,9 +37,9 @@
 	counted []Arrival
 }
 
-// LimitBreaches returns a description of each request at which more requests had reached a runner
-// than its limit allows. The count starts anew after a request that arrives while the runner
-// announces no limit. The function sender returns the instance that sent a request. The function
+// LimitBreaches returns a description of each request with which more requests had reached a runner
+// within LimitSpan than LimitBound returns for the highest limit announced to them. The count starts
+// anew after a request that arrives while the runner announces no limit. The function sender returns the instance that sent a request. The function
 // excused reports whether the requests of an instance do not count at a given time; nil excuses
 // none.
 func LimitBreaches(all []Arrival, sender func(id string) string, excused func(instance string, at time.Time) bool) []string {
--- a/snipestory/cause.go
+++ b/snipestory/cause.go
@@ -48,9 +48,9 @@
 }
 
 // failureWindow is the time before and after the end of a request in which other failures of the
-// same upstream may be logged. An upstream becomes suspect only after three requests in a row
-// without an answer, unless it cannot be reached at all, and its entry in the registry expires only
-// after the duration of its lease.
+// same upstream may be logged. Such failures can be logged late: an upstream that can be reached
+// becomes suspect only after three requests in a row without an answer, and its entry in the registry
+// expires only after the duration of its lease.
 const failureWindow = 4 * time.Second
 
 // evictionWindow is the time before the arrival of a request in which an eviction can explain that
@@ -220,7 +220,7 @@
 // retries returns the lines that report further attempts of the request.
 func (s *Story) retries() []Line { return s.withEvents(snipelog.RequestSentAgain.Number) }
 
-// loadLines returns the lines that report the results of loads of the request's adapter.
+// loadLines returns the lines that report the results of loading the request's adapter.
 func (s *Story) loadLines() []Line {
 	return s.withEvents(snipelog.AdapterPresent.Number, snipelog.LoadFailed.Number, snipelog.OrderUnknown.Number)
 }
