--- a/snipeentry/whole_test.go
+++ b/snipeentry/cluster_test.go
@@ -29,8 +29,8 @@
 
 const host = "calls.example"
 
-// stage is a store, runners and entry instances on loopback.
-type stage struct {
+// testCluster is a store, upstreams and entry instances on loopback.
+type testCluster struct {
 	t       *testing.T
 	store   *snipestand.RowStore
 	address netip.AddrPort
@@ -41,13 +41,13 @@
 }
 
 // Write implements io.Writer for the instances' logs.
-func (s *stage) Write(p []byte) (int, error) {
+func (s *testCluster) Write(p []byte) (int, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.log.Write(p)
 }
 
-func (s *stage) logged() string {
+func (s *testCluster) logged() string {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.log.String()
@@ -62,10 +62,10 @@
 	return netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// newStage starts a store, two engines and two plain upstreams, which write their
-// entries until the test ends. Events of streams come at an interval.
-func newStage(t *testing.T, event time.Duration) *stage {
-	s := &stage{t: t, store: snipestand.NewRowStore(), runners: map[string]*snipestand.Runner{}}
+// newTestCluster starts a store, two engines and two plain upstreams, which write their registry
+// entries until the test ends. event is the interval between the events of a stream.
+func newTestCluster(t *testing.T, event time.Duration) *testCluster {
+	s := &testCluster{t: t, store: snipestand.NewRowStore(), runners: map[string]*snipestand.Runner{}}
 	s.address = serve(t, s.store.Handler())
 	for _, r := range []*snipestand.Runner{
 		{ID: "e1", Service: "engines", Model: "base"},
@@ -79,14 +79,14 @@
 		r.Address = serve(t, r.Handler()).String()
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var beating sync.WaitGroup
-	t.Cleanup(func() { cancel(); beating.Wait() })
-	beating.Go(func() { s.beat(ctx) })
+	var heartbeats sync.WaitGroup
+	t.Cleanup(func() { cancel(); heartbeats.Wait() })
+	heartbeats.Go(func() { s.writeHeartbeats(ctx) })
 	return s
 }
 
-// beat writes all runners' entries twice a second.
-func (s *stage) beat(ctx context.Context) {
+// writeHeartbeats writes the registry entries of all upstreams twice a second.
+func (s *testCluster) writeHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, r := range s.runners {
 			if err := r.Beat(s.store); err != nil {
@@ -102,14 +102,14 @@
 
 type object = map[string]any
 
-// declare writes the operators' catalog, with its workspaces if there are any.
-func (s *stage) declare(version int, workspaces ...object) {
-	route := func(name, prefix, kind, service string, more object) object {
+// declare writes the operators' catalog, with the given workspaces.
+func (s *testCluster) declare(version int, workspaces ...object) {
+	route := func(name, prefix, kind, service string, extra object) object {
 		r := object{
 			"name": name, "host": host, "prefix": prefix, "routeKind": kind, "service": service,
 			"timeoutMs": 8000, "targetLatencyMs": 3000, "maxAttempts": 2,
 		}
-		for k, v := range more {
+		for k, v := range extra {
 			r[k] = v
 		}
 		return r
@@ -141,7 +141,7 @@
 	kill  context.CancelFunc
 }
 
-func (s *stage) start(name string) *instance {
+func (s *testCluster) start(name string) *instance {
 	listeners := map[netip.AddrPort]net.Listener{}
 	open := func() netip.AddrPort {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -206,8 +206,8 @@
 	return a.StatusCode == http.StatusOK
 }
 
-// serving waits until an instance serves plain upstreams and engines.
-func serving(t *testing.T, i *instance) {
+// waitServing waits until an instance serves plain upstreams and engines.
+func waitServing(t *testing.T, i *instance) {
 	t.Helper()
 	eventually(t, i.isReady)
 	for _, target := range []string{"/once/x", "/final/x"} {
@@ -218,7 +218,7 @@
 	}
 }
 
-// reply is a caller's view of an answer.
+// reply is an answer as the caller receives it.
 type reply struct {
 	status int
 	header http.Header
@@ -228,7 +228,7 @@
 
 var requests = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// send sends a request of a fresh identifier.
+// send sends a request with a new identifier, and returns the reply and the identifier.
 func send(t *testing.T, url, method, target, body string, header ...string) (reply, string) {
 	t.Helper()
 	id := rand.Text()
@@ -249,7 +249,7 @@
 	return reply{a.StatusCode, a.Header, string(data), err}, id
 }
 
-// events are those of a whole answer, from one on.
+// events returns the events of a complete answer from the given number on.
 func events(from int) string {
 	var b strings.Builder
 	for n := from; n <= 6; n++ {
@@ -258,8 +258,8 @@
 	return b.String()
 }
 
-// total returns how often a request ran, over all runners.
-func (s *stage) total(id string) int {
+// total returns how often a request was executed on all upstreams together.
+func (s *testCluster) total(id string) int {
 	n := 0
 	for _, r := range s.runners {
 		n += r.Ran()[id]
@@ -269,9 +269,9 @@
 
 const modelHeader = "X-Snipepitch-Model"
 
-// TestWholePath plays callers, instances, upstreams and the store together.
+// TestWholePath runs callers, instances, upstreams and the store together.
 func TestWholePath(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	one := s.start("one")
 	eventually(t, func() bool {
 		a, _ := send(t, one.url, http.MethodPost, "/once/x", "")
@@ -279,7 +279,7 @@
 	})
 	must.False(t, one.isReady())
 	s.declare(1)
-	serving(t, one)
+	waitServing(t, one)
 
 	t.Run("ByteForByte", func(t *testing.T) {
 		const target = "/once/%2F%41/..//x?a=%20+b;&&"
@@ -349,13 +349,13 @@
 	}
 }
 
-// faults holds what callers get when upstreams fail, and how often requests run.
-func faults(t *testing.T, s *stage, one *instance) {
+// faults checks what callers receive when upstreams fail, and how often the requests are executed.
+func faults(t *testing.T, s *testCluster, one *instance) {
 	tests := map[string]struct {
 		target, service string
 		fault           snipestand.RunnerFault
 		times           int
-		status          int // 0: the answer breaks off
+		status          int // 0: the answer is cut off
 		body            string
 		ran             int
 	}{
@@ -394,10 +394,11 @@
 	}
 }
 
-// TestFirstCaller answers the pattern of callers that come back before the instance knows routes and
-// upstreams, as all do after a loss of power: they wait for what takes a moment.
+// TestFirstCaller guards against refusing callers that arrive before the instance knows routes and
+// upstreams, as all callers do after a power failure. Their requests are held for the short time
+// that this takes.
 func TestFirstCaller(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
 	eventually(t, func() bool { return s.store.Rows("servers") == len(s.runners) })
 	one := s.start("one")
@@ -405,14 +406,14 @@
 	must.Eq(t, http.StatusOK, a.status, must.Sprint(a.body))
 }
 
-// TestInstanceDies: the engines that an instance may order pass to another one, no
-// engine is ordered by two at once, and requests go on.
+// TestInstanceDies guards against engines that stay without an owner after their owner is killed,
+// against two instances that order one engine at once, and against requests that fail meanwhile.
 func TestInstanceDies(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
 	one, two := s.start("one"), s.start("two")
-	serving(t, one)
-	serving(t, two)
+	waitServing(t, one)
+	waitServing(t, two)
 	draft := func(i *instance, adapter string) bool {
 		a, _ := send(t, i.url, http.MethodPost, "/draft/x", "", modelHeader, "base/"+adapter)
 		return a.status == http.StatusOK && a.body == events(1)
@@ -437,13 +438,13 @@
 	}
 }
 
-// TestStop: a planned stop ends readiness at once, answers what comes meanwhile and
-// cuts nothing.
+// TestStop guards against a planned stop that leaves readiness on, refuses requests that still
+// arrive, or cuts off requests in flight.
 func TestStop(t *testing.T) {
-	s := newStage(t, 100*time.Millisecond)
+	s := newTestCluster(t, 100*time.Millisecond)
 	s.declare(1)
 	one := s.start("one")
-	serving(t, one)
+	waitServing(t, one)
 	before := len(s.runners["e1"].Ran()) + len(s.runners["e2"].Ran())
 	answered := make(chan reply, 1)
 	go func() {
@@ -459,7 +460,8 @@
 	must.NoError(t, <-one.ended)
 }
 
-// TestStoreLost: without the store what is known stays in use.
+// TestStoreLost guards against instances that drop the known routes and upstreams when the store is
+// lost.
 func TestStoreLost(t *testing.T) {
 	modes := map[string]snipestand.StoreMode{
 		"Refuses": snipestand.StoreRefuses, "Silent": snipestand.StoreSilent,
@@ -467,10 +469,10 @@
 	}
 	for name, mode := range modes {
 		t.Run(name, func(t *testing.T) {
-			s := newStage(t, time.Millisecond)
+			s := newTestCluster(t, time.Millisecond)
 			s.declare(1)
 			one := s.start("one")
-			serving(t, one)
+			waitServing(t, one)
 			s.store.SetMode(mode)
 			eventually(t, func() bool { return strings.Contains(s.logged(), `"Name":"CatalogStale"`) })
 			a, _ := send(t, one.url, http.MethodPost, "/once/x", "")
@@ -483,12 +485,13 @@
 	}
 }
 
-// TestHistoryLost: a store that forgot its history is read anew.
+// TestHistoryLost guards against instances that miss changes after the store has dropped its
+// history of changes: the tables have to be read completely again.
 func TestHistoryLost(t *testing.T) {
-	s := newStage(t, time.Millisecond)
+	s := newTestCluster(t, time.Millisecond)
 	s.declare(1)
 	one := s.start("one")
-	serving(t, one)
+	waitServing(t, one)
 	s.store.Compact()
 	s.declare(2)
 	eventually(t, func() bool { return strings.Contains(s.logged(), `"Catalog":2,"Event":310`) })
--- a/snipeentry/entries.go
+++ b/snipeentry/entries.go
@@ -2,43 +2,43 @@
 
 import "sync"
 
-// maxWrongEntries bounds the entries that are remembered as wrong: the registry holds at
-// most some thousand, and who writes nonsense under ever new keys must not take memory.
-const maxWrongEntries = 4096
+// maxInvalidEntries bounds the entries that are recorded as invalid. The registry holds at most a
+// few thousand entries, and a writer of invalid entries under ever new keys must not use up memory.
+const maxInvalidEntries = 4096
 
-// wrongEntries are the keys of entries of the registry that cannot be understood. The
-// zero value is ready; it is safe for concurrent use.
-type wrongEntries struct {
+// invalidEntries holds the keys of registry entries that cannot be decoded. The zero value is ready
+// to use; it is safe for concurrent use.
+type invalidEntries struct {
 	lock sync.Mutex // guards keys
 	keys map[string]bool
 }
 
-// Add notes a wrong entry and reports whether that is new.
-func (w *wrongEntries) Add(key string) bool {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	if w.keys[key] || len(w.keys) >= maxWrongEntries {
+// Add records an invalid entry and reports whether it is new.
+func (e *invalidEntries) Add(key string) bool {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	if e.keys[key] || len(e.keys) >= maxInvalidEntries {
 		return false
 	}
-	if w.keys == nil {
-		w.keys = make(map[string]bool)
+	if e.keys == nil {
+		e.keys = make(map[string]bool)
 	}
-	w.keys[key] = true
+	e.keys[key] = true
 	return true
 }
 
-// Remove notes that an entry is not wrong and reports whether it was.
-func (w *wrongEntries) Remove(key string) bool {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	was := w.keys[key]
-	delete(w.keys, key)
+// Remove records that an entry is valid and reports whether it was invalid.
+func (e *invalidEntries) Remove(key string) bool {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	was := e.keys[key]
+	delete(e.keys, key)
 	return was
 }
 
-// Len returns how many entries are wrong.
-func (w *wrongEntries) Len() int {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	return len(w.keys)
+// Len returns the number of invalid entries.
+func (e *invalidEntries) Len() int {
+	e.lock.Lock()
+	defer e.lock.Unlock()
+	return len(e.keys)
 }
--- a/snipeentry/promise.go
+++ b/snipeentry/extension.go
@@ -11,18 +11,18 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// ownershipServer answers other instances that own engines and do not reach the store.
+// ownershipServer answers other instances that own engines and cannot reach the store.
 type ownershipServer struct {
 	holder *snipeowner.Holder
 	relay  *relay
 }
 
-// maxPromised bounds the engines of one question: an instance owns fewer.
-const maxPromised = 100
+// maxExtendedEngines bounds the engines of one request. An instance owns fewer engines.
+const maxExtendedEngines = 100
 
 // Promise implements snipeproto.Ownership.
 func (s *ownershipServer) Promise(_ context.Context, r *snipeproto.OwnershipPromiseRequest) (*snipeproto.OwnershipPromiseResponse, error) {
-	if len(r.GetEngines()) > maxPromised {
+	if len(r.GetEngines()) > maxExtendedEngines {
 		return nil, twirp.InvalidArgumentError("engines", "are too many")
 	}
 	q := snipeowner.Question{Unanswered: time.Duration(r.GetUnansweredMilliseconds()) * time.Millisecond}
@@ -40,15 +40,17 @@
 	return &snipeproto.OwnershipPromiseResponse{Granted: s.holder.Grant(q)}, nil
 }
 
-// promise asks another instance to leave this one its engines.
-func (i *Instance) promise(ctx context.Context, peer netip.AddrPort, q snipeowner.Question) error {
+// requestExtension asks another instance to grant a lease extension: not to take over this
+// instance's engines for the time of a lease. It returns snipeowner.ErrNoPromise if the instance
+// refuses.
+func (i *Instance) requestExtension(ctx context.Context, peer netip.AddrPort, q snipeowner.Question) error {
 	r := &snipeproto.OwnershipPromiseRequest{
 		Owner: q.Owner.String(), UnansweredMilliseconds: q.Unanswered.Milliseconds(),
 	}
 	for _, engine := range q.Engines {
 		r.Engines = append(r.Engines, engine.String())
 	}
-	answer, err := i.peers.owners.of(peer).Promise(ctx, r)
+	answer, err := i.peers.owners.client(peer).Promise(ctx, r)
 	switch {
 	case err != nil:
 		return err
--- a/snipeentry/feed.go
+++ b/snipeentry/feed.go
@@ -17,43 +17,43 @@
 )
 
 const (
-	// catalogWait is how long one read waits for a change of what operators
-	// declared. A connection that has gone silent hides changes no longer than
-	// this and the store's timeout, and a copy that others follow is as old as this
-	// when nothing changes.
+	// catalogWait is how long one read waits for a change of the operators' declarations. A broken
+	// connection hides changes for at most this time plus the store's timeout. While nothing
+	// changes, a copy that other instances follow gets as old as this.
 	catalogWait = time.Second
-	// catalogPace is the least time between two reads, so that a storm of changes
-	// costs ten reads a second at most.
-	catalogPace = 100 * time.Millisecond
-	// directoryWait and directoryPace are the same for the registry, whose entries
-	// change all the time: a read seldom waits. Upstreams that leave take new work for
-	// two seconds.
-	directoryWait = 200 * time.Millisecond
-	directoryPace = 1100 * time.Millisecond
-	// ownershipPace is the same for the rows of ownership, which change with each
-	// renewal. A dead owner is noticed after its lease, more than two seconds.
-	ownershipPace = 1500 * time.Millisecond
-	// maxOwnershipAge is how old the rows of ownership may be for it to be judged by
-	// them who lives: two reads.
+	// catalogInterval is the least time between two reads, so that a burst of changes costs at most
+	// ten reads a second.
+	catalogInterval = 100 * time.Millisecond
+	// directoryWait and directoryInterval are the same for the registry. Its entries change all the
+	// time, so a read seldom waits. A leaving upstream still accepts new work for two seconds,
+	// which bounds the interval.
+	directoryWait     = 200 * time.Millisecond
+	directoryInterval = 1100 * time.Millisecond
+	// ownershipInterval is the same for the ownership rows, which change with each renewal. The
+	// loss of an owner is detected only after its lease of more than two seconds.
+	ownershipInterval = 1500 * time.Millisecond
+	// maxOwnershipAge is the greatest age at which the ownership rows may be used to decide which
+	// instances are live. It allows for two reads.
 	maxOwnershipAge = 4 * time.Second
 )
 
 const (
-	// acquaintance is how long an instance that starts waits at most to know the others,
-	// whose copies it follows, before it reads the store's tables itself: where the store is
-	// silent all that start are without routes meanwhile.
-	acquaintance = 400 * time.Millisecond
-	// acquaintanceEvery is the time between two looks.
-	acquaintanceEvery = 10 * time.Millisecond
-	// settledAfter is how long after its start an instance that knows nobody looks for others
-	// more often: all may have started at once, and have written no row yet.
-	settledAfter = 3 * time.Second
+	// maxDiscoveryWait is how long a starting instance waits at most to discover the others, whose
+	// copies it follows, before it reads the store's tables itself. If the store does not answer,
+	// all starting instances are without routes for this time.
+	maxDiscoveryWait = 400 * time.Millisecond
+	// discoveryInterval is the time between two checks for other instances.
+	discoveryInterval = 10 * time.Millisecond
+	// startupWindow is how long after its start an instance that knows no others reads the
+	// ownership rows more often. All instances may have started at once and not have written their
+	// rows yet.
+	startupWindow = 3 * time.Second
 )
 
-// positionName names the store's position in log lines, upstreamName an upstream.
+// positionField is the log field of the store's position, upstreamField that of an upstream.
 const (
-	positionName = "Position"
-	upstreamName = "Upstream"
+	positionField = "Position"
+	upstreamField = "Upstream"
 )
 
 // tables are the tables of the store that an instance follows.
@@ -67,7 +67,7 @@
 	return []*snipemirror.Follower{t.catalog, t.directory, t.ownership}
 }
 
-// mirrors returns the copies by the tables' names, for other instances.
+// mirrors returns the copies that are served to other instances, by table name.
 func (i *Instance) mirrors() map[string]*snipemirror.Mirror {
 	return map[string]*snipemirror.Mirror{
 		i.Platform.DeclaredTable: i.tables.catalog.Mirror,
@@ -76,37 +76,40 @@
 	}
 }
 
-// follower returns the follower of a table.
-func (i *Instance) follower(table string, pace, wait time.Duration, ages copyAges) *snipemirror.Follower {
+// follower returns the follower of a table. interval is the least time between two reads of the
+// store, wait how long one read waits for a change.
+func (i *Instance) follower(table string, interval, wait time.Duration, ages maxCopyAges) *snipemirror.Follower {
 	return &snipemirror.Follower{
-		Rare:   i.standsBy,
-		Mirror: snipemirror.New(), Store: i.source(table), Pace: pace, Wait: wait,
-		MaxAge: func() time.Duration { return i.copyAge(ages) },
+		Rare:   i.onStandby,
+		Mirror: snipemirror.New(), Store: i.source(table), Pace: interval, Wait: wait,
+		MaxAge: func() time.Duration { return i.maxCopyAge(ages) },
 		Near: func(failures int, lost bool) (func(context.Context, uint64, time.Duration) (snipemirror.Page, error), bool) {
-			return i.near(table, failures, lost)
+			return i.peerCopy(table, failures, lost)
 		},
 	}
 }
 
-// alone reports whether no other instance is known.
-func (i *Instance) alone() bool { return i.instances() <= 1 }
+// noPeersKnown reports whether no other instance is known.
+func (i *Instance) noPeersKnown() bool { return i.instances() <= 1 }
 
-// acquaint waits until other instances are known, so that a start of hundreds reads of the
-// store what each needs to find the others, and the rest from these. While the store does not
-// answer nobody can be found by it.
-func (i *Instance) acquaint(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, acquaintance)
+// waitForPeers waits until other instances are known, at most for maxDiscoveryWait. When hundreds
+// of instances start at once, each then reads from the store only the ownership rows, and all other
+// tables from other instances. It returns at once if the ownership rows cannot be read, since no
+// instance can be discovered without them.
+func (i *Instance) waitForPeers(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, maxDiscoveryWait)
 	defer cancel()
-	for i.alone() && !i.strange.Load() && snipetime.Sleep(ctx, acquaintanceEvery) {
+	for i.noPeersKnown() && !i.ownershipUnreadable.Load() && snipetime.Sleep(ctx, discoveryInterval) {
 	}
 }
 
-// standsBy reports whether this instance leaves duties for all to others.
-func (i *Instance) standsBy() bool { return i.holder.View().Live[i.Settings.Peers].Standby }
+// onStandby reports whether this instance is on standby, and so leaves the tasks that are done for
+// all instances to others.
+func (i *Instance) onStandby() bool { return i.holder.View().Live[i.Settings.Peers].Standby }
 
 func (i *Instance) buildTables() {
 	t := &i.tables
-	t.catalog = i.follower(i.Platform.DeclaredTable, catalogPace, catalogWait, feedAges)
+	t.catalog = i.follower(i.Platform.DeclaredTable, catalogInterval, catalogWait, tableCopyAges)
 	t.catalog.Changed = func(rows []snipemirror.Row, position uint64) {
 		if len(rows) > 0 {
 			i.applyCatalog(i.Platform.DecodeDeclared(rows, position))
@@ -115,7 +118,7 @@
 	t.catalog.Lost = func(err error) { i.Log.Error(snipelog.CatalogStale, err, i.catalogFields()) }
 	t.catalog.Back = func() { i.Log.Log(snipelog.CatalogFresh, i.catalogFields()) }
 
-	t.directory = i.follower(i.Platform.UpstreamTable, directoryPace, directoryWait, feedAges)
+	t.directory = i.follower(i.Platform.UpstreamTable, directoryInterval, directoryWait, tableCopyAges)
 	t.directory.Mirror.Same = i.Platform.SameUpstream
 	t.directory.Changed = i.applyDirectory
 	t.directory.Lost = func(err error) {
@@ -126,18 +129,18 @@
 		i.Log.Log(snipelog.DirectoryFresh, snipelog.Fields{"Upstreams": i.directory.Snapshot().Len()})
 	}
 
-	t.ownership = i.follower(snipeowner.Partition, ownershipPace, directoryWait, ownershipAges)
+	t.ownership = i.follower(snipeowner.Partition, ownershipInterval, directoryWait, ownershipCopyAges)
 	t.ownership.Changed = func([]snipemirror.Row, uint64) {
-		if i.alone() {
+		if i.noPeersKnown() {
 			i.holder.Nudge()
 		}
 	}
 	started := time.Now()
-	t.ownership.Hasten = func() bool { return i.alone() && time.Since(started) < settledAfter }
-	t.catalog.Begin, t.directory.Begin = i.acquaint, i.acquaint
-	// The holder tells of the loss of the store itself, by its renewals.
-	t.ownership.Lost = func(error) { i.strange.Store(true) }
-	t.ownership.Back = func() { i.strange.Store(false) }
+	t.ownership.Hasten = func() bool { return i.noPeersKnown() && time.Since(started) < startupWindow }
+	t.catalog.Begin, t.directory.Begin = i.waitForPeers, i.waitForPeers
+	// The loss of the store itself is logged by the relay, when renewals fail.
+	t.ownership.Lost = func(error) { i.ownershipUnreadable.Store(true) }
+	t.ownership.Back = func() { i.ownershipUnreadable.Store(false) }
 }
 
 func (i *Instance) catalogFields() snipelog.Fields {
@@ -148,7 +151,7 @@
 	return snipelog.Fields{"Catalog": version}
 }
 
-// applyCatalog puts what operators declared in force.
+// applyCatalog puts the operators' declarations in force.
 func (i *Instance) applyCatalog(c snipecatalog.Change) {
 	for _, err := range c.Wrong {
 		i.Log.Error(snipelog.CatalogWrong, err, i.catalogFields())
@@ -156,32 +159,32 @@
 	for _, v := range c.Versions {
 		if i.catalog.Announce(v.Adapter, v.Version) {
 			i.Log.Log(snipelog.VersionAnnounced, snipelog.Fields{"Adapter": v.Adapter.Name, "Version": v.Version})
-			i.desk.Refresh(v.Adapter, v.Version)
+			i.controller.Refresh(v.Adapter, v.Version)
 		}
 	}
 	if c.Catalog != nil && i.catalog.Adopt(c.Catalog) {
 		i.Log.Log(snipelog.CatalogInForce, snipelog.Fields{
-			"Catalog": c.Catalog.Version, "Routes": len(c.Catalog.Routes), positionName: c.Position,
+			"Catalog": c.Catalog.Version, "Routes": len(c.Catalog.Routes), positionField: c.Position,
 		})
-		i.noteKnown()
+		i.openStartupGate()
 	}
 }
 
-// noteKnown lets callers go on that wait for routes and upstreams, if both are known.
-func (i *Instance) noteKnown() {
+// openStartupGate releases the callers that wait for routes and upstreams, once both are known.
+func (i *Instance) openStartupGate() {
 	if i.catalog.Catalog() != nil && i.directory.Snapshot().Len() > 0 {
-		i.beginning.note()
+		i.startupGate.release()
 	}
 }
 
-// applyDirectory takes what was read of the registry.
+// applyDirectory applies rows that were read from the registry.
 func (i *Instance) applyDirectory(rows []snipemirror.Row, position uint64) {
 	change, wrong := i.Platform.DecodeUpstreams(rows, position)
-	i.tellEntries(change, wrong)
+	i.logEntries(change, wrong)
 	first := i.directory.Snapshot() == nil
 	i.directory.Apply(change)
 	if first {
-		i.Log.Log(snipelog.DirectoryRead, snipelog.Fields{"Upstreams": i.directory.Snapshot().Len(), positionName: position})
+		i.Log.Log(snipelog.DirectoryRead, snipelog.Fields{"Upstreams": i.directory.Snapshot().Len(), positionField: position})
 	}
 	i.residency.Read()
 	now := i.directory.Snapshot()
@@ -190,12 +193,12 @@
 			i.residency.Observe(u)
 		}
 	}
-	i.noteKnown()
+	i.openStartupGate()
 }
 
-// forget drops what is known of starts of upstreams that are not in the directory: what
-// others say of one may come after it was forgotten.
-func (i *Instance) forget() {
+// forgetUnregistered drops the state of upstream starts that are not in the directory. Other
+// instances may report on an upstream after it was dropped here, which creates its state again.
+func (i *Instance) forgetUnregistered() {
 	now := i.directory.Snapshot()
 	registered := func(id string) bool { return now.ByID(id) != nil }
 	i.residency.Keep(registered)
@@ -203,26 +206,27 @@
 	i.signals.Keep(registered)
 }
 
-// tellEntries logs which entries of the registry cannot be understood, and which can be
-// again. Each is told once: whoever writes nonsense may do so every second.
-func (i *Instance) tellEntries(c snipedirectory.Change, wrong []error) {
+// logEntries logs which registry entries cannot be decoded, and which can be decoded again. Each
+// change is logged once, since an invalid entry may be rewritten every second.
+func (i *Instance) logEntries(c snipedirectory.Change, wrong []error) {
 	for n, key := range c.Wrong {
-		if i.wrongEntries.Add(key) {
-			i.Log.Error(snipelog.EntryWrong, wrong[n], snipelog.Fields{"Key": key, positionName: c.Position})
+		if i.invalidEntries.Add(key) {
+			i.Log.Error(snipelog.EntryWrong, wrong[n], snipelog.Fields{"Key": key, positionField: c.Position})
 		}
 	}
-	mended := slices.Clone(c.Removed)
+	noLongerInvalid := slices.Clone(c.Removed)
 	for _, u := range c.Changed {
-		mended = append(mended, u.Name)
+		noLongerInvalid = append(noLongerInvalid, u.Name)
 	}
-	for _, key := range mended {
-		if i.wrongEntries.Remove(key) {
-			i.Log.Log(snipelog.EntryMended, snipelog.Fields{"Key": key, positionName: c.Position})
+	for _, key := range noLongerInvalid {
+		if i.invalidEntries.Remove(key) {
+			i.Log.Log(snipelog.EntryMended, snipelog.Fields{"Key": key, positionField: c.Position})
 		}
 	}
 }
 
-// ownershipRows returns the rows of ownership that have changed since a mark, as last read.
+// ownershipRows returns the ownership rows that have changed since a mark, as last read, and the
+// next mark.
 func (i *Instance) ownershipRows(_ context.Context, partition string, since uint64) ([]snipeplatform.Row, uint64, error) {
 	rows, mark, err := i.tables.ownership.Mirror.Rows(since)
 	if err != nil {
@@ -239,40 +243,40 @@
 	return all, mark, nil
 }
 
-// storeReached is told of each renewal whether the store answered.
-func (i *Instance) storeReached(ok bool) {
+// noteRenewal is called after each renewal with whether the store answered.
+func (i *Instance) noteRenewal(ok bool) {
 	if !ok {
 		i.interruptReads()
 	}
 }
 
-// interruptReads ends the reads of the store that are under way: it does not answer.
+// interruptReads cancels pending reads of the store, because the store does not answer.
 func (i *Instance) interruptReads() {
 	for _, f := range i.tables.all() {
 		f.Interrupt()
 	}
 }
 
-// seen is told of upstreams that are new, leaving or gone.
-func (i *Instance) seen(u *snipedirectory.Upstream, e snipedirectory.Event) {
-	fields := snipelog.Fields{upstreamName: u.ID, "Service": u.Service, "Address": u.Address, positionName: u.Position}
+// upstreamChanged is called for each upstream that appears, is leaving or is gone.
+func (i *Instance) upstreamChanged(u *snipedirectory.Upstream, e snipedirectory.Event) {
+	fields := snipelog.Fields{upstreamField: u.ID, "Service": u.Service, "Address": u.Address, positionField: u.Position}
 	switch e {
 	case snipedirectory.Appeared:
-		// Those of the first reading are told by their number.
+		// The first read is logged as one line with the number of upstreams.
 		if i.directory.Snapshot() != nil {
 			i.Log.Log(snipelog.UpstreamAppeared, fields)
 		}
 	case snipedirectory.Leaving:
 		if i.signals.Leaving(u.ID) {
-			return // told already
+			return // already logged when the upstream signaled it
 		}
-		fields["RemainingMilliseconds"], fields[sourceName] = u.Remaining.Milliseconds(), "Registry"
+		fields["RemainingMilliseconds"], fields[sourceField] = u.Remaining.Milliseconds(), "Registry"
 		i.Log.Log(snipelog.UpstreamLeaving, fields)
 	case snipedirectory.Gone:
 		i.Log.Log(snipelog.UpstreamGone, fields)
 		i.links.Forget(u.Address)
 		i.residency.Forget(u.ID)
 		i.balancer.Forget(u.ID)
-		i.desk.Forget(u.ID)
+		i.controller.Forget(u.ID)
 	}
 }
--- a/snipeentry/loads.go
+++ b/snipeentry/loads.go
@@ -10,64 +10,66 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// What the engines have to do is known to their owners. Where there are few instances each hears
-// of every owner by its own reports. Of hundreds each uses few engines a second, and asking all
-// owners would be a message from each to each: there the first instance of a failure domain asks
-// the owners, and the others ask it.
+// The owners of engines know the engines' loads. With few instances, each instance learns the loads
+// from the answers to its own reports to the owners. With hundreds, each instance uses few engines
+// a second, and asking all owners would need a message between each pair of instances. Then the
+// first instance of each failure domain asks the owners, and the others ask that instance.
 
 const (
-	// gatherFrom is from how many instances on the first of each domain gathers loads.
-	gatherFrom = 32
-	// loadsEvery is the time between two looks at the loads of all engines: an engine gets one
-	// or two requests meanwhile.
-	loadsEvery = 160 * time.Millisecond
-	// loadsTimeout bounds one question for loads: a later answer is of no use.
+	// minGatherInstances is the number of instances from which the first instance of each domain
+	// gathers the loads.
+	minGatherInstances = 32
+	// loadsInterval is the time between two polls of the loads of all engines. An engine receives
+	// one or two requests in this time.
+	loadsInterval = 160 * time.Millisecond
+	// loadsTimeout bounds one request for loads. A later answer is of no use.
 	loadsTimeout = 150 * time.Millisecond
 )
 
-// gathers reports whether loads are gathered by the first instance of each domain.
-func (i *Instance) gathers() bool { return i.instances() >= gatherFrom }
+// gathersLoads reports whether the first instance of each domain gathers the loads.
+func (i *Instance) gathersLoads() bool { return i.instances() >= minGatherInstances }
 
-// learnLoads learns the loads of all engines, from their owners or from the instance that has
-// asked these.
-func (i *Instance) learnLoads(ctx context.Context) {
-	if !i.gathers() {
+// updateLoads updates the loads of all engines, from their owners or from the instance that has
+// gathered them. It does nothing if loads are not gathered.
+func (i *Instance) updateLoads(ctx context.Context) {
+	if !i.gathersLoads() {
 		return
 	}
 	readers := i.readers(false)
 	if len(readers) == 0 || readers[0] == i.Settings.Peers {
-		i.askOwners(ctx)
+		i.requestOwnerLoads(ctx)
 		return
 	}
-	turn := i.peers.loadsTurn()
-	go i.askLoads(ctx, readers[turn%len(readers)], turn)
+	rank := i.peers.loadsReaderRank()
+	go i.requestLoads(ctx, readers[rank%len(readers)], rank)
 }
 
-// askOwners has all owners tell the loads of their engines that were not heard of lately.
-func (i *Instance) askOwners(ctx context.Context) {
-	since := time.Now().Add(-loadsEvery / 2)
+// requestOwnerLoads requests the loads from all owners that have not answered within half an
+// interval.
+func (i *Instance) requestOwnerLoads(ctx context.Context) {
+	since := time.Now().Add(-loadsInterval / 2)
 	for _, owner := range i.holder.View().Others {
-		if i.peers.heardAt(owner).Before(since) {
-			go i.report(ctx, owner, i.newReport())
+		if i.peers.lastAnswer(owner).Before(since) {
+			go i.sendReport(ctx, owner, i.newReport())
 		}
 	}
 }
 
-// askLoads learns the loads that another instance knows. One that does not answer is left for
-// the next in rank for a while.
-func (i *Instance) askLoads(ctx context.Context, to netip.AddrPort, turn int) {
+// requestLoads requests the loads that another instance has gathered. If that instance does not
+// answer, the next in rank is asked for a while.
+func (i *Instance) requestLoads(ctx context.Context, to netip.AddrPort, rank int) {
 	ctx, cancel := context.WithTimeout(ctx, loadsTimeout)
 	defer cancel()
-	answer, err := i.peers.adapters.of(to).Loads(ctx, &snipeproto.AdapterLoadsRequest{})
+	answer, err := i.peers.adapters.client(to).Loads(ctx, &snipeproto.AdapterLoadsRequest{})
 	if ctx.Err() == context.Canceled {
 		return
 	}
-	changed := i.peers.loadsAnswered(turn, err == nil)
+	changed := i.peers.noteLoadsAnswer(rank, err == nil)
 	switch {
 	case err != nil && changed:
-		i.Log.Error(snipelog.LoadsUnknown, err, snipelog.Fields{peerName: to})
+		i.Log.Error(snipelog.LoadsUnknown, err, snipelog.Fields{peerField: to})
 	case changed:
-		i.Log.Log(snipelog.LoadsKnown, snipelog.Fields{peerName: to})
+		i.Log.Log(snipelog.LoadsKnown, snipelog.Fields{peerField: to})
 	}
 	if err != nil {
 		return
@@ -92,35 +94,36 @@
 	return answer, nil
 }
 
-// loadsPause is for how long an instance is not asked for loads that did not answer.
-const loadsPause = 3 * time.Second
+// loadsRetryPause is how long after a failure the next instances in rank are asked for loads,
+// before the first one is tried again.
+const loadsRetryPause = 3 * time.Second
 
-// loadsTurn is which instance of the domain is asked for loads: the first, or the next after
-// each that did not answer.
-func (p *peers) loadsTurn() int {
+// loadsReaderRank returns the rank of the domain's instance to ask for loads: the first, or the
+// next after each instance that did not answer.
+func (p *peers) loadsReaderRank() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
-	if time.Since(p.loadsFailedAt) >= loadsPause {
-		p.loadsTried = 0
+	if time.Since(p.loadsFailedAt) >= loadsRetryPause {
+		p.loadsFailures = 0
 	}
-	return p.loadsTried
+	return p.loadsFailures
 }
 
-// loadsAnswered notes whether the instance whose turn it was told the loads, and tells whether
-// the first of the domain was lost or is back by that.
-func (p *peers) loadsAnswered(turn int, ok bool) (changed bool) {
+// noteLoadsAnswer records whether the instance with the given rank answered the request for loads.
+// It reports whether this answer shows that the domain's first instance was lost or is back.
+func (p *peers) noteLoadsAnswer(rank int, ok bool) (changed bool) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if !ok {
-		if turn == p.loadsTried {
-			p.loadsTried++
+		if rank == p.loadsFailures {
+			p.loadsFailures++
 		}
 		p.loadsFailedAt = time.Now()
-		changed = !p.loadsLost
-		p.loadsLost = true
+		changed = !p.firstLoadsReaderLost
+		p.firstLoadsReaderLost = true
 		return changed
 	}
-	changed = p.loadsLost && turn == 0
-	p.loadsLost = p.loadsLost && turn > 0
+	changed = p.firstLoadsReaderLost && rank == 0
+	p.firstLoadsReaderLost = p.firstLoadsReaderLost && rank > 0
 	return changed
 }
--- a/snipeentry/loads_test.go
+++ b/snipeentry/loads_test.go
@@ -12,36 +12,36 @@
 	"snipepitch.example/snipepitch/snipesignal"
 )
 
-// TestLoadsTurn answers the pattern of a domain whose first instance, which gathers the loads of
-// all engines, is lost for seconds: the next in rank is asked meanwhile, the first again after a
-// while, and its loss and its return are told once.
+// TestLoadsTurn covers a failure domain whose first instance, which gathers the loads of all
+// engines, is lost for seconds. The next in rank is asked in the meantime, the first again after a
+// pause, and the loss and the return are each reported once.
 func TestLoadsTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &peers{}
 		begun := time.Now()
 		lost := func() bool { d := time.Since(begun); return d >= time.Second && d < 9*time.Second }
-		inVain, told := 0, 0
+		failed, changes := 0, 0
 		var back time.Time
 		for range 100 {
-			time.Sleep(loadsEvery)
-			turn := p.loadsTurn()
-			must.Less(t, 2, turn)
-			if turn == 0 && lost() {
-				inVain++
+			time.Sleep(loadsInterval)
+			rank := p.loadsReaderRank()
+			must.Less(t, 2, rank)
+			if rank == 0 && lost() {
+				failed++
 			}
-			if p.loadsAnswered(turn, turn > 0 || !lost()) {
-				told++
+			if p.noteLoadsAnswer(rank, rank > 0 || !lost()) {
+				changes++
 				back = time.Now()
 			}
 		}
-		must.Eq(t, 2, told)
-		must.Between(t, 1, inVain, 4)
-		must.Less(t, 9*time.Second+loadsPause+2*loadsEvery, back.Sub(begun))
+		must.Eq(t, 2, changes)
+		must.Between(t, 1, failed, 4)
+		must.Less(t, 9*time.Second+loadsRetryPause+2*loadsInterval, back.Sub(begun))
 	})
 }
 
-// TestLoadsPassedOn: what one instance knows of the loads is known to the one that asks it, no
-// younger than it is, and stands behind what that one knows by itself.
+// TestLoadsPassedOn checks that the loads known to one instance are passed to an instance that
+// requests them with their true age, and do not replace newer loads that the receiver knows itself.
 func TestLoadsPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first := &snipebalance.Balancer{}
@@ -73,6 +73,6 @@
 		must.Eq(t, map[string]float64{"busy": 8, "known": 6, "quiet": 5}, loads())
 		time.Sleep(400 * time.Millisecond)
 		own.ToldAll(nil)
-		must.Eq(t, map[string]float64{}, loads(), must.Sprint("silence tells that there is no load"))
+		must.Eq(t, map[string]float64{}, loads(), must.Sprint("a load that is not reported again has ended"))
 	})
 }
--- a/snipeentry/mirror_test.go
+++ b/snipeentry/mirror_test.go
@@ -12,7 +12,7 @@
 	"snipepitch.example/snipepitch/snipeproto"
 )
 
-// rowsOf returns the rows of a registry of so many upstreams.
+// rowsOf returns the registry rows of the given number of upstreams.
 func rowsOf(count int) []snipemirror.Row {
 	var rows []snipemirror.Row
 	for n := range count {
@@ -24,9 +24,9 @@
 	return rows
 }
 
-// TestWholePages answers the pattern of dozens of instances that all start at once and ask one
-// for all rows of three thousand upstreams: the page is compressed once for all of them, and
-// whoever goes on from it misses nothing.
+// TestWholePages covers dozens of instances that start at once and request all rows of three
+// thousand upstreams from one instance. The page is compressed once for all of them, and followers
+// that continue from it miss no change.
 func TestWholePages(t *testing.T) {
 	const table, count = "rows", 3000
 	synctest.Test(t, func(t *testing.T) {
@@ -42,10 +42,10 @@
 		first := watch(0)
 		must.Less(t, count*30, len(first.GetPacked()))
 		source.Apply(snipemirror.Page{Position: count + 1, Rows: []snipemirror.Row{{Key: "i-000000", Version: count + 1, Value: []byte("new")}}})
-		time.Sleep(packLife / 2)
+		time.Sleep(packedPageLife / 2)
 		second := watch(0)
 		must.True(t, &first.GetPacked()[0] == &second.GetPacked()[0])
-		must.Eq(t, (packLife / 2).Milliseconds(), second.GetAgeMilliseconds())
+		must.Eq(t, (packedPageLife / 2).Milliseconds(), second.GetAgeMilliseconds())
 
 		follower := snipemirror.New()
 		page, err := decodePage(second)
@@ -56,7 +56,7 @@
 		must.NoError(t, err)
 		must.Len(t, 1, page.Rows)
 		must.Len(t, 1, follower.Apply(page))
-		time.Sleep(packLife)
+		time.Sleep(packedPageLife)
 		must.Eq(t, count+1, watch(0).GetPosition())
 		all, _, err := follower.Rows(0)
 		must.NoError(t, err)
--- a/snipeentry/rest_test.go
+++ b/snipeentry/rest_test.go
@@ -10,13 +10,13 @@
 	"snipepitch.example/snipepitch/snipestand"
 )
 
-// TestRestAskedByUpstream guards against instances that go on sending requests to an upstream that
-// has turned one away and asked for rest, and against callers that are refused for it although
-// another upstream is free.
+// TestRestAskedByUpstream guards against instances that keep sending requests to an upstream that
+// has refused one and asked for a backoff, and against callers that are refused for this reason
+// although another upstream is free.
 func TestRestAskedByUpstream(t *testing.T) {
 	tests := map[string]struct {
-		resting, target string
-		header          []string
+		backingOff, target string
+		header             []string
 	}{
 		"Plain":   {"p1", "/often/x", nil},
 		"Once":    {"p1", "/once/x", nil},
@@ -26,20 +26,20 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newStage(t, time.Millisecond)
+			s := newTestCluster(t, time.Millisecond)
 			s.declare(1)
 			instances := []*instance{s.start("one"), s.start("two"), s.start("three")}
 			for _, i := range instances {
-				serving(t, i)
-				// Until engines have owners adapters are refused for want of one.
+				waitServing(t, i)
+				// Requests for adapters are refused until the engines have owners.
 				eventually(t, func() bool {
 					a, _ := send(t, i.url, http.MethodGet, tt.target, "", tt.header...)
 					return a.status == http.StatusOK
 				})
 			}
-			s.runners[tt.resting].AskRest(3 * time.Second)
-			sent := press(t, instances, tt.target, 30*time.Millisecond, 7*time.Second, tt.header...)
-			must.SliceEmpty(t, snipestand.RestBreaches(s.runners[tt.resting].Arrivals(), sent.of, nil))
+			s.runners[tt.backingOff].AskRest(3 * time.Second)
+			sent := sendLoad(t, instances, tt.target, 30*time.Millisecond, 7*time.Second, tt.header...)
+			must.SliceEmpty(t, snipestand.RestBreaches(s.runners[tt.backingOff].Arrivals(), sent.sender, nil))
 			must.Eq(t, 0, sent.refused, must.Sprint("the other upstream is free"))
 		})
 	}
