--- a/snipeentry/peers_test.go
+++ b/snipeentry/peers_test.go
@@ -23,7 +23,7 @@
 	held := snipecatalog.Adapter{Model: "base", Name: "held"}
 	gone := snipecatalog.Adapter{Model: "base", Name: "gone"}
 	u := &snipedirectory.Upstream{ID: engine, Models: []string{"base"}, Address: netip.MustParseAddrPort("10.9.0.1:80")}
-	controller := &snipeadapter.Desk{
+	controller := &snipeadapter.Controller{
 		Engine: snipeadapter.Engine{
 			Order: func(context.Context, *snipedirectory.Upstream, snipeadapter.Order) (snipeadapter.Reply, error) {
 				return snipeadapter.Holds, nil
@@ -57,7 +57,7 @@
 	must.NoError(t, err)
 
 	i := &Instance{residency: &snipeadapter.Residency{}, balancer: &snipebalance.Balancer{}}
-	i.residency.Tell(engine, gone, 1)
+	i.residency.RecordHeld(engine, gone, 1)
 	i.applyReport(answer)
 	_, ok := i.residency.Holds(u, gone)
 	must.False(t, ok)
@@ -67,9 +67,9 @@
 	must.Positive(t, i.balancer.Busy(u))
 }
 
-// TestQuietOwner covers many instances of which few use the two engines of one owner. Each instance
+// TestStalestOwner covers many instances of which few use the two engines of one owner. Each instance
 // still receives the loads of every owner once a second.
-func TestQuietOwner(t *testing.T) {
+func TestStalestOwner(t *testing.T) {
 	address := func(n byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, n}), 80) }
 	owners := []netip.AddrPort{address(10), address(20)}
 	now := time.Now()
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestReached checks that each loss and each return of another instance is reported once.
-func TestReached(t *testing.T) {
+// TestNoteReachability checks that each loss and each return of another instance is reported once.
+func TestNoteReachability(t *testing.T) {
 	p := &peers{}
 	to := netip.MustParseAddrPort("10.1.0.1:70")
 	for _, tt := range []struct{ ok, changed bool }{
--- a/snipegateway/overload_test.go
+++ b/snipegateway/overload_test.go
@@ -13,10 +13,10 @@
 // anything is observed.
 const overloadWeight = 66
 
-// TestCrowded guards against requests that queue at an overloaded engine while others are idle,
+// TestOverloaded guards against requests that queue at an overloaded engine while others are idle,
 // because many requests for an adapter arrive at once or its home engine is slow. A request goes to
 // an engine that is not overloaded, after a load, and to an overloaded one only if no other helps.
-func TestCrowded(t *testing.T) {
+func TestOverloaded(t *testing.T) {
 	const count = 6
 	home := firstInRank(t, count)
 	tests := map[string]struct {
@@ -42,7 +42,7 @@
 				o := &fakeOwners{busy: tt.busy}
 				c := newChooser(o, count)
 				if tt.homeHolds {
-					c.Residency.Tell(home, request.Adapter, 1)
+					c.Residency.RecordHeld(home, request.Adapter, 1)
 				}
 				for _, id := range engineNames(count) {
 					c.Balancer.Begin(id, tt.otherLoad)
@@ -59,14 +59,14 @@
 	}
 }
 
-// TestSlowRelief guards against a load on another engine that takes longer than expected and delays
+// TestSlowOffload guards against a load on another engine that takes longer than expected and delays
 // a request by half a second or more.
-func TestSlowRelief(t *testing.T) {
+func TestSlowOffload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		home := "e0"
 		o := &fakeOwners{busy: map[string]time.Duration{}, extraTime: 3 * time.Second}
 		c := newChooser(o, 2)
-		c.Residency.Tell(home, request.Adapter, 1)
+		c.Residency.RecordHeld(home, request.Adapter, 1)
 		c.Balancer.Begin(home, overloadWeight)
 		begun := time.Now()
 		choice, err := c.Choose(t.Context(), service, request, nil, objective)
--- a/snipegateway/ranking_test.go
+++ b/snipegateway/ranking_test.go
@@ -12,19 +12,19 @@
 	"snipepitch.example/snipepitch/sniperoute"
 )
 
-// TestBestFirst guards against a wrong order of load candidates: engines that held the adapter come
+// TestLoadCandidates guards against a wrong order of load candidates: engines that held the adapter come
 // first, overloaded engines come last, and each group is ordered by rank, as in a full sort.
-func TestBestFirst(t *testing.T) {
+func TestLoadCandidates(t *testing.T) {
 	const count = 40
 	c := newChooser(&fakeOwners{}, count)
 	a := request.Adapter
 	previous, overloaded := map[string]bool{"e3": true, "e17": true, "e20": true}, map[string]bool{"e5": true, "e20": true, "e30": true}
 	for id := range previous {
-		c.Residency.Tell(id, a, 1)
-		c.Residency.Deny(id, a)
+		c.Residency.RecordHeld(id, a, 1)
+		c.Residency.RecordAbsent(id, a)
 	}
 	for id := range overloaded {
-		c.Balancer.Told(id, 500)
+		c.Balancer.SetLoad(id, 500)
 	}
 	key := sniperoute.Hash(a.Model, a.Name)
 	group := func(id string) int {
@@ -55,12 +55,12 @@
 	must.Eq(t, ids[:5], c.LoadCandidatesForTest(service, a, 5))
 }
 
-// TestAmongThousands guards against a choice whose cost grows with the number of engines: the
+// TestChooseAmongThousands guards against a choice whose cost grows with the number of engines: the
 // engine that holds an adapter is found among 3000 without examining the others.
-func TestAmongThousands(t *testing.T) {
+func TestChooseAmongThousands(t *testing.T) {
 	c := newChooser(&fakeOwners{}, 3000)
 	for n := range 3000 {
-		c.Residency.Tell(fmt.Sprint("e", n), snipecatalog.Adapter{Model: "base", Name: fmt.Sprint("a", n)}, 1)
+		c.Residency.RecordHeld(fmt.Sprint("e", n), snipecatalog.Adapter{Model: "base", Name: fmt.Sprint("a", n)}, 1)
 	}
 	must.Eq(t, []string{"e1"}, c.Residency.Holders(request.Adapter, nil))
 	choice, err := c.Choose(t.Context(), service, request, nil, objective)
--- a/snipehealth/snipehealth_test.go
+++ b/snipehealth/snipehealth_test.go
@@ -31,7 +31,7 @@
 // usable returns the names of the n candidates that Mark leaves usable for a call.
 func usable(tracker *Tracker, key uint64, n int) []string {
 	all := candidates(n)
-	tracker.Mark(key, all)
+	tracker.MarkUnusable(key, all)
 	var names []string
 	for _, c := range all {
 		if c.Usable {
@@ -102,10 +102,10 @@
 	})
 }
 
-// TestFloor guards against the exclusion of so many slow upstreams that fewer than
+// TestMinimumUsable guards against the exclusion of so many slow upstreams that fewer than
 // two thirds of the candidates remain and are overloaded. Unreachable upstreams must
 // all be excluded.
-func TestFloor(t *testing.T) {
+func TestMinimumUsable(t *testing.T) {
 	tests := map[string]struct {
 		then Observation
 		left int
@@ -177,17 +177,17 @@
 	return float64(n) / 1000
 }
 
-// TestHear guards against an announced state that has no effect or does not expire,
+// TestRecordAnnouncement guards against an announced state that has no effect or does not expire,
 // and against one that replaces a state detected by this instance.
-func TestHear(t *testing.T) {
+func TestRecordAnnouncement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := newTracker()
-		tracker.Hear("0", Out, Unreachable, 30*time.Second)
+		tracker.RecordAnnouncement("0", Out, Unreachable, 30*time.Second)
 		must.Eq(t, []string{"1", "2"}, usable(tracker, 1, 3))
 		time.Sleep(31 * time.Second)
 		must.Eq(t, []string{"0", "1", "2"}, usable(tracker, 1, 3))
 		tracker.Observe("0", Observation{})
-		tracker.Hear("0", Up, None, 30*time.Second)
+		tracker.RecordAnnouncement("0", Up, None, 30*time.Second)
 		must.Eq(t, []string{"1", "2"}, usable(tracker, 1, 3))
 	})
 }
--- a/snipepeer/reach_test.go
+++ b/snipepeer/reach_test.go
@@ -13,14 +13,14 @@
 	"snipepitch.example/snipepitch/snipepeer"
 )
 
-// TestReachHoldsOff: a peer that was not reached is left alone for a while,
-// whatever call finds it out, and an answer ends that at once.
+// TestReachHoldsOff checks that a peer that a call did not reach is not used during
+// the hold-off, and that an answer ends the hold-off at once.
 func TestReachHoldsOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		address := netip.MustParseAddrPort("192.0.2.1:1")
 		refused := roundTrip(func(*http.Request) (*http.Response, error) { return nil, errRefused })
 		client := &http.Client{Transport: refused}
-		p := &snipepeer.Client{HTTP: client, Fresh: client, Progress: time.Second}
+		p := &snipepeer.Client{Pooled: client, Fresh: client, Progress: time.Second}
 		must.True(t, p.Reach.Usable(address))
 		c := &snipecall.Call{ID: "c", Upstream: "e", Deadline: time.Now().Add(time.Minute), Idempotent: true}
 		must.Error(t, p.Forward(t.Context(), address, c, func(snipecall.Chunk) error { return nil }))
@@ -35,6 +35,7 @@
 
 var errRefused = http.ErrServerClosed
 
+// roundTrip is an http.RoundTripper that answers requests without a network.
 type roundTrip func(*http.Request) (*http.Response, error)
 
 // RoundTrip implements http.RoundTripper.
--- a/snipesignal/world_test.go
+++ b/snipesignal/world_test.go
@@ -41,7 +41,7 @@
 // instance is an instance of the simulation.
 type instance struct {
 	name   string
-	book   *snipesignal.Book
+	book   *snipesignal.Tracker
 	demand float64
 	// known is how many instances it has discovered.
 	known int
@@ -58,7 +58,7 @@
 }
 
 // divide returns the share of an instance; see snipesignal.Divide.
-type divide func(limit float64, instances, rank int) snipesignal.Part
+type divide func(limit float64, instances, rank int) snipesignal.Share
 
 func newSimulation(seed uint64, count int, d divide) *simulation {
 	s := &simulation{rand: rand.New(rand.NewPCG(seed, 1))}
@@ -71,7 +71,7 @@
 // add starts an instance that has discovered the given number of instances.
 func (s *simulation) add(known int, d divide) {
 	p := &instance{name: fmt.Sprint("i", len(s.instances)), known: known}
-	p.book = &snipesignal.Book{Part: func(upstream string, limit float64) snipesignal.Part {
+	p.book = &snipesignal.Tracker{Share: func(upstream string, limit float64) snipesignal.Share {
 		return d(limit, p.known, s.rank(p, upstream))
 	}}
 	s.instances = append(s.instances, p)
@@ -134,20 +134,20 @@
 	for len(s.answers) > 0 && !s.answers[0].at.After(time.Now()) {
 		a := s.answers[0]
 		s.answers = s.answers[1:]
-		a.to.book.Hear(upstream, a.sent, a.signal)
+		a.to.book.Record(upstream, a.sent, a.signal)
 	}
 }
 
 // exchangeUpdates sends the updates of each instance to the other ones.
 func (s *simulation) exchangeUpdates() {
 	for _, p := range s.instances {
-		updates := p.book.News()
+		updates := p.book.PendingUpdates()
 		if p.partitioned || len(updates) == 0 {
 			continue
 		}
 		for _, other := range s.instances {
 			if other != p && !other.partitioned {
-				other.book.Learn(updates)
+				other.book.Merge(updates)
 			}
 		}
 	}
@@ -169,10 +169,10 @@
 	return float64(n) / time.Since(since).Seconds()
 }
 
-// TestLimitAtSize guards against more requests than an overloaded upstream accepts, at any number
+// TestLimitAtScale guards against more requests than an overloaded upstream accepts, at any number
 // of instances that were notified of the limit and wherever their callers are. It also guards
 // against a limit that the instances with callers hardly use.
-func TestLimitAtSize(t *testing.T) {
+func TestLimitAtScale(t *testing.T) {
 	for _, count := range []int{1, 3, 7, 66, 300} {
 		for _, limit := range []float64{0, 0.5, 3, 60} {
 			for _, among := range []int{1, 3} {
@@ -196,9 +196,9 @@
 	}
 }
 
-// TestLimitAfterQuiet guards against a burst after an idle time: while there was nothing to send,
+// TestLimitAfterIdle guards against a burst after an idle time: while there was nothing to send,
 // all shares became available, and all are used at once.
-func TestLimitAfterQuiet(t *testing.T) {
+func TestLimitAfterIdle(t *testing.T) {
 	for _, count := range []int{7, 66, 300} {
 		for _, limit := range []float64{0, 0.5, 3, 60} {
 			t.Run(fmt.Sprintf("%dInstances/%gASecond", count, limit), func(t *testing.T) {
@@ -242,9 +242,9 @@
 	}
 }
 
-// TestLimitInTroubles guards against more requests than allowed while new instances have discovered
+// TestLimitUnderFaults guards against more requests than allowed while new instances have discovered
 // few others, some instances are partitioned, and the limit rises and falls.
-func TestLimitInTroubles(t *testing.T) {
+func TestLimitUnderFaults(t *testing.T) {
 	for _, count := range []int{7, 66, 300} {
 		for _, limit := range []float64{0.5, 3, 60} {
 			for seed := range uint64(3) {
@@ -280,18 +280,18 @@
 	}
 }
 
-// TestEndIsToldAgain guards against an instance that sends an upstream nothing for minutes because
+// TestLimitEndAnnouncedAgain guards against an instance that sends an upstream nothing for minutes because
 // the single update about the end of a limit was lost.
-func TestEndIsToldAgain(t *testing.T) {
+func TestLimitEndAnnouncedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &snipesignal.Book{}
-		b.Hear(upstream, time.Now(), snipesignal.Signal{Limit: 3, Limited: true})
-		must.Len(t, 1, b.News())
+		b := &snipesignal.Tracker{}
+		b.Record(upstream, time.Now(), snipesignal.Signal{Limit: 3, Limited: true})
+		must.Len(t, 1, b.PendingUpdates())
 		time.Sleep(time.Second)
-		b.Hear(upstream, time.Now(), snipesignal.Signal{})
+		b.Record(upstream, time.Now(), snipesignal.Signal{})
 		announced := 0
 		for range 30 {
-			for _, u := range b.News() {
+			for _, u := range b.PendingUpdates() {
 				must.False(t, u.Limited)
 				announced++
 			}
@@ -301,17 +301,17 @@
 	})
 }
 
-// TestNewsOfTwo guards against a signal that is never passed on: this instance received it from the
+// TestUpdateMergedWithOwnSignal guards against a signal that is never passed on: this instance received it from the
 // upstream, and before it notified the others, one of them reported another state of the same
 // upstream.
-func TestNewsOfTwo(t *testing.T) {
+func TestUpdateMergedWithOwnSignal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &snipesignal.Book{}
-		b.Hear(upstream, time.Now(), snipesignal.Signal{Leaving: true})
-		b.Learn([]snipesignal.Statement{{Upstream: upstream, State: snipesignal.State{Limit: 3, Limited: true}}})
-		updates := b.News()
+		b := &snipesignal.Tracker{}
+		b.Record(upstream, time.Now(), snipesignal.Signal{Leaving: true})
+		b.Merge([]snipesignal.Update{{Upstream: upstream, State: snipesignal.State{Limit: 3, Limited: true}}})
+		updates := b.PendingUpdates()
 		must.Len(t, 1, updates)
 		must.True(t, updates[0].Leaving && updates[0].Limited)
-		must.SliceEmpty(t, b.News())
+		must.SliceEmpty(t, b.PendingUpdates())
 	})
 }
--- a/snipesoak/instance_test.go
+++ b/snipesoak/instance_test.go
@@ -7,26 +7,26 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestPortsDiffer: no two instances are given the same port, though each is drawn as often as
-// there are instances.
+// TestPortsDiffer guards against giving two instances the same port, which could happen if a port
+// was released before the others were drawn. Each port is drawn as often as there are instances.
 func TestPortsDiffer(t *testing.T) {
 	all := []*instance{{}, {}, {}}
 	draws := 0
-	must.NoError(t, reserve(all, func() uint16 {
+	must.NoError(t, reservePorts(all, func() uint16 {
 		draws++
 		return uint16(lowestPort + draws/len(all))
 	}))
-	seen := make(map[netip.AddrPort]bool)
+	used := make(map[netip.AddrPort]bool)
 	for _, i := range all {
 		for _, a := range []netip.AddrPort{i.callers, i.ready, i.peers, i.metrics} {
-			must.False(t, seen[a], must.Sprint(a))
-			seen[a] = true
+			must.False(t, used[a], must.Sprint(a))
+			used[a] = true
 		}
 	}
 }
 
-// TestNoPort: a port that is never free is an error.
-func TestNoPort(t *testing.T) {
+// TestNoFreePort guards against an endless search when no free port can be drawn.
+func TestNoFreePort(t *testing.T) {
 	all := []*instance{{}}
-	must.Error(t, reserve(all, func() uint16 { return lowestPort }))
+	must.Error(t, reservePorts(all, func() uint16 { return lowestPort }))
 }
--- a/snipeupstream/report_test.go
+++ b/snipeupstream/report_test.go
@@ -27,12 +27,13 @@
 process_start_time_seconds 1.7e+09
 `
 
-func engineAt(t *testing.T, h http.Handler) *Engine {
+// newEngine returns the client of an engine that h serves.
+func newEngine(t *testing.T, h http.Handler) *Engine {
 	t.Helper()
 	server := httptest.NewServer(h)
 	t.Cleanup(server.Close)
 	address := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
-	return &Engine{Name: "e1", Address: address, Client: server.Client(), Fresh: server.Client(), Progress: time.Minute}
+	return &Engine{Name: "e1", Address: address, Pooled: server.Client(), Fresh: server.Client(), Progress: time.Minute}
 }
 
 func TestReport(t *testing.T) {
@@ -54,7 +55,7 @@
 		"refused":          {status: http.StatusServiceUnavailable, err: ErrReport},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := engineAt(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			e := newEngine(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
 				_, _ = w.Write([]byte(c.body))
 			}))
@@ -65,9 +66,10 @@
 	}
 }
 
-// TestStandInTells holds the stand-in's list and report against the client.
-func TestStandInTells(t *testing.T) {
-	e := engineAt(t, (&snipestand.Engine{Slots: 1, Batch: 1, TokenTime: 10 * time.Millisecond}).Handler())
+// TestSimulatedEngineReport checks that the client can read the list of models and the metrics of the
+// engine that snipestand simulates.
+func TestSimulatedEngineReport(t *testing.T) {
+	e := newEngine(t, (&snipestand.Engine{Slots: 1, Batch: 1, TokenTime: 10 * time.Millisecond}).Handler())
 	must.NoError(t, e.Load(t.Context(), "t/a@1#1.1.3", "p", 1))
 	must.ErrorIs(t, e.Load(t.Context(), "t/b@1#1.2.3", "p", 1), ErrOrderRefused)
 	names, err := e.Aliases(t.Context())
@@ -77,7 +79,7 @@
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, e.url(CompletionsPath),
 		strings.NewReader(`{"model":"t/a@1#1.1.3","prompt":"x","max_tokens":1000}`))
 	must.NoError(t, err)
-	response, err := e.Client.Do(r)
+	response, err := e.Pooled.Do(r)
 	must.NoError(t, err)
 	defer closeBody(response)
 	defer cancel()
