--- a/snipeentry/relay_test.go
+++ b/snipeentry/relay_test.go
@@ -63,9 +63,10 @@
 	}
 }
 
-// TestRelay covers an outage in which the store does not answer a third of the instances, while
-// these reach the others. Another instance makes their renewals, in time for the next one and never
-// twice. If the store answers no instance, the renewals fail as they would without a relay.
+// TestRelay covers outages in which the store refuses or does not answer the writes of an instance
+// that reaches other instances. Another instance makes the renewals, in time for the next one. If
+// the store answers no instance, the renewals fail. In all cases, no renewal takes effect twice,
+// and the instance itself calls the store at most once for each renewal.
 func TestRelay(t *testing.T) {
 	const renewals, every = 8, time.Second
 	tests := map[string]struct {
@@ -165,8 +166,9 @@
 	})
 }
 
-// TestRelayedRows checks that an instance accepts only a bounded number of changes in a relayed
-// write, and refuses at once if it cannot reach the store either.
+// TestRelayedRows checks that an instance rejects a write for another instance with no or too many
+// changes, and that after a write that the store did not answer it rejects such writes without a
+// call to the store.
 func TestRelayedRows(t *testing.T) {
 	s := &rowStore{calls: map[netip.AddrPort]int{}}
 	server := &ownershipServer{relay: &relay{Direct: s.via(refusedPath, peer(1)), OnLost: func(error) {}, OnRecovered: func() {}}}
@@ -187,11 +189,11 @@
 	must.Eq(t, 1, s.calls[peer(1)], must.Sprint("the store is known to be lost after the first write"))
 	must.False(t, server.relay.AcceptsWrites())
 	server.relay.lastWriteAt = server.relay.lastWriteAt.Add(-time.Minute)
-	must.False(t, server.relay.AcceptsWrites(), must.Sprint("the store stays lost until an own write is answered"))
+	must.False(t, server.relay.AcceptsWrites(), must.Sprint("the store stays lost until a write is answered"))
 }
 
-// TestOrderDenied guards against requests that wait for an engine whose owner has no right to order it.
-// The engine is avoided for a while, so that adapters are loaded on another one at once.
+// TestOrderDenied guards against requests that wait for an engine whose owner has no right to order
+// it. The engine is avoided for a while, so that adapters are loaded on another one at once.
 func TestOrderDenied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &peers{}
